--- a/bench-adapter/src/main/java/calicovale/adapter/Main.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/Main.java
@@ -13,14 +13,13 @@
 public final class Main {
     private static final int BUFFER = 1 << 16;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Takes no arguments. */
     public static void main(String[] args) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER);
-        BufferedWriter out = new BufferedWriter(new OutputStreamWriter(
-                new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8), BUFFER);
+        BufferedWriter out = new BufferedWriter(
+                new OutputStreamWriter(new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8), BUFFER);
         new WireAdapter(in, out, System.err).run();
         out.flush();
     }
--- a/cli/src/main/java/calicovale/cli/BenchCommand.java
+++ b/cli/src/main/java/calicovale/cli/BenchCommand.java
@@ -14,13 +14,17 @@
 import picocli.CommandLine.Spec;
 
 /** Owns {@code calicovale bench}: the measurements, each beside its floor in the same run. */
-@Command(name = "bench", description = "Runs measurements, each beside its floor in the same run.",
+@Command(
+        name = "bench",
+        description = "Runs measurements, each beside its floor in the same run.",
         mixinStandardHelpOptions = true)
 final class BenchCommand implements Callable<Integer> {
     @Parameters(arity = "0..*", description = "names; all where none is given")
     private List<String> names = List.of();
+
     @Option(names = "--out", description = "folder for bench.json")
     private Path out;
+
     @Spec
     private CommandSpec spec;
 
@@ -37,7 +41,8 @@
         }
         if (out != null) {
             Files.createDirectories(out);
-            Files.writeString(out.resolve("bench.json"),
+            Files.writeString(
+                    out.resolve("bench.json"),
                     Documents.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(bench.figures()) + "\n");
         }
         spec.commandLine().getOut().print(bench.table());
--- a/cli/src/main/java/calicovale/cli/ChangeCommand.java
+++ b/cli/src/main/java/calicovale/cli/ChangeCommand.java
@@ -25,7 +25,9 @@
 import picocli.CommandLine.Spec;
 
 /** Owns {@code calicovale change}: programme changes told to, listed from and withdrawn from session managers. */
-@Command(name = "change", description = "Adds, lists or withdraws programme changes at session managers.",
+@Command(
+        name = "change",
+        description = "Adds, lists or withdraws programme changes at session managers.",
         mixinStandardHelpOptions = true)
 final class ChangeCommand implements Callable<Integer> {
     private static final Duration WAIT = Duration.ofSeconds(10);
@@ -39,17 +41,24 @@
     }
 
     /** Sends one request to every manager; the status is that of the worst. */
-    private int send(List<String> managers, String method, String path, String body) throws IOException, InterruptedException {
-        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WAIT).build();
+    private int send(List<String> managers, String method, String path, String body)
+            throws IOException, InterruptedException {
+        HttpClient client = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(WAIT)
+                .build();
         int result = Main.WELL;
         for (String manager : managers) {
             if (!manager.matches("127(\\.\\d{1,3}){3}:\\d{1,5}")) {
-                throw new ParameterException(spec.commandLine(), "--manager: a loopback address and port are expected, not " + manager);
+                throw new ParameterException(
+                        spec.commandLine(), "--manager: a loopback address and port are expected, not " + manager);
             }
         }
         for (String manager : managers) {
-            HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + manager + path)).timeout(WAIT)
-                    .method(method, HttpRequest.BodyPublishers.ofString(body)).build();
+            HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + manager + path))
+                    .timeout(WAIT)
+                    .method(method, HttpRequest.BodyPublishers.ofString(body))
+                    .build();
             try {
                 HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
                 boolean well = answer.statusCode() < 300;
@@ -67,8 +76,13 @@
     }
 
     @Command(name = "add", description = "Tells a change to each manager named.", mixinStandardHelpOptions = true)
-    int add(@Option(names = "--manager", required = true, description = "operators' address of a manager, again for each")
-            List<String> managers, @Parameters(description = "the change's document") Path file)
+    int add(
+            @Option(
+                            names = "--manager",
+                            required = true,
+                            description = "operators' address of a manager, again for each")
+                    List<String> managers,
+            @Parameters(description = "the change's document") Path file)
             throws IOException, InterruptedException, InvalidDocumentException {
         if (!Files.isReadable(file)) {
             throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected"));
@@ -80,33 +94,58 @@
     }
 
     @Command(name = "list", description = "Lists the changes of each manager named.", mixinStandardHelpOptions = true)
-    int list(@Option(names = "--manager", required = true, description = "operators' address of a manager, again for each")
-            List<String> managers) throws IOException, InterruptedException {
+    int list(
+            @Option(
+                            names = "--manager",
+                            required = true,
+                            description = "operators' address of a manager, again for each")
+                    List<String> managers)
+            throws IOException, InterruptedException {
         return send(managers, "GET", "/v1/changes", "");
     }
 
-    @Command(name = "withdraw", description = "Withdraws a change at each manager named.", mixinStandardHelpOptions = true)
-    int withdraw(@Option(names = "--manager", required = true, description = "operators' address of a manager, again for each")
-            List<String> managers, @Parameters(description = "the change's id") String id)
+    @Command(
+            name = "withdraw",
+            description = "Withdraws a change at each manager named.",
+            mixinStandardHelpOptions = true)
+    int withdraw(
+            @Option(
+                            names = "--manager",
+                            required = true,
+                            description = "operators' address of a manager, again for each")
+                    List<String> managers,
+            @Parameters(description = "the change's id") String id)
             throws IOException, InterruptedException {
         return send(managers, "DELETE", "/v1/changes/" + id, "");
     }
 
-    @Command(name = "show", description = "Shows a change and how it fared with the sessions of each manager named.",
+    @Command(
+            name = "show",
+            description = "Shows a change and how it fared with the sessions of each manager named.",
             mixinStandardHelpOptions = true)
-    int show(@Option(names = "--manager", required = true, description = "operators' address of a manager, again for each")
-            List<String> managers, @Parameters(description = "the change's id") String id)
+    int show(
+            @Option(
+                            names = "--manager",
+                            required = true,
+                            description = "operators' address of a manager, again for each")
+                    List<String> managers,
+            @Parameters(description = "the change's id") String id)
             throws IOException, InterruptedException {
         return send(managers, "GET", "/v1/changes/" + id, "");
     }
 
-    @Command(name = "key", description = "Makes a key by which documents are signed: the private one goes into the file, the "
-            + "public one, for managers' settings, is printed.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "key",
+            description = "Makes a key by which documents are signed: the private one goes into the file, the "
+                    + "public one, for managers' settings, is printed.",
+            mixinStandardHelpOptions = true)
     int key(@Option(names = "--out", required = true, description = "a file that is not there yet") Path out)
             throws IOException, GeneralSecurityException {
         Ed25519.Pair pair = Ed25519.Pair.make();
         try {
-            Files.writeString(Files.createFile(out, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"))),
+            Files.writeString(
+                    Files.createFile(
+                            out, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"))),
                     pair.privateKey() + "\n");
         } catch (FileAlreadyExistsException e) {
             throw new ParameterException(spec.commandLine(), "--out: a file that is not there yet is expected: " + out);
@@ -116,9 +155,14 @@
         return Main.WELL;
     }
 
-    @Command(name = "sign", description = "Prints a change's document with its signature.", mixinStandardHelpOptions = true)
-    int sign(@Option(names = "--key", required = true, description = "the private key's file") Path key,
-            @Option(names = "--name", required = true, description = "the key's name in the managers' settings") String name,
+    @Command(
+            name = "sign",
+            description = "Prints a change's document with its signature.",
+            mixinStandardHelpOptions = true)
+    int sign(
+            @Option(names = "--key", required = true, description = "the private key's file") Path key,
+            @Option(names = "--name", required = true, description = "the key's name in the managers' settings")
+                    String name,
             @Parameters(description = "the change's document") Path file)
             throws IOException, InvalidDocumentException {
         for (Path needed : List.of(key, file)) {
@@ -132,7 +176,8 @@
         try {
             signed = ChangeKeys.sign(text, name, Files.readString(key).strip());
         } catch (IllegalArgumentException e) {
-            throw new InvalidDocumentException(List.of(key + ": /: a private key as 'change key' writes it is expected"));
+            throw new InvalidDocumentException(
+                    List.of(key + ": /: a private key as 'change key' writes it is expected"));
         }
         spec.commandLine().getOut().println(signed);
         spec.commandLine().getOut().flush();
--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -20,11 +20,14 @@
 import picocli.CommandLine.Spec;
 
 /** Owns {@code calicovale check}: files of any kind against their schemas, told apart by their member {@code schema}. */
-@Command(name = "check", description = "Validates settings and day files against their JSON Schemas.",
+@Command(
+        name = "check",
+        description = "Validates settings and day files against their JSON Schemas.",
         mixinStandardHelpOptions = true)
 final class CheckCommand implements Callable<Integer> {
     @Parameters(arity = "1..*", description = "files, each with a member \"schema\" such as \"calicovale/day/1\"")
     private List<Path> files;
+
     @Spec
     private CommandSpec spec;
 
@@ -57,8 +60,11 @@
             case "calicovale/directory/1" -> DirectorySettings.read(file);
             case "calicovale/day/1" -> Day.read(file);
             case "calicovale/change/1" -> change(file);
-            default -> throw new InvalidDocumentException(List.of(file + ": /schema: one of calicovale/front/1, "
-                    + "calicovale/box/1, calicovale/directory/1, calicovale/day/1, calicovale/change/1 is expected"));
+            default ->
+                throw new InvalidDocumentException(
+                        List.of(
+                                file + ": /schema: one of calicovale/front/1, "
+                                        + "calicovale/box/1, calicovale/directory/1, calicovale/day/1, calicovale/change/1 is expected"));
         }
     }
 
--- a/cli/src/main/java/calicovale/cli/DirectoryCommand.java
+++ b/cli/src/main/java/calicovale/cli/DirectoryCommand.java
@@ -21,10 +21,11 @@
         DirectorySettings settings = DirectorySettings.read(config);
         EventLoop loop = new EventLoop("directory", Clock.system()).start();
         BoxDirectory directory = new BoxDirectory(loop, settings.listen(), settings.lagMs(), settings.beatMs());
-        System.out.println("listening on " + loop.call(() -> {
-            settings.boxes().forEach(directory::list);
-            return directory.start();
-        }));
+        System.out.println("listening on "
+                + loop.call(() -> {
+                    settings.boxes().forEach(directory::list);
+                    return directory.start();
+                }));
         Thread.currentThread().join();
         return Main.WELL;
     }
--- a/cli/src/main/java/calicovale/cli/FrontCommand.java
+++ b/cli/src/main/java/calicovale/cli/FrontCommand.java
@@ -13,7 +13,9 @@
 import picocli.CommandLine.Option;
 
 /** Owns {@code calicovale front}: one session manager until SIGTERM, which drains it. */
-@Command(name = "front", description = "Runs one session manager; SIGTERM drains and ends it.",
+@Command(
+        name = "front",
+        description = "Runs one session manager; SIGTERM drains and ends it.",
         mixinStandardHelpOptions = true)
 final class FrontCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "settings, a JSON file")
@@ -25,10 +27,12 @@
         FrontProcess process = new FrontProcess(settings, Clock.system(), new SecureRandom(), Tap.NONE);
         System.out.println("listening on " + process.address());
         CountDownLatch ended = new CountDownLatch(1);
-        Thread hook = new Thread(() -> {
-            process.drain();
-            ended.countDown();
-        }, "drain");
+        Thread hook = new Thread(
+                () -> {
+                    process.drain();
+                    ended.countDown();
+                },
+                "drain");
         Runtime.getRuntime().addShutdownHook(hook);
         ended.await();
         return Main.WELL;
--- a/cli/src/main/java/calicovale/cli/KeyCommand.java
+++ b/cli/src/main/java/calicovale/cli/KeyCommand.java
@@ -21,7 +21,10 @@
 import picocli.CommandLine.Spec;
 
 /** Owns {@code calicovale key}: the keys by which managers of a group know each other. */
-@Command(name = "key", description = "Makes, certifies and revokes the keys of a group's members.", mixinStandardHelpOptions = true)
+@Command(
+        name = "key",
+        description = "Makes, certifies and revokes the keys of a group's members.",
+        mixinStandardHelpOptions = true)
 final class KeyCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -33,7 +36,8 @@
 
     private static String name(CommandSpec spec, String member) {
         if (!member.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
-            throw new ParameterException(spec.commandLine(), "--member: letters, digits, dots, dashes, at most 64, are expected");
+            throw new ParameterException(
+                    spec.commandLine(), "--member: letters, digits, dots, dashes, at most 64, are expected");
         }
         return member;
     }
@@ -49,18 +53,29 @@
         return Long.toHexString(Ed25519.id(key));
     }
 
-    @Command(name = "new", description = "Makes a pair: the private key goes into the file, the public one is listed in the roster's "
-            + "folder or, without one, printed.", mixinStandardHelpOptions = true)
-    int make(@Option(names = "--member", required = true, description = "the member's id, or a name of the operators' key") String member,
+    @Command(
+            name = "new",
+            description = "Makes a pair: the private key goes into the file, the public one is listed in the roster's "
+                    + "folder or, without one, printed.",
+            mixinStandardHelpOptions = true)
+    int make(
+            @Option(
+                            names = "--member",
+                            required = true,
+                            description = "the member's id, or a name of the operators' key")
+                    String member,
             @Option(names = "--out", required = true, description = "a file that is not there yet") Path out,
-            @Option(names = "--roster", description = "the roster's folder, where keys count by themselves") Path roster)
+            @Option(names = "--roster", description = "the roster's folder, where keys count by themselves")
+                    Path roster)
             throws IOException, GeneralSecurityException, InvalidDocumentException {
         List<String> made = KeyDocuments.make(name(spec, member));
         if (roster != null && !Files.isDirectory(roster)) {
             throw new ParameterException(spec.commandLine(), "--roster: a folder is expected: " + roster);
         }
         try {
-            Files.writeString(Files.createFile(out, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"))),
+            Files.writeString(
+                    Files.createFile(
+                            out, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"))),
                     made.get(0) + "\n");
         } catch (FileAlreadyExistsException e) {
             throw new ParameterException(spec.commandLine(), "--out: a file that is not there yet is expected: " + out);
@@ -77,16 +92,25 @@
         try {
             return Ed25519.raw(Ed25519.publicKey(text));
         } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), "a public key as 'key new' prints it is expected, not " + text);
+            throw new ParameterException(
+                    spec.commandLine(), "a public key as 'key new' prints it is expected, not " + text);
         }
     }
 
-    @Command(name = "sign", description = "Certifies a member's key by the operators' key, into the roster's folder.",
+    @Command(
+            name = "sign",
+            description = "Certifies a member's key by the operators' key, into the roster's folder.",
             mixinStandardHelpOptions = true)
-    int sign(@Option(names = "--authority", required = true, description = "the operators' private key's file") Path authority,
+    int sign(
+            @Option(names = "--authority", required = true, description = "the operators' private key's file")
+                    Path authority,
             @Option(names = "--group", required = true, description = "the group's name") String group,
             @Option(names = "--member", required = true, description = "the member's id") String member,
-            @Option(names = "--days", defaultValue = "400", description = "for which it holds (default: ${DEFAULT-VALUE})") int days,
+            @Option(
+                            names = "--days",
+                            defaultValue = "400",
+                            description = "for which it holds (default: ${DEFAULT-VALUE})")
+                    int days,
             @Option(names = "--roster", required = true, description = "the roster's folder") Path roster,
             @Parameters(description = "the member's public key, as 'key new' prints it") String key)
             throws IOException, InvalidDocumentException {
@@ -96,19 +120,33 @@
         byte[] raw = publicKey(key);
         long now = System.currentTimeMillis();
         // members' clocks differ: one that is behind must take it from now on, too
-        place(roster.resolve(name(spec, member) + "-" + id(raw) + ".json"), KeyDocuments.certificate(KeyDocuments.pair(authority).privateKey(),
-                group, member, raw, now - TimeUnit.HOURS.toMillis(1), now + TimeUnit.DAYS.toMillis(days)));
+        place(
+                roster.resolve(name(spec, member) + "-" + id(raw) + ".json"),
+                KeyDocuments.certificate(
+                        KeyDocuments.pair(authority).privateKey(),
+                        group,
+                        member,
+                        raw,
+                        now - TimeUnit.HOURS.toMillis(1),
+                        now + TimeUnit.DAYS.toMillis(days)));
         return Main.WELL;
     }
 
-    @Command(name = "revoke", description = "Revokes a key in the roster's folder; what else lists or certifies it there counts no more.",
+    @Command(
+            name = "revoke",
+            description = "Revokes a key in the roster's folder; what else lists or certifies it there counts no more.",
             mixinStandardHelpOptions = true)
-    int revoke(@Option(names = "--authority", description = "the operators' private key's file, where there is one") Path authority,
+    int revoke(
+            @Option(names = "--authority", description = "the operators' private key's file, where there is one")
+                    Path authority,
             @Option(names = "--roster", required = true, description = "the roster's folder") Path roster,
-            @Parameters(description = "the public key") String key) throws IOException, InvalidDocumentException {
+            @Parameters(description = "the public key") String key)
+            throws IOException, InvalidDocumentException {
         byte[] raw = publicKey(key);
-        place(roster.resolve("revoked-" + id(raw) + ".json"),
-                KeyDocuments.revocation(authority == null ? null : KeyDocuments.pair(authority).privateKey(), raw));
+        place(
+                roster.resolve("revoked-" + id(raw) + ".json"),
+                KeyDocuments.revocation(
+                        authority == null ? null : KeyDocuments.pair(authority).privateKey(), raw));
         return Main.WELL;
     }
 }
--- a/cli/src/main/java/calicovale/cli/Main.java
+++ b/cli/src/main/java/calicovale/cli/Main.java
@@ -9,11 +9,23 @@
 import picocli.CommandLine.Spec;
 
 /** Owns the command line: {@code bin/calicovale}. */
-@Command(name = "calicovale", description = "A session front: places video sessions and shapes them.",
-        mixinStandardHelpOptions = true, version = "calicovale 0.2.0",
-        subcommands = {FrontCommand.class, ManagerCommand.class, BoxCommand.class, DirectoryCommand.class,
-            CheckCommand.class, RehearseCommand.class, BenchCommand.class, ChangeCommand.class, KeyCommand.class,
-            MembersCommand.class})
+@Command(
+        name = "calicovale",
+        description = "A session front: places video sessions and shapes them.",
+        mixinStandardHelpOptions = true,
+        version = "calicovale 0.2.0",
+        subcommands = {
+            FrontCommand.class,
+            ManagerCommand.class,
+            BoxCommand.class,
+            DirectoryCommand.class,
+            CheckCommand.class,
+            RehearseCommand.class,
+            BenchCommand.class,
+            ChangeCommand.class,
+            KeyCommand.class,
+            MembersCommand.class
+        })
 public final class Main implements Callable<Integer> {
     /** All is well. */
     public static final int WELL = 0;
--- a/cli/src/main/java/calicovale/cli/ManagerCommand.java
+++ b/cli/src/main/java/calicovale/cli/ManagerCommand.java
@@ -8,7 +8,9 @@
 import picocli.CommandLine.Option;
 
 /** Owns {@code calicovale manager}: one live session manager until SIGTERM, which drains it. */
-@Command(name = "manager", description = "Runs one live session manager; SIGHUP reads its configuration again, SIGTERM drains it.",
+@Command(
+        name = "manager",
+        description = "Runs one live session manager; SIGHUP reads its configuration again, SIGTERM drains it.",
         mixinStandardHelpOptions = true)
 final class ManagerCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "configuration, a JSON file")
--- a/cli/src/main/java/calicovale/cli/MembersCommand.java
+++ b/cli/src/main/java/calicovale/cli/MembersCommand.java
@@ -18,28 +18,40 @@
 import picocli.CommandLine.Spec;
 
 /** Owns {@code calicovale members}: a running manager's view of its group, and what the group says of boxes. */
-@Command(name = "members", description = "Prints a running manager's view of its group: members, claims on boxes, what it "
-        + "believes of them.", mixinStandardHelpOptions = true)
+@Command(
+        name = "members",
+        description = "Prints a running manager's view of its group: members, claims on boxes, what it "
+                + "believes of them.",
+        mixinStandardHelpOptions = true)
 final class MembersCommand implements Callable<Integer> {
     private static final Duration WAIT = Duration.ofSeconds(10);
 
     @Option(names = "--manager", required = true, description = "operators' address of the manager")
     private String manager;
+
     @Option(names = "--json", description = "the view as the manager gives it, counters included")
     private boolean json;
+
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         if (!manager.matches("127(\\.\\d{1,3}){3}:\\d{1,5}")) {
-            throw new ParameterException(spec.commandLine(), "--manager: a loopback address and port are expected, not " + manager);
+            throw new ParameterException(
+                    spec.commandLine(), "--manager: a loopback address and port are expected, not " + manager);
         }
         HttpResponse<String> answer;
         try {
-            answer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WAIT).build().send(
-                    HttpRequest.newBuilder(URI.create("http://" + manager + "/v1/members")).timeout(WAIT).build(),
-                    HttpResponse.BodyHandlers.ofString());
+            answer = HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(WAIT)
+                    .build()
+                    .send(
+                            HttpRequest.newBuilder(URI.create("http://" + manager + "/v1/members"))
+                                    .timeout(WAIT)
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofString());
         } catch (IOException e) {
             spec.commandLine().getErr().println(manager + ": " + e);
             return Main.BROKEN;
@@ -60,19 +72,51 @@
     }
 
     private static void print(JsonNode n, PrintWriter out) {
-        out.printf(Locale.ROOT, "group %s as %s sees it from %s: %d present, quorum %d, health %d%n", n.get("group").asText(),
-                n.get("member").asText(), n.get("address").asText(), n.get("present").asInt(), n.get("quorum").asInt(),
+        out.printf(
+                Locale.ROOT,
+                "group %s as %s sees it from %s: %d present, quorum %d, health %d%n",
+                n.get("group").asText(),
+                n.get("member").asText(),
+                n.get("address").asText(),
+                n.get("present").asInt(),
+                n.get("quorum").asInt(),
                 n.get("health").asInt());
-        out.printf(Locale.ROOT, "%-24s%-22s%-9s%10s%16s%7s%n", "member", "address", "state", "since s", "incarnation", "voice");
+        out.printf(
+                Locale.ROOT,
+                "%-24s%-22s%-9s%10s%16s%7s%n",
+                "member",
+                "address",
+                "state",
+                "since s",
+                "incarnation",
+                "voice");
         for (JsonNode m : n.get("members")) {
-            out.printf(Locale.ROOT, "%-24s%-22s%-9s%10.1f%16d%7.2f%n", m.get("id").asText(), m.get("address").asText(),
-                    m.get("state").asText(), m.get("sinceS").asDouble(), m.get("incarnation").asLong(), m.get("voice").asDouble());
+            out.printf(
+                    Locale.ROOT,
+                    "%-24s%-22s%-9s%10.1f%16d%7.2f%n",
+                    m.get("id").asText(),
+                    m.get("address").asText(),
+                    m.get("state").asText(),
+                    m.get("sinceS").asDouble(),
+                    m.get("incarnation").asLong(),
+                    m.get("voice").asDouble());
         }
         for (JsonNode c : n.get("claims")) {
-            out.printf(Locale.ROOT, "box %d: %s claims %s, strength %.2f, seen %.1f s ago%n", c.get("box").asLong(), c.get("by").asText(),
-                    c.get("kind").asText(), c.get("strength").asDouble(), c.get("seenS").asDouble());
+            out.printf(
+                    Locale.ROOT,
+                    "box %d: %s claims %s, strength %.2f, seen %.1f s ago%n",
+                    c.get("box").asLong(),
+                    c.get("by").asText(),
+                    c.get("kind").asText(),
+                    c.get("strength").asDouble(),
+                    c.get("seenS").asDouble());
         }
-        n.get("evidence").properties().forEach(e -> out.printf(Locale.ROOT, "box %s: believed, strength %.2f%n", e.getKey(),
-                e.getValue().asDouble()));
+        n.get("evidence")
+                .properties()
+                .forEach(e -> out.printf(
+                        Locale.ROOT,
+                        "box %s: believed, strength %.2f%n",
+                        e.getKey(),
+                        e.getValue().asDouble()));
     }
 }
--- a/cli/src/main/java/calicovale/cli/RehearseCommand.java
+++ b/cli/src/main/java/calicovale/cli/RehearseCommand.java
@@ -16,15 +16,20 @@
 import picocli.CommandLine.Spec;
 
 /** Owns {@code calicovale rehearse}: a scripted day through real sockets, judged by what crossed them. */
-@Command(name = "rehearse", description = "Runs a scripted day through real sockets and judges the six rules.",
+@Command(
+        name = "rehearse",
+        description = "Runs a scripted day through real sockets and judges the six rules.",
         mixinStandardHelpOptions = true)
 final class RehearseCommand implements Callable<Integer> {
     @Parameters(description = "the day file")
     private Path file;
+
     @Option(names = "--out", description = "folder for report.json and tape.jsonl")
     private Path out;
+
     @Option(names = "--seed", description = "another seed than the day's own")
     private Long seed;
+
     @Spec
     private CommandSpec spec;
 
@@ -37,7 +42,8 @@
         Path folder = out != null ? out : Files.createTempDirectory("calicovale-rehearsal");
         Files.createDirectories(folder);
         Report report;
-        // what managers keep is this run's alone: left behind by another it would tell of changes that this day does not have
+        // what managers keep is this run's alone: left behind by another it would tell of changes that this day does
+        // not have
         Path state = Files.createTempDirectory("calicovale-state");
         try (Rehearsal run = new Rehearsal(day, state)) {
             run.start();
@@ -47,7 +53,8 @@
             report = run.report();
             if (out != null) {
                 run.tape().write(folder.resolve("tape.jsonl"));
-                Files.writeString(folder.resolve("report.json"),
+                Files.writeString(
+                        folder.resolve("report.json"),
                         Documents.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(report.json()) + "\n");
             }
         }
--- a/controller/src/main/java/calicovale/ControllerApi.java
+++ b/controller/src/main/java/calicovale/ControllerApi.java
@@ -10,17 +10,28 @@
  */
 public final class ControllerApi {
 
-    private ControllerApi() {
-    }
+    private ControllerApi() {}
 
     /** What a set-up of a class may do twice: anything, anything within a group and time, or nothing. */
-    public enum Effect { PURE, TOKEN, SIDE_EFFECT }
+    public enum Effect {
+        PURE,
+        TOKEN,
+        SIDE_EFFECT
+    }
 
     /** Where a further attempt of a {@link Effect#TOKEN} class may go. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How load reports come: with outcomes and probe results, with probe results only, or not at all. */
-    public enum ReportMode { WITH_OUTCOMES, WITH_PROBES, NONE }
+    public enum ReportMode {
+        WITH_OUTCOMES,
+        WITH_PROBES,
+        NONE
+    }
 
     /**
      * One class of session.
@@ -37,17 +48,25 @@
      * @param live viewers of one title, server and rung share a stream
      * @param seats sessions of one title that one controller may hold; 0: no limit
      */
-    public record SessionClass(double worth, double aimMs, double deadlineMs, Effect effect, Group group,
-            double tokenMs, int lowestRung, int highestRung, double scale, boolean live, int seats) {
-    }
+    public record SessionClass(
+            double worth,
+            double aimMs,
+            double deadlineMs,
+            Effect effect,
+            Group group,
+            double tokenMs,
+            int lowestRung,
+            int highestRung,
+            double scale,
+            boolean live,
+            int seats) {}
 
     /**
      * One tenant.
      *
      * @param quotaPerSecond sessions a second inside its share, over all controllers; 0: no limit
      */
-    public record Tenant(double quotaPerSecond) {
-    }
+    public record Tenant(double quotaPerSecond) {}
 
     /**
      * What the deployment allows.
@@ -58,8 +77,7 @@
      * @param messages messages to peers are permitted
      * @param cancel calling off an attempt is permitted
      */
-    public record Limits(int attempts, double retryAfterMs, boolean probes, boolean messages, boolean cancel) {
-    }
+    public record Limits(int attempts, double retryAfterMs, boolean probes, boolean messages, boolean cancel) {}
 
     /**
      * The figures of the rules.
@@ -74,10 +92,16 @@
      * @param extraWindowMs the time over which both are counted
      * @param askEveryMs where the list must be asked for: how old a list may grow
      */
-    public record Rules(double coldFrom, double warmAfterMs, double tipMultiple, double tipMs,
-            double drainGraceMs, double extraFree, double extraRatio, double extraWindowMs,
-            double askEveryMs) {
-    }
+    public record Rules(
+            double coldFrom,
+            double warmAfterMs,
+            double tipMultiple,
+            double tipMs,
+            double drainGraceMs,
+            double extraFree,
+            double extraRatio,
+            double extraWindowMs,
+            double askEveryMs) {}
 
     /**
      * The ladder and the links.
@@ -96,10 +120,20 @@
      * @param noteDelayMs how late notes on playing sessions are
      * @param noteEveryMs time between notes of the link's use; 0: none
      */
-    public record Media(List<Double> rungKb, List<Double> rungWorth, int cells, int racks,
-            double linkKbPerWeight, double uplinkKb, List<Double> kindStreams, double join, double fullFrom,
-            double missingCost, double changeCostS, double noteDelayMs, double noteEveryMs) {
-    }
+    public record Media(
+            List<Double> rungKb,
+            List<Double> rungWorth,
+            int cells,
+            int racks,
+            double linkKbPerWeight,
+            double uplinkKb,
+            List<Double> kindStreams,
+            double join,
+            double fullFrom,
+            double missingCost,
+            double changeCostS,
+            double noteDelayMs,
+            double noteEveryMs) {}
 
     /**
      * What a controller is told at its start.
@@ -120,14 +154,29 @@
      * @param zoneCost price of serving every session across zones
      * @param probeCost price of one probe a session
      */
-    public record Settings(int self, int controllers, int zone, List<SessionClass> classes,
-            List<Tenant> tenants, double overShareWorth, Limits limits, Rules rules, Media media,
-            ReportMode reports, boolean askForList, double worstClassWeight, double moveCost, double zoneCost,
-            double probeCost) {
-    }
+    public record Settings(
+            int self,
+            int controllers,
+            int zone,
+            List<SessionClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            Limits limits,
+            Rules rules,
+            Media media,
+            ReportMode reports,
+            boolean askForList,
+            double worstClassWeight,
+            double moveCost,
+            double zoneCost,
+            double probeCost) {}
 
     /** The state of a server in the list. */
-    public enum ServerState { READY, DRAINING, GONE }
+    public enum ServerState {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /**
      * One entry of the list of servers.
@@ -135,17 +184,27 @@
      * @param startedMs when its process last started; 0: long ago
      * @param weight its size beside that of other servers
      */
-    public record ServerEntry(long server, ServerState state, int kind, int zone, int cell, double startedMs,
-            double weight) {
-    }
+    public record ServerEntry(
+            long server, ServerState state, int kind, int zone, int cell, double startedMs, double weight) {}
 
     /** How complete a list is: changes only, complete, as last held before a start, or not to be had. */
-    public enum ListScope { CHANGES, COMPLETE, SAVED, FAILED }
+    public enum ListScope {
+        CHANGES,
+        COMPLETE,
+        SAVED,
+        FAILED
+    }
 
     /** How an attempt ended. {@link #provesUnrun()} tells which prove that it never ran. */
     public enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), MOOT(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        MOOT(true);
 
         private final boolean unrun;
 
@@ -160,11 +219,15 @@
     }
 
     /** What a {@link Note} tells. */
-    public enum NoteKind { DELIVERED_SHARE, RUNG, LINK_USE, UPLINK_USE }
+    public enum NoteKind {
+        DELIVERED_SHARE,
+        RUNG,
+        LINK_USE,
+        UPLINK_USE
+    }
 
     /** Something that happened. */
-    public sealed interface Event {
-    }
+    public sealed interface Event {}
 
     /**
      * A viewer wants a session.
@@ -178,59 +241,67 @@
      * @param moved this controller moved it
      * @param returning the viewer comes again
      */
-    public record Request(String id, int sessionClass, int tenant, String viewer, String title,
-            double giveUpMs, double lengthMs, int homeCell, int span, int top, boolean retry, boolean moved,
-            boolean returning) implements Event {
-    }
+    public record Request(
+            String id,
+            int sessionClass,
+            int tenant,
+            String viewer,
+            String title,
+            double giveUpMs,
+            double lengthMs,
+            int homeCell,
+            int span,
+            int top,
+            boolean retry,
+            boolean moved,
+            boolean returning)
+            implements Event {}
 
     /** A session handed over while it plays; its attempt is number 0. */
-    public record Takeover(Request request, long server) implements Event {
-    }
+    public record Takeover(Request request, long server) implements Event {}
 
     /** An attempt came to play. */
-    public record Started(String id, int attempt, long server, double elapsedMs) implements Event {
-    }
+    public record Started(String id, int attempt, long server, double elapsedMs) implements Event {}
 
     /**
      * An attempt ended; {@code closed}: the request is over. {@code load} holds the server's report by
      * name ({@code inflight}, {@code util}, {@code x0}, {@code x1}, ...); empty without one.
      */
-    public record AttemptEnded(String id, int attempt, long server, Outcome outcome, double elapsedMs,
-            boolean closed, Map<String, Double> load) implements Event {
-    }
+    public record AttemptEnded(
+            String id,
+            int attempt,
+            long server,
+            Outcome outcome,
+            double elapsedMs,
+            boolean closed,
+            Map<String, Double> load)
+            implements Event {}
 
     /** News on a session that plays. */
-    public record Note(String id, int attempt, long server, NoteKind kind, double value) implements Event {
-    }
+    public record Note(String id, int attempt, long server, NoteKind kind, double value) implements Event {}
 
     /** The viewer has left, or the answer is overdue; nothing more is owed. */
-    public record Departed(String id) implements Event {
-    }
+    public record Departed(String id) implements Event {}
 
     /** News of the list of servers. */
-    public record ServerList(ListScope scope, long version, List<ServerEntry> servers) implements Event {
-    }
+    public record ServerList(ListScope scope, long version, List<ServerEntry> servers) implements Event {}
 
     /** The result of a probe. */
     public record ProbeEnded(long server, Outcome outcome, double elapsedMs, Map<String, Double> load)
-            implements Event {
-    }
+            implements Event {}
 
     /** A message from a peer. */
-    public record PeerMessage(int peer, byte[] body) implements Event {
-    }
+    public record PeerMessage(int peer, byte[] body) implements Event {}
 
     /**
      * Other controllers claim trouble at a server, where an installation lets them talk.
      *
      * @param strength of all their claims together, from 0, none, to 1; it holds until it is told anew
      */
-    public record Suspected(long server, double strength) implements Event {
-    }
+    public record Suspected(long server, double strength) implements Event {}
 
     /** A timer fell due. */
-    public record TimerFired(String name) implements Event {
-    }
+    public record TimerFired(String name) implements Event {}
 
     /** What the controller may do; the host carries the calls out in their order. */
     public interface Actions {
--- a/controller/src/main/java/calicovale/SessionController.java
+++ b/controller/src/main/java/calicovale/SessionController.java
@@ -11,55 +11,54 @@
  */
 public final class SessionController {
     // Constants: each with its unit (parts and counts have none) and its reason.
-    private static final double
-        NEVER = Double.NEGATIVE_INFINITY, // clock time before all others
-        TIE = 0.02, // part by which shares may differ and still tie: readings are rougher than that
-        MARK = 0.92, // part of a link or uplink that set-ups may fill; true rates swing about the ladder
-        DOUBT = 0.3, // by which the mark is lower at an unheard server: links spread so about their average
-        EASE = 0.88, // part to which it is then brought: newcomers come before the next note, and floors hold
-        SHED = 1.02, // part asked above which playing sessions are lowered: really short, not nearly
-        RAISE = 0.74, // part asked up to which they are raised: well under MARK, or it would be undone
-        CALM_MS = 6000, // ms that room must have lasted before a raise: two rounds of notes
-        RAISE_PACE = 0.03, // raises per session and second: in all under 3 steps a session-minute
-        TICK_MS = 250, // ms between looks at all links: shorter than a note's lateness
-        NOTE_GAIN = 0.7, // weight of a new note: notes carry noise of several per cent
-        REPORT_GAIN = 0.4, // weight of an outcome's report: later and noisier than a note
-        REPORT_LATE_MS = 500, // ms by which such a report is late, about: stated nowhere
-        PRIOR_USE = 0.6, // part asked of a link while nothing at all has been heard
-        PRIOR_WEIGHT = 1, // its weight in mean links: matters only when next to nothing is heard
-        LEAST_TRUST = 0.001, // say of a reading under which it is dropped from the average: nothing by then
-        FADE_MS = 4000, // ms in which a reading older than two notes loses two thirds of its say
-        MOST_USE = 3, // highest part asked that is believed: above it a link is hopeless anyway
-        WHOLE_SHARE = 0.98, // share delivered that counts as whole (the wire's own figure)
-        SHORT_FRESH_MS = 2200, // ms for which a note of short delivery holds: they come once a second
-        BIAS_FALL = 0.01, // fall a second of a rack's correction while nothing short is heard
-        BIAS_FAST = 10, // how much faster it falls above BIAS_USUAL: trouble ends, differences stay
-        BIAS_USUAL = 1.3, // correction that an uplink may have for good: racks differ by a third
-        BIAS_LEAST = 0.5, // least correction of a rack
-        BIAS_MOST = 8, // most: troubles divide uplinks by up to eight
-        UNTESTED = 0.85, // part asked of an uplink above which whole delivery shows that it carries more
-        REACT_MS = 400, // ms for all managers' lowerings to show, beside a note's lateness
-        LOST_MS = 8000, // ms for which a lost attempt counts as load: a hung server must not look empty
-        SUSPEND_MS = 2500, // ms of the first suspension after a failed set-up; doubles with each,
-        SUSPEND_DOUBLINGS = 3, // so often at most: trouble lasts seconds
-        ALL_BAD = 0.6, // part of the servers suspended at which suspensions are void: the fault is elsewhere
-        COLD_MARGIN = 0.9, // part of a cold server's permitted pace that all managers together use
-        BLIND_MS = 4000, // ms after a start without hand-over in which any server may be cold unknown to us
-        AIM_PART = 0.45, // first time-outs as a part of the class's aim: two attempts fit in it
-        LEAST_TIMEOUT_MS = 250, // ms; shortest time-out of an attempt
-        TIMEOUT_DEVIATIONS = 8, // time-out over the usual set-up time, in its mean deviations
-        LEAST_LEFT_MS = 100, // ms left to the viewer under which no attempt is worth sending
-        RETRY_MS = 400, // ms; shortest retry-after, about a departure at a busy server; spread to twice
-        RACK_SHORT = 0.6, // part of a rack's used servers that is short when its uplink is
-        DEAD_SHARE = 0.2, // share delivered under which a server plays nothing, unless its link explains it
-        LIFE_S = 35, // s that a session lasts, before any has ended here
-        MOST_RIGHT = 1.5, // most by which notes correct a link against its weight: a third is usual
-        LAG = 0.1, // part served behind the whole at which the worst class weighs fully
-        TRIAL_MS = 4000, // ms between all managers' trials at a fully suspected server: trouble lasts seconds
-        FORGET_MS = 60_000, // ms after which a server that is gone is forgotten: no list runs so far behind
-        LATE_MS = 500, // ms by which a request is heard and an attempt arrives late: a connect takes 250
-        ASK_AGAIN_MS = 1500, // ms between calls for the list after a failed one
-        TENANT_S = 5; // s over which a tenant's rate is averaged
+    private static final double NEVER = Double.NEGATIVE_INFINITY, // clock time before all others
+            TIE = 0.02, // part by which shares may differ and still tie: readings are rougher than that
+            MARK = 0.92, // part of a link or uplink that set-ups may fill; true rates swing about the ladder
+            DOUBT = 0.3, // by which the mark is lower at an unheard server: links spread so about their average
+            EASE = 0.88, // part to which it is then brought: newcomers come before the next note, and floors hold
+            SHED = 1.02, // part asked above which playing sessions are lowered: really short, not nearly
+            RAISE = 0.74, // part asked up to which they are raised: well under MARK, or it would be undone
+            CALM_MS = 6000, // ms that room must have lasted before a raise: two rounds of notes
+            RAISE_PACE = 0.03, // raises per session and second: in all under 3 steps a session-minute
+            TICK_MS = 250, // ms between looks at all links: shorter than a note's lateness
+            NOTE_GAIN = 0.7, // weight of a new note: notes carry noise of several per cent
+            REPORT_GAIN = 0.4, // weight of an outcome's report: later and noisier than a note
+            REPORT_LATE_MS = 500, // ms by which such a report is late, about: stated nowhere
+            PRIOR_USE = 0.6, // part asked of a link while nothing at all has been heard
+            PRIOR_WEIGHT = 1, // its weight in mean links: matters only when next to nothing is heard
+            LEAST_TRUST = 0.001, // say of a reading under which it is dropped from the average: nothing by then
+            FADE_MS = 4000, // ms in which a reading older than two notes loses two thirds of its say
+            MOST_USE = 3, // highest part asked that is believed: above it a link is hopeless anyway
+            WHOLE_SHARE = 0.98, // share delivered that counts as whole (the wire's own figure)
+            SHORT_FRESH_MS = 2200, // ms for which a note of short delivery holds: they come once a second
+            BIAS_FALL = 0.01, // fall a second of a rack's correction while nothing short is heard
+            BIAS_FAST = 10, // how much faster it falls above BIAS_USUAL: trouble ends, differences stay
+            BIAS_USUAL = 1.3, // correction that an uplink may have for good: racks differ by a third
+            BIAS_LEAST = 0.5, // least correction of a rack
+            BIAS_MOST = 8, // most: troubles divide uplinks by up to eight
+            UNTESTED = 0.85, // part asked of an uplink above which whole delivery shows that it carries more
+            REACT_MS = 400, // ms for all managers' lowerings to show, beside a note's lateness
+            LOST_MS = 8000, // ms for which a lost attempt counts as load: a hung server must not look empty
+            SUSPEND_MS = 2500, // ms of the first suspension after a failed set-up; doubles with each,
+            SUSPEND_DOUBLINGS = 3, // so often at most: trouble lasts seconds
+            ALL_BAD = 0.6, // part of the servers suspended at which suspensions are void: the fault is elsewhere
+            COLD_MARGIN = 0.9, // part of a cold server's permitted pace that all managers together use
+            BLIND_MS = 4000, // ms after a start without hand-over in which any server may be cold unknown to us
+            AIM_PART = 0.45, // first time-outs as a part of the class's aim: two attempts fit in it
+            LEAST_TIMEOUT_MS = 250, // ms; shortest time-out of an attempt
+            TIMEOUT_DEVIATIONS = 8, // time-out over the usual set-up time, in its mean deviations
+            LEAST_LEFT_MS = 100, // ms left to the viewer under which no attempt is worth sending
+            RETRY_MS = 400, // ms; shortest retry-after, about a departure at a busy server; spread to twice
+            RACK_SHORT = 0.6, // part of a rack's used servers that is short when its uplink is
+            DEAD_SHARE = 0.2, // share delivered under which a server plays nothing, unless its link explains it
+            LIFE_S = 35, // s that a session lasts, before any has ended here
+            MOST_RIGHT = 1.5, // most by which notes correct a link against its weight: a third is usual
+            LAG = 0.1, // part served behind the whole at which the worst class weighs fully
+            TRIAL_MS = 4000, // ms between all managers' trials at a fully suspected server: trouble lasts seconds
+            FORGET_MS = 60_000, // ms after which a server that is gone is forgotten: no list runs so far behind
+            LATE_MS = 500, // ms by which a request is heard and an attempt arrives late: a connect takes 250
+            ASK_AGAIN_MS = 1500, // ms between calls for the list after a failed one
+            TENANT_S = 5; // s over which a tenant's rate is averaged
 
     private final Settings cfg;
     private final Media media;
@@ -82,8 +81,7 @@
 
     /** Starts a controller; {@code seed} feeds its only random source. */
     public SessionController(Settings settings, long seed, double nowMs, Actions actions) {
-        if (settings == null || actions == null)
-            throw new IllegalArgumentException("settings and actions are needed");
+        if (settings == null || actions == null) throw new IllegalArgumentException("settings and actions are needed");
         cfg = settings;
         media = settings.media();
         out = actions;
@@ -96,11 +94,16 @@
         kb = new double[cfg.classes().size()][rungs];
         density = new double[cfg.classes().size()][rungs];
         for (int c = 0; c < kb.length; c++) {
-            for (int r = 0; r < rungs; r++) kb[c][r] = media.rungKb().get(r) * cfg.classes().get(c).scale();
+            for (int r = 0; r < rungs; r++)
+                kb[c][r] = media.rungKb().get(r) * cfg.classes().get(c).scale();
             for (int r = 0; r < rungs; r++) density[c][r] = slope(c, r);
         }
-        meanWorth = cfg.classes().stream().mapToDouble(SessionClass::worth).average().orElse(1);
-        OptionalDouble streams = media.kindStreams().stream().mapToDouble(kind -> kind).average();
+        meanWorth = cfg.classes().stream()
+                .mapToDouble(SessionClass::worth)
+                .average()
+                .orElse(1);
+        OptionalDouble streams =
+                media.kindStreams().stream().mapToDouble(kind -> kind).average();
         cap = streams.isPresent() ? streams.getAsDouble() * meanWorth : Double.MAX_VALUE;
         earned = new double[kb.length];
         offered = new double[kb.length];
@@ -119,7 +122,8 @@
         for (int low = -1; low < r; low++) {
             double steepest = 0;
             for (int high = r; high < kb[c].length; high++) {
-                double worth = media.rungWorth().get(high) - (low < 0 ? 0 : media.rungWorth().get(low));
+                double worth = media.rungWorth().get(high)
+                        - (low < 0 ? 0 : media.rungWorth().get(low));
                 double rate = kb[c][high] - (low < 0 ? 0 : kb[c][low]);
                 steepest = Math.max(steepest, worth / rate);
             }
@@ -159,8 +163,7 @@
     private void check(Request e) {
         if (e.sessionClass() >= cfg.classes().size())
             throw new IllegalArgumentException("class " + e.sessionClass() + " is not in the settings");
-        if (sessions.containsKey(e.id()))
-            throw new IllegalArgumentException("request " + e.id() + " is known already");
+        if (sessions.containsKey(e.id())) throw new IllegalArgumentException("request " + e.id() + " is known already");
     }
 
     /** Sends the session to a server, or answers it at once. */
@@ -210,7 +213,8 @@
     private void answer(Session s) {
         sessions.remove(s.request.id());
         if (s.doubted != null) judge(s.doubted, Outcome.ERROR);
-        boolean harmless = !s.mayHaveRun || s.k.effect() == Effect.PURE
+        boolean harmless = !s.mayHaveRun
+                || s.k.effect() == Effect.PURE
                 || s.k.effect() == Effect.TOKEN && s.k.group() == Group.ALL;
         double after = RETRY_MS * (1 + random.nextDouble());
         if (harmless) out.refuse(s.request.id(), Math.min(cfg.limits().retryAfterMs(), after));
@@ -292,7 +296,10 @@
         int want = wanted(s);
         double tied = 0;
         double used = holders.stream().mapToDouble(this::tightness).average().orElse(1);
-        double mean = holders.stream().mapToDouble(h -> load(h, s) / capacity(h)).average().orElse(1);
+        double mean = holders.stream()
+                .mapToDouble(h -> load(h, s) / capacity(h))
+                .average()
+                .orElse(1);
         Server best = null;
         double bestShare = 0;
         boolean suspected = holders.stream().anyMatch(h -> !tried(h));
@@ -364,7 +371,8 @@
         double warm = cfg.rules().warmAfterMs();
         boolean cold = now - h.coldSince < warm;
         if (!cold && (handedOver || now - startedAt >= BLIND_MS)) return true;
-        double streams = h.kind < media.kindStreams().size() ? media.kindStreams().get(h.kind) : 1;
+        double streams =
+                h.kind < media.kindStreams().size() ? media.kindStreams().get(h.kind) : 1;
         double perMs = COLD_MARGIN * cfg.rules().tipMultiple() * cfg.rules().coldFrom() * streams / warm;
         double turn = 1 / perMs;
         double round = turn * Math.max(1, cfg.controllers());
@@ -382,8 +390,7 @@
         // Unheard servers are taken for level, newcomer included: with counts in proportion to links all
         // managers would send to the one with the largest link.
         double level = capacity(h) * (averageUse() * meanLink / meanKb() * meanWorth + s.k.worth());
-        double peers = trust * known * meanWorth
-                + (1 - trust) * Math.max(0, level - h.ownWeight - s.k.worth());
+        double peers = trust * known * meanWorth + (1 - trust) * Math.max(0, level - h.ownWeight - s.k.worth());
         return h.ownWeight + peers + h.lost.size() * meanWorth + s.k.worth();
     }
 
@@ -392,7 +399,9 @@
     }
 
     /** C_h: the link over the mean link. */
-    private double capacity(Server h) { return h.link / meanLink; }
+    private double capacity(Server h) {
+        return h.link / meanLink;
+    }
 
     /** The rung that the present price leaves the viewer: the top one while room is not scarce. */
     private int wanted(Session s) {
@@ -430,7 +439,9 @@
     // --- Estimates of links and uplinks ---
 
     /** Part of the link asked: own sessions, and what peers ask as last seen. */
-    private double use(Server h) { return (h.ownKb + peerKb(h)) / h.link; }
+    private double use(Server h) {
+        return (h.ownKb + peerKb(h)) / h.link;
+    }
 
     /** Peers' demand. Readings fade to the average, or a server read as full would never be tried again. */
     private double peerKb(Server h) {
@@ -449,7 +460,7 @@
         if (averagedAt == now) return average;
         averagedAt = now;
         double asked = 0, heard = 0;
-        for (Iterator<Server> known = heardOf.iterator(); known.hasNext();) {
+        for (Iterator<Server> known = heardOf.iterator(); known.hasNext(); ) {
             Server h = known.next();
             // what peers suspect is broken, not full: it says nothing of links that are not heard of
             double trust = h.ready && h.suspected <= 0 ? trust(h.heardAt) : 0;
@@ -473,8 +484,7 @@
     private void report(Server h, Map<String, Double> load) {
         Double use = load.containsKey("x0") ? load.get("x0") : load.get("util");
         if (use != null) heard(h, use, REPORT_LATE_MS, REPORT_GAIN, !load.containsKey("x0") && use >= 0.995);
-        if (load.containsKey("inflight"))
-            h.peerStreams = Math.max(0, load.get("inflight") - h.sessions.size());
+        if (load.containsKey("inflight")) h.peerStreams = Math.max(0, load.get("inflight") - h.sessions.size());
         if (load.containsKey("x1")) heardUplink(h.rack, load.get("x1"), REPORT_LATE_MS, REPORT_GAIN);
     }
 
@@ -553,7 +563,9 @@
         }
     }
 
-    private boolean told(double at) { return now - at <= 2 * media.noteEveryMs(); }
+    private boolean told(double at) {
+        return now - at <= 2 * media.noteEveryMs();
+    }
 
     /** Something showed that at least this part of the link is asked. */
     private void atLeast(Server h, double use) {
@@ -710,8 +722,11 @@
     private void raise() {
         List<Session> low = new ArrayList<>();
         for (Session s : sessions.values()) {
-            double last = !s.playing ? now : Math.max(Math.max(s.changedAt, s.startedAt),
-                    Math.max(s.server.relievedAt, s.server.rack.relievedAt));
+            double last = !s.playing
+                    ? now
+                    : Math.max(
+                            Math.max(s.changedAt, s.startedAt),
+                            Math.max(s.server.relievedAt, s.server.rack.relievedAt));
             if (now - last > CALM_MS && s.rung < wanted(s)) low.add(s);
         }
         low.sort(Comparator.comparingDouble(s -> -density[s.c][s.rung + 1] * s.discount()));
@@ -741,7 +756,9 @@
 
     // --- Health ---
 
-    private boolean healthy(Server h) { return now >= h.suspendedUntil && (h.strikes == 0 || h.out == 0); }
+    private boolean healthy(Server h) {
+        return now >= h.suspendedUntil && (h.strikes == 0 || h.out == 0);
+    }
 
     private boolean manyBad() {
         long all = servers.values().stream().filter(h -> h.ready).count();
@@ -764,7 +781,7 @@
                 if (media.fullFrom() <= 0) h.suspendedUntil = Math.max(h.suspendedUntil, now + SUSPEND_MS);
                 else atLeast(h, media.fullFrom());
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -817,16 +834,23 @@
             h.link = Math.max(1, media.linkKbPerWeight() * (entry.weight() > 0 ? entry.weight() : 1));
             rackOf(h, media.racks() > 0 ? entry.cell() % media.racks() : 0);
         }
-        if (e.scope() != ListScope.CHANGES)
-            for (Server h : servers.values()) h.ready &= named.contains(h.id);
+        if (e.scope() != ListScope.CHANGES) for (Server h : servers.values()) h.ready &= named.contains(h.id);
         forgetGone();
-        links = servers.values().stream().filter(h -> h.ready).mapToDouble(h -> h.link).sum();
-        meanLink = Math.max(1, links / Math.max(1, servers.values().stream().filter(h -> h.ready).count()));
+        links = servers.values().stream()
+                .filter(h -> h.ready)
+                .mapToDouble(h -> h.link)
+                .sum();
+        meanLink = Math.max(
+                1,
+                links
+                        / Math.max(
+                                1,
+                                servers.values().stream().filter(h -> h.ready).count()));
     }
 
     /** Against fleets whose servers are replaced all day under new names: they would be held for good. */
     private void forgetGone() {
-        for (Iterator<Server> all = servers.values().iterator(); all.hasNext();) {
+        for (Iterator<Server> all = servers.values().iterator(); all.hasNext(); ) {
             Server h = all.next();
             if (h.ready || !h.listed || !h.sessions.isEmpty()) h.unusedSince = now;
             if (now - h.unusedSince < FORGET_MS) continue;
@@ -837,7 +861,9 @@
     }
 
     /** How many servers are held, for the host's counts. */
-    public int serversHeld() { return servers.size(); }
+    public int serversHeld() {
+        return servers.size();
+    }
 
     private Server server(long id) {
         Server h = servers.get(id);
@@ -932,16 +958,26 @@
         }
 
         /** What a second of it is worth beside the class's worth. */
-        double discount() { return tenantWorth(request.tenant()) * boost[c]; }
+        double discount() {
+            return tenantWorth(request.tenant()) * boost[c];
+        }
 
-        int top() { return Math.min(request.top(), Math.min(k.highestRung(), kb[c].length - 1)); }
+        int top() {
+            return Math.min(request.top(), Math.min(k.highestRung(), kb[c].length - 1));
+        }
 
         /** Worth per kB of the step that it stands on. */
-        double step() { return density[c][rung] * discount(); }
+        double step() {
+            return density[c][rung] * discount();
+        }
 
-        String seatKey() { return c + " " + request.title(); }
+        String seatKey() {
+            return c + " " + request.title();
+        }
 
-        String streamKey(int at) { return at + " " + c + " " + request.title(); }
+        String streamKey(int at) {
+            return at + " " + c + " " + request.title();
+        }
     }
 
     /** One server as seen from here. */
@@ -958,7 +994,9 @@
         double struckAt = NEVER, suspendedUntil = NEVER, suspected;
         double coldSince = NEVER, lastSent = NEVER, relievedAt = NEVER, toldAt = NEVER, unusedSince;
 
-        Server(long id) { this.id = id; }
+        Server(long id) {
+            this.id = id;
+        }
 
         void remember(double at, double change) {
             changes.addLast(new double[] {at, change});
@@ -981,7 +1019,9 @@
         double heardAt, toldAt = NEVER, relievedAt = NEVER, sum;
         long sumOf = -1;
 
-        Rack(double uplinkKb) { this.uplinkKb = uplinkKb; }
+        Rack(double uplinkKb) {
+            this.uplinkKb = uplinkKb;
+        }
 
         /** All demand on the uplink; kept until something changes, since each request asks for each rack. */
         double asked(double at) {
@@ -993,10 +1033,16 @@
             return sum = asked;
         }
 
-        boolean used() { return servers.stream().anyMatch(h -> !h.sessions.isEmpty()); }
+        boolean used() {
+            return servers.stream().anyMatch(h -> !h.sessions.isEmpty());
+        }
 
-        List<Session> sessions() { return servers.stream().flatMap(h -> h.sessions.stream()).toList(); }
+        List<Session> sessions() {
+            return servers.stream().flatMap(h -> h.sessions.stream()).toList();
+        }
 
-        double part(double kbs) { return uplinkKb <= 0 ? 0 : bias * kbs / uplinkKb; }
+        double part(double kbs) {
+            return uplinkKb <= 0 ? 0 : bias * kbs / uplinkKb;
+        }
     }
 }
--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -1,14 +1,14 @@
 package calicovale.front;
 
 import calicovale.front.directory.DirectoryLink;
-import calicovale.host.Counters;
 import calicovale.front.ledger.LedgerDesk;
 import calicovale.front.operators.ChangeDesk;
 import calicovale.front.peers.PeerNews;
 import calicovale.front.player.SessionManager;
 import calicovale.front.settings.FrontSettings;
-import calicovale.host.Backoff;
 import calicovale.front.time.CommonClock;
+import calicovale.host.Backoff;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.HttpClient;
 import calicovale.protocols.http.HttpLimits;
@@ -52,17 +52,28 @@
      *
      * @throws InvalidDocumentException if a file that the settings name can't be used
      */
-    public FrontProcess(FrontSettings settings, Clock clock, RandomGenerator random, Tap tap) throws InvalidDocumentException {
+    public FrontProcess(FrontSettings settings, Clock clock, RandomGenerator random, Tap tap)
+            throws InvalidDocumentException {
         this.settings = settings;
         String name = "manager:" + settings.controller().self();
         loop = new EventLoop(name, clock, settings.loop(), tap);
-        String incarnation = Long.toString((long) clock.millis(), 36) + Integer.toString(random.nextInt(36 * 36 * 36), 36);
+        String incarnation =
+                Long.toString((long) clock.millis(), 36) + Integer.toString(random.nextInt(36 * 36 * 36), 36);
         common = new CommonClock(clock.nanos() / 1e6, clock.millis());
         HttpLimits limits = settings.http();
         // players send no bodies
-        HttpLimits players = new HttpLimits(limits.lineBytes(), limits.headerCount(), limits.headerBytes(), 0,
-                limits.pipelinedBytes(), limits.headMs(), limits.bodyMs(), limits.idleMs(), limits.connections());
-        HttpClient client = new HttpClient(loop, limits, settings.bounds().perBox(), settings.times().connect());
+        HttpLimits players = new HttpLimits(
+                limits.lineBytes(),
+                limits.headerCount(),
+                limits.headerBytes(),
+                0,
+                limits.pipelinedBytes(),
+                limits.headMs(),
+                limits.bodyMs(),
+                limits.idleMs(),
+                limits.connections());
+        HttpClient client = new HttpClient(
+                loop, limits, settings.bounds().perBox(), settings.times().connect());
         book = new ChangeBook(settings.bounds().changes(), settings.bounds().shown());
         ledger = ledger();
         manager = new SessionManager(loop, settings, common, random, client, book, ledger, counters, incarnation);
@@ -96,9 +107,16 @@
             }
             return counts;
         });
-        DirectoryLink directory = new DirectoryLink(loop, client, settings.directory(), settings.savedList(),
-                settings.bounds().boxes(), settings.times(),
-                new Backoff(settings.times().backoff(), settings.times().backoffMost(), random), common, counters,
+        DirectoryLink directory = new DirectoryLink(
+                loop,
+                client,
+                settings.directory(),
+                settings.savedList(),
+                settings.bounds().boxes(),
+                settings.times(),
+                new Backoff(settings.times().backoff(), settings.times().backoffMost(), random),
+                common,
+                counters,
                 manager::onList);
         HttpServer desk = operators(limits);
         loop.execute(() -> directory.start(() -> listen(desk)));
@@ -107,9 +125,13 @@
 
     private LedgerDesk ledger() {
         try {
-            return new LedgerDesk(loop, settings.sessionsFolder(),
+            return new LedgerDesk(
+                    loop,
+                    settings.sessionsFolder(),
                     () -> book.changes().stream().map(Change::id).collect(Collectors.toUnmodifiableSet()),
-                    () -> common.at(loop.clock().nanos() / 1e6), settings.times().alive(), counters);
+                    () -> common.at(loop.clock().nanos() / 1e6),
+                    settings.times().alive(),
+                    counters);
         } catch (IOException e) {
             loop.close();
             throw new UncheckedIOException("the sessions' ledger can't be used: " + e.getMessage(), e);
@@ -121,7 +143,13 @@
             return null;
         }
         try {
-            desk = new ChangeDesk(loop, book, manager.host()::nowMs, settings, manager::changesChanged, manager::changeTally,
+            desk = new ChangeDesk(
+                    loop,
+                    book,
+                    manager.host()::nowMs,
+                    settings,
+                    manager::changesChanged,
+                    manager::changeTally,
                     counters);
             return new HttpServer(loop, "operators", limits, this::operator);
         } catch (IOException e) {
@@ -149,7 +177,10 @@
                 operatorsAt = desk.listen(settings.operators());
             }
             InetSocketAddress address = server.listen(settings.listen());
-            LOG.info("manager {} listens on {}, common clock {}", settings.controller().self(), address,
+            LOG.info(
+                    "manager {} listens on {}, common clock {}",
+                    settings.controller().self(),
+                    address,
                     common.synced() ? "read" : "not read");
             listening.complete(address);
         } catch (IOException e) {
--- a/front/src/main/java/calicovale/front/box/BoxLink.java
+++ b/front/src/main/java/calicovale/front/box/BoxLink.java
@@ -1,9 +1,9 @@
 package calicovale.front.box;
 
-import calicovale.host.Counters;
 import calicovale.front.settings.FrontSettings.Times;
 import calicovale.front.stream.HeldStream;
 import calicovale.host.Backoff;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Headers;
 import calicovale.protocols.http.HttpClient;
 import calicovale.protocols.http.HttpClient.Failure;
@@ -32,6 +32,7 @@
     private static final byte[] NONE = new byte[0];
     /** Most bytes of one event of a box. */
     private static final int EVENT_BYTES = 1 << 20;
+
     private static final double MESSAGE_MS = 2000;
 
     /** Hears of the box, on the loop. */
@@ -77,16 +78,33 @@
     private double brokenAt = -1;
 
     /** {@code manager} names this manager's process to the box. */
-    public BoxLink(long id, InetSocketAddress address, EventLoop loop, HttpClient client, Times times, Backoff backoff,
-            String manager, Counters counters, Listener listener) {
+    public BoxLink(
+            long id,
+            InetSocketAddress address,
+            EventLoop loop,
+            HttpClient client,
+            Times times,
+            Backoff backoff,
+            String manager,
+            Counters counters,
+            Listener listener) {
         this.id = id;
         this.address = address;
         this.loop = loop;
         this.client = client;
         this.times = times;
         this.manager = manager;
-        this.news = new HeldStream(loop, client, this::address, name(), "/v1/events?manager=" + manager, EVENT_BYTES,
-                times.silent(), backoff, counters, new HeldStream.Listener() {
+        this.news = new HeldStream(
+                loop,
+                client,
+                this::address,
+                name(),
+                "/v1/events?manager=" + manager,
+                EVENT_BYTES,
+                times.silent(),
+                backoff,
+                counters,
+                new HeldStream.Listener() {
                     @Override
                     public void onEvent(String type, String data, double askedAtMs) {
                         news(type, data, askedAtMs);
@@ -140,29 +158,30 @@
     /** Sends one set-up; it is called off after {@code timeoutMs}, and its connection closed with it. */
     public HttpClient.Call setUp(String key, ObjectNode body, double timeoutMs, SetUpListener heard) {
         body.put("manager", manager).put("key", key).put("leaseMs", times.lease());
-        return client.send(address, name(), "POST", "/v1/sessions", json(), bytes(body), timeoutMs, (head, content, failure) -> {
-            if (failure != null) {
-                heard.failed(failure);
-                return;
-            }
-            if (head.status() != 201) {
-                heard.answered(head.status(), LoadReport.of(head));
-                return;
-            }
-            try {
-                JsonNode answer = Documents.MAPPER.readTree(content);
-                String base = answer.path("base").asText("");
-                if (!base.matches("/s/[A-Za-z0-9._~-]+/")) {
-                    throw new IllegalArgumentException("no base");
-                }
-                heard.started("http://" + address.getHostString() + ":" + address.getPort() + base, head);
-            } catch (java.io.IOException | IllegalArgumentException e) {
-                counters.count("box-answers-malformed");
-                LOG.warn("box {}: a set-up's answer is malformed", id);
-                release(key);
-                heard.failed(Failure.MALFORMED);
-            }
-        });
+        return client.send(
+                address, name(), "POST", "/v1/sessions", json(), bytes(body), timeoutMs, (head, content, failure) -> {
+                    if (failure != null) {
+                        heard.failed(failure);
+                        return;
+                    }
+                    if (head.status() != 201) {
+                        heard.answered(head.status(), LoadReport.of(head));
+                        return;
+                    }
+                    try {
+                        JsonNode answer = Documents.MAPPER.readTree(content);
+                        String base = answer.path("base").asText("");
+                        if (!base.matches("/s/[A-Za-z0-9._~-]+/")) {
+                            throw new IllegalArgumentException("no base");
+                        }
+                        heard.started("http://" + address.getHostString() + ":" + address.getPort() + base, head);
+                    } catch (java.io.IOException | IllegalArgumentException e) {
+                        counters.count("box-answers-malformed");
+                        LOG.warn("box {}: a set-up's answer is malformed", id);
+                        release(key);
+                        heard.failed(Failure.MALFORMED);
+                    }
+                });
     }
 
     /** Confirms a set-up: the box then keeps it beyond its lease. {@code refused} is called if the box has let it go. */
@@ -172,7 +191,11 @@
 
     /** Tells a session's rung; of messages that overtake each other the box keeps the one of the highest number. */
     public void rung(String key, int rung, int change) {
-        message("PUT", key, Documents.MAPPER.createObjectNode().put("rung", rung).put("change", change), null);
+        message(
+                "PUT",
+                key,
+                Documents.MAPPER.createObjectNode().put("rung", rung).put("change", change),
+                null);
     }
 
     /** Lets a session or a set-up go. */
@@ -181,8 +204,15 @@
     }
 
     private void message(String method, String key, ObjectNode body, Runnable refused) {
-        client.send(address, name(), method, "/v1/sessions/" + key, body == null ? new Headers() : json(),
-                body == null ? NONE : bytes(body), MESSAGE_MS, (head, content, failure) -> {
+        client.send(
+                address,
+                name(),
+                method,
+                "/v1/sessions/" + key,
+                body == null ? new Headers() : json(),
+                body == null ? NONE : bytes(body),
+                MESSAGE_MS,
+                (head, content, failure) -> {
                     if (failure != null) {
                         counters.count("box-messages-lost");
                     } else if (head.status() >= 400 && refused != null) {
@@ -193,8 +223,15 @@
 
     /** Fetches a lecture's media playlist at a rung. */
     public void source(String title, int rung, HttpClient.WholeHandler handler) {
-        client.send(address, name(), "GET", "/v1/titles/" + title + "/" + rung + ".m3u8", new Headers(), NONE,
-                times.source(), handler);
+        client.send(
+                address,
+                name(),
+                "GET",
+                "/v1/titles/" + title + "/" + rung + ".m3u8",
+                new Headers(),
+                NONE,
+                times.source(),
+                handler);
     }
 
     private static Headers json() {
@@ -257,12 +294,23 @@
                 n.path("held").forEach(key -> keys.add(key.asText()));
                 listener.onHeld(this, keys, askedAt);
             }
-            case "note" -> listener.onNote(this, n.path("session").asText(), n.path("kind").asText(),
-                    n.path("value").asDouble());
-            case "ended" -> listener.onEnded(this, n.path("key").asText(), n.path("reason").asText(),
-                    LoadReport.parse(n.path("load").asText("")));
-            case "served" -> n.path("last").properties()
-                    .forEach(e -> listener.onServed(this, e.getKey(), e.getValue().asText()));
+            case "note" ->
+                listener.onNote(
+                        this,
+                        n.path("session").asText(),
+                        n.path("kind").asText(),
+                        n.path("value").asDouble());
+            case "ended" ->
+                listener.onEnded(
+                        this,
+                        n.path("key").asText(),
+                        n.path("reason").asText(),
+                        LoadReport.parse(n.path("load").asText("")));
+            case "served" ->
+                n.path("last")
+                        .properties()
+                        .forEach(e ->
+                                listener.onServed(this, e.getKey(), e.getValue().asText()));
             default -> counters.count("box-events-unknown");
         }
     }
--- a/front/src/main/java/calicovale/front/box/LoadReport.java
+++ b/front/src/main/java/calicovale/front/box/LoadReport.java
@@ -8,8 +8,7 @@
 public final class LoadReport {
     private static final String NAMED = "named_metrics.";
 
-    private LoadReport() {
-    }
+    private LoadReport() {}
 
     /** Named metrics of an answer; empty where there are none. What is malformed is left out. */
     public static Map<String, Double> of(HttpHead head) {
--- a/front/src/main/java/calicovale/front/directory/DirectoryLink.java
+++ b/front/src/main/java/calicovale/front/directory/DirectoryLink.java
@@ -4,11 +4,11 @@
 import calicovale.ControllerApi.ServerEntry;
 import calicovale.ControllerApi.ServerList;
 import calicovale.ControllerApi.ServerState;
-import calicovale.host.Counters;
 import calicovale.front.settings.FrontSettings.Times;
 import calicovale.front.stream.HeldStream;
-import calicovale.host.Backoff;
 import calicovale.front.time.CommonClock;
+import calicovale.host.Backoff;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Headers;
 import calicovale.protocols.http.HttpClient;
 import calicovale.protocols.http.HttpClient.Failure;
@@ -68,16 +68,34 @@
     private Runnable ready;
 
     /** {@code saved} may be null. */
-    public DirectoryLink(EventLoop loop, HttpClient client, InetSocketAddress address, Path saved, int mostBoxes,
-            Times times, Backoff backoff, CommonClock common, Counters counters, Listener listener) {
+    public DirectoryLink(
+            EventLoop loop,
+            HttpClient client,
+            InetSocketAddress address,
+            Path saved,
+            int mostBoxes,
+            Times times,
+            Backoff backoff,
+            CommonClock common,
+            Counters counters,
+            Listener listener) {
         this.loop = loop;
         this.client = client;
         this.address = address;
         this.saved = saved;
         this.mostBoxes = mostBoxes;
         this.times = times;
-        this.stream = new HeldStream(loop, client, () -> address, "directory", "/v1/boxes", LIST_BYTES, times.silent(), backoff,
-                counters, new HeldStream.Listener() {
+        this.stream = new HeldStream(
+                loop,
+                client,
+                () -> address,
+                "directory",
+                "/v1/boxes",
+                LIST_BYTES,
+                times.silent(),
+                backoff,
+                counters,
+                new HeldStream.Listener() {
                     @Override
                     public void onEvent(String type, String data, double askedAtMs) {
                         news(type, data);
@@ -92,11 +110,18 @@
         this.counters = counters;
         this.listener = listener;
         // one list may wait while one is written; an older one that waits is dropped for the newer
-        writer = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), body -> {
-            Thread thread = new Thread(body, "saved-list");
-            thread.setDaemon(true);
-            return thread;
-        }, new ThreadPoolExecutor.DiscardOldestPolicy());
+        writer = new ThreadPoolExecutor(
+                0,
+                1,
+                1,
+                TimeUnit.SECONDS,
+                new ArrayBlockingQueue<>(1),
+                body -> {
+                    Thread thread = new Thread(body, "saved-list");
+                    thread.setDaemon(true);
+                    return thread;
+                },
+                new ThreadPoolExecutor.DiscardOldestPolicy());
     }
 
     /** Starts; {@code whenReady} runs once the common clock has been read, or could not be. */
@@ -112,23 +137,37 @@
 
     private void readClock() {
         double sent = nowMs();
-        client.send(address, "directory", "GET", "/v1/clock", new Headers(), NONE, times.connect(), (head, body, failure) -> {
-            if (failure == null && head.status() == 200) {
-                try {
-                    common.sample(sent, nowMs(), Documents.MAPPER.readTree(body).path("nowMs").asDouble(Double.NaN));
-                } catch (IOException e) {
-                    counters.count("directory-malformed");
-                }
-            } else {
-                counters.count("clock-readings-lost");
-            }
-            if (ready != null) {
-                Runnable first = ready;
-                ready = null;
-                first.run();
-            }
-            loop.schedule(times.clockEvery(), this::readClock);
-        });
+        client.send(
+                address,
+                "directory",
+                "GET",
+                "/v1/clock",
+                new Headers(),
+                NONE,
+                times.connect(),
+                (head, body, failure) -> {
+                    if (failure == null && head.status() == 200) {
+                        try {
+                            common.sample(
+                                    sent,
+                                    nowMs(),
+                                    Documents.MAPPER
+                                            .readTree(body)
+                                            .path("nowMs")
+                                            .asDouble(Double.NaN));
+                        } catch (IOException e) {
+                            counters.count("directory-malformed");
+                        }
+                    } else {
+                        counters.count("clock-readings-lost");
+                    }
+                    if (ready != null) {
+                        Runnable first = ready;
+                        ready = null;
+                        first.run();
+                    }
+                    loop.schedule(times.clockEvery(), this::readClock);
+                });
     }
 
     private void broken(Failure failure) {
@@ -185,8 +224,14 @@
             }
             known.put(id, box);
             ServerState state = ServerState.valueOf(box.path("state").asText().toUpperCase(Locale.ROOT));
-            entries.add(new ServerEntry(id, state, box.path("kind").asInt(), box.path("zone").asInt(),
-                    box.path("cell").asInt(), box.path("startedMs").asDouble(), box.path("weight").asDouble(1)));
+            entries.add(new ServerEntry(
+                    id,
+                    state,
+                    box.path("kind").asInt(),
+                    box.path("zone").asInt(),
+                    box.path("cell").asInt(),
+                    box.path("startedMs").asDouble(),
+                    box.path("weight").asDouble(1)));
             String[] at = box.path("address").asText().split(":");
             addresses.put(id, new InetSocketAddress(at[0], Integer.parseInt(at[1])));
         }
--- a/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
+++ b/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
@@ -40,7 +40,7 @@
     /** What a disk can be told to do wrong, for rehearsals; runs on the disk's thread before each write. */
     public interface DiskFault {
         /** A disk without a fault. */
-        DiskFault NONE = () -> { };
+        DiskFault NONE = () -> {};
 
         /** Waits or throws. */
         void beforeWrite() throws IOException;
@@ -68,23 +68,34 @@
      * @param nowMs the common time
      * @param aliveEveryMs between two notes that this process still runs
      */
-    public LedgerDesk(EventLoop loop, Path folder, Supplier<Set<String>> changes, DoubleSupplier nowMs, double aliveEveryMs,
-            Counters counters) throws IOException {
+    public LedgerDesk(
+            EventLoop loop,
+            Path folder,
+            Supplier<Set<String>> changes,
+            DoubleSupplier nowMs,
+            double aliveEveryMs,
+            Counters counters)
+            throws IOException {
         this.loop = loop;
         this.changes = changes;
         this.nowMs = nowMs;
         this.counters = counters;
         ledger = folder == null ? null : new SessionLedger(folder, SNAPSHOT_BYTES);
-        disk = folder == null ? null : Executors.newSingleThreadExecutor(body -> {
-            Thread thread = new Thread(body, "sessions-log");
-            thread.setDaemon(true);
-            return thread;
-        });
+        disk = folder == null
+                ? null
+                : Executors.newSingleThreadExecutor(body -> {
+                    Thread thread = new Thread(body, "sessions-log");
+                    thread.setDaemon(true);
+                    return thread;
+                });
         if (ledger != null) {
             if (ledger.recovery().bytesCut() > 0) {
                 counters.count("sessions-log-torn");
             }
-            LOG.info("sessions: {} found, {} bytes of a torn tail cut", ledger.entries().size(), ledger.recovery().bytesCut());
+            LOG.info(
+                    "sessions: {} found, {} bytes of a torn tail cut",
+                    ledger.entries().size(),
+                    ledger.recovery().bytesCut());
             loop.execute(() -> note(aliveEveryMs));
         }
     }
--- a/front/src/main/java/calicovale/front/operators/ChangeDesk.java
+++ b/front/src/main/java/calicovale/front/operators/ChangeDesk.java
@@ -1,7 +1,7 @@
 package calicovale.front.operators;
 
-import calicovale.host.Counters;
 import calicovale.front.settings.FrontSettings;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.Headers;
 import calicovale.protocols.json.Documents;
@@ -62,8 +62,15 @@
      * @param changed runs after the book is another
      * @param tally how a change fared with this manager's sessions
      */
-    public ChangeDesk(EventLoop loop, ChangeBook book, DoubleSupplier nowMs, FrontSettings settings, Runnable changed,
-            Function<String, ObjectNode> tally, Counters counters) throws IOException {
+    public ChangeDesk(
+            EventLoop loop,
+            ChangeBook book,
+            DoubleSupplier nowMs,
+            FrontSettings settings,
+            Runnable changed,
+            Function<String, ObjectNode> tally,
+            Counters counters)
+            throws IOException {
         this.loop = loop;
         this.nowMs = nowMs;
         this.book = book;
@@ -76,7 +83,9 @@
             thread.setDaemon(true);
             return thread;
         });
-        watch = settings.changesWatch() == null ? null : new FolderWatch(settings.changesWatch(), settings.bounds().watched());
+        watch = settings.changesWatch() == null
+                ? null
+                : new FolderWatch(settings.changesWatch(), settings.bounds().watched());
         store = settings.changesFolder() == null ? null : new ChangeStore(settings.changesFolder(), SNAPSHOT_BYTES);
         if (store != null) {
             recover();
@@ -98,8 +107,11 @@
         }
         store.files().forEach((id, file) -> byFile.put(file, id));
         RecordLog.Recovery found = store.recovery();
-        LOG.info("changes: {} records read, {} of them of the snapshot, {} bytes of a torn tail cut", found.records().size(),
-                found.ofSnapshot(), found.bytesCut());
+        LOG.info(
+                "changes: {} records read, {} of them of the snapshot, {} bytes of a torn tail cut",
+                found.records().size(),
+                found.ofSnapshot(),
+                found.bytesCut());
         if (found.bytesCut() > 0) {
             counters.count("changes-log-torn");
         }
@@ -206,8 +218,14 @@
         }
         if (!book.accepts(change)) {
             counters.count("changes-refused");
-            reply.refused(409, "Conflict", List.of(known != null ? name + ": /id: another id is expected, this change was shown already"
-                    : name + ": /: no more than " + settings.bounds().changes() + " changes are expected (bounds.changes)"));
+            reply.refused(
+                    409,
+                    "Conflict",
+                    List.of(
+                            known != null
+                                    ? name + ": /id: another id is expected, this change was shown already"
+                                    : name + ": /: no more than "
+                                            + settings.bounds().changes() + " changes are expected (bounds.changes)"));
             return;
         }
         keep(reply, () -> store.add(change.id(), change.json(), file), () -> {
@@ -297,20 +315,22 @@
             loop.schedule(settings.times().watch(), this::look);
             return;
         }
-        boolean taken = onDisk(() -> {
-            try {
-                return watch.look();
-            } catch (IOException e) {
-                return null;
-            }
-        }, look -> {
-            if (look == null) {
-                counters.count("changes-watch-failed");
-            } else {
-                found(look);
-            }
-            loop.schedule(settings.times().watch(), this::look);
-        });
+        boolean taken = onDisk(
+                () -> {
+                    try {
+                        return watch.look();
+                    } catch (IOException e) {
+                        return null;
+                    }
+                },
+                look -> {
+                    if (look == null) {
+                        counters.count("changes-watch-failed");
+                    } else {
+                        found(look);
+                    }
+                    loop.schedule(settings.times().watch(), this::look);
+                });
         if (!taken) {
             loop.schedule(settings.times().watch(), this::look);
         }
@@ -323,7 +343,7 @@
         for (String file : look.gone()) {
             String id = byFile.remove(file);
             if (id != null && book.get(id) != null) {
-                told(file, () -> withdraw(id, heard(file, () -> { })));
+                told(file, () -> withdraw(id, heard(file, () -> {})));
             }
         }
         for (FolderWatch.Came came : look.came()) {
@@ -337,7 +357,8 @@
     }
 
     private void again(FolderWatch.Came came) {
-        loop.schedule(AGAIN_MS, () -> add(came.text(), came.file(), came.file(), heard(came.file(), () -> again(came))));
+        loop.schedule(
+                AGAIN_MS, () -> add(came.text(), came.file(), came.file(), heard(came.file(), () -> again(came))));
     }
 
     private void told(String file, Runnable telling) {
--- a/front/src/main/java/calicovale/front/operators/FolderWatch.java
+++ b/front/src/main/java/calicovale/front/operators/FolderWatch.java
@@ -24,15 +24,12 @@
     private static final int MOST_BYTES = 1 << 20;
 
     /** A file that is new or altered: its text, or why there is none. */
-    record Came(String file, String text, String fault) {
-    }
+    record Came(String file, String text, String fault) {}
 
     /** What one look found. */
-    record Look(List<Came> came, List<String> gone, int overBound) {
-    }
+    record Look(List<Came> came, List<String> gone, int overBound) {}
 
-    private record Seen(long bytes, long modified) {
-    }
+    private record Seen(long bytes, long modified) {}
 
     private final Path folder;
     private final int most;
@@ -61,7 +58,9 @@
                 try {
                     BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
                     if (a.isRegularFile()) {
-                        now.put(file.getFileName().toString(), new Seen(a.size(), a.lastModifiedTime().toMillis()));
+                        now.put(
+                                file.getFileName().toString(),
+                                new Seen(a.size(), a.lastModifiedTime().toMillis()));
                     }
                 } catch (IOException e) {
                     // it went while we looked
--- a/front/src/main/java/calicovale/front/peers/PeerNews.java
+++ b/front/src/main/java/calicovale/front/peers/PeerNews.java
@@ -6,10 +6,10 @@
 import calicovale.ControllerApi.NoteKind;
 import calicovale.ControllerApi.Started;
 import calicovale.ControllerApi.Suspected;
-import calicovale.host.ControllerHost;
 import calicovale.front.settings.FrontSettings;
 import calicovale.gossip.claims.Claim;
 import calicovale.gossip.net.GossipNode;
+import calicovale.host.ControllerHost;
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.net.EventLoop;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -28,9 +28,14 @@
     private final GossipNode node;
 
     /** Reads keys; no socket is open yet. */
-    public PeerNews(EventLoop loop, FrontSettings settings, RandomGenerator random, ControllerHost host) throws InvalidDocumentException {
+    public PeerNews(EventLoop loop, FrontSettings settings, RandomGenerator random, ControllerHost host)
+            throws InvalidDocumentException {
         this.settings = settings;
-        node = new GossipNode(loop, settings.gossip(), random, settings.bounds().boxes(),
+        node = new GossipNode(
+                loop,
+                settings.gossip(),
+                random,
+                settings.bounds().boxes(),
                 (box, strength) -> host.raise(new Suspected(box, strength)));
         host.onEvent(this::saw);
     }
@@ -44,17 +49,19 @@
         if (event instanceof Started e) {
             node.saw(e.server(), null);
         } else if (event instanceof AttemptEnded e) {
-            Claim.Kind kind = switch (e.outcome()) {
-                case TIMEOUT -> Claim.Kind.TIMEOUT;
-                case RESET -> Claim.Kind.RESET;
-                case ERROR, CONNECT_FAILED -> Claim.Kind.FAILED;
-                // a box that is full, or a viewer who left, is no trouble of the box
-                case OK, FULL, CANCELLED, MOOT -> null;
-            };
+            Claim.Kind kind =
+                    switch (e.outcome()) {
+                        case TIMEOUT -> Claim.Kind.TIMEOUT;
+                        case RESET -> Claim.Kind.RESET;
+                        case ERROR, CONNECT_FAILED -> Claim.Kind.FAILED;
+                        // a box that is full, or a viewer who left, is no trouble of the box
+                        case OK, FULL, CANCELLED, MOOT -> null;
+                    };
             if (kind != null) {
                 node.saw(e.server(), kind);
             }
-        } else if (event instanceof Note e && e.kind() == NoteKind.DELIVERED_SHARE
+        } else if (event instanceof Note e
+                && e.kind() == NoteKind.DELIVERED_SHARE
                 && e.value() < settings.gossip().claims().shortShare()) {
             node.saw(e.server(), Claim.Kind.SHORT);
         }
--- a/front/src/main/java/calicovale/front/player/BoxNews.java
+++ b/front/src/main/java/calicovale/front/player/BoxNews.java
@@ -5,10 +5,10 @@
 import calicovale.ControllerApi.Outcome;
 import calicovale.ControllerApi.ServerList;
 import calicovale.front.box.BoxLink;
-import calicovale.host.ControllerHost;
-import calicovale.host.Counters;
 import calicovale.front.settings.FrontSettings;
 import calicovale.host.Backoff;
+import calicovale.host.ControllerHost;
+import calicovale.host.Counters;
 import calicovale.protocols.http.HttpClient;
 import calicovale.protocols.net.EventLoop;
 import java.net.InetSocketAddress;
@@ -35,8 +35,14 @@
     private Programme programme;
     private SetUps setUps;
 
-    BoxNews(EventLoop loop, FrontSettings settings, RandomGenerator random, HttpClient client, Counters counters,
-            SessionTable table, String incarnation) {
+    BoxNews(
+            EventLoop loop,
+            FrontSettings settings,
+            RandomGenerator random,
+            HttpClient client,
+            Counters counters,
+            SessionTable table,
+            String incarnation) {
         this.loop = loop;
         this.settings = settings;
         this.random = random;
@@ -60,12 +66,13 @@
 
     @Override
     public void onNote(BoxLink box, String session, String kind, double value) {
-        NoteKind what = switch (kind) {
-            case "share" -> NoteKind.DELIVERED_SHARE;
-            case "link" -> NoteKind.LINK_USE;
-            case "uplink" -> NoteKind.UPLINK_USE;
-            default -> null;
-        };
+        NoteKind what =
+                switch (kind) {
+                    case "share" -> NoteKind.DELIVERED_SHARE;
+                    case "link" -> NoteKind.LINK_USE;
+                    case "uplink" -> NoteKind.UPLINK_USE;
+                    default -> null;
+                };
         if (what == null || !(value >= 0) || Double.isInfinite(value)) {
             counters.count("box-events-malformed");
             return;
@@ -120,9 +127,21 @@
         addresses.forEach((id, address) -> {
             BoxLink box = boxes.get(id);
             if (box == null) {
-                boxes.put(id, new BoxLink(id, address, loop, client, settings.times(),
-                        new Backoff(settings.times().backoff(), settings.times().backoffMost(), random),
-                        settings.controller().self() + "." + incarnation, counters, this));
+                boxes.put(
+                        id,
+                        new BoxLink(
+                                id,
+                                address,
+                                loop,
+                                client,
+                                settings.times(),
+                                new Backoff(
+                                        settings.times().backoff(),
+                                        settings.times().backoffMost(),
+                                        random),
+                                settings.controller().self() + "." + incarnation,
+                                counters,
+                                this));
             } else {
                 box.address(address);
             }
--- a/front/src/main/java/calicovale/front/player/PieceHolders.java
+++ b/front/src/main/java/calicovale/front/player/PieceHolders.java
@@ -16,7 +16,12 @@
  */
 final class PieceHolders {
     /** What is known of a box and a rendition. */
-    enum State { ASKING, HOLDS, LACKS, FAILED }
+    enum State {
+        ASKING,
+        HOLDS,
+        LACKS,
+        FAILED
+    }
 
     /** After this a box that gave no answer is asked again, in ms. */
     private static final double FAILED_MS = 2000;
@@ -27,8 +32,7 @@
         List<Runnable> waiting = new ArrayList<>(1);
     }
 
-    private record Key(long box, String title, int rung) {
-    }
+    private record Key(long box, String title, int rung) {}
 
     private final EventLoop loop;
     private final SourceCache sources;
@@ -54,7 +58,9 @@
     State state(BoxLink box, String title, int rung) {
         Key key = new Key(box.id(), title, rung);
         Known is = known.get(key);
-        if (is != null && is.state != State.ASKING && nowMs() - is.atMs > (is.state == State.FAILED ? FAILED_MS : holdMs)) {
+        if (is != null
+                && is.state != State.ASKING
+                && nowMs() - is.atMs > (is.state == State.FAILED ? FAILED_MS : holdMs)) {
             known.remove(key);
             is = null;
         }
@@ -118,7 +124,7 @@
 
     /** Forgets what a box held: it may come back with other content. */
     void lost(BoxLink box) {
-        for (Iterator<Map.Entry<Key, Known>> i = known.entrySet().iterator(); i.hasNext();) {
+        for (Iterator<Map.Entry<Key, Known>> i = known.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Key, Known> e = i.next();
             if (e.getKey().box() == box.id() && e.getValue().state != State.ASKING) {
                 i.remove();
--- a/front/src/main/java/calicovale/front/player/PieceSetUps.java
+++ b/front/src/main/java/calicovale/front/player/PieceSetUps.java
@@ -3,11 +3,11 @@
 import calicovale.ControllerApi.Note;
 import calicovale.ControllerApi.NoteKind;
 import calicovale.ControllerApi.Outcome;
-import calicovale.host.ControllerHost;
-import calicovale.host.Counters;
 import calicovale.front.playlist.SessionPlaylist;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.settings.FrontSettings.Holders;
+import calicovale.host.ControllerHost;
+import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
 import java.util.Collection;
 import java.util.Map;
@@ -21,7 +21,12 @@
     private final SetUps setUps;
     private final ControllerHost host;
 
-    PieceSetUps(EventLoop loop, FrontSettings settings, Counters counters, SessionTable table, SetUps setUps,
+    PieceSetUps(
+            EventLoop loop,
+            FrontSettings settings,
+            Counters counters,
+            SessionTable table,
+            SetUps setUps,
             ControllerHost host) {
         this.loop = loop;
         this.settings = settings;
@@ -46,7 +51,14 @@
             counters.count("piece-set-ups-held");
             return null;
         }
-        Viewing v = new Viewing(table.newToken(), beside.sessionClass, beside.tenant, beside.viewer, title, beside.top, beside.waitMs,
+        Viewing v = new Viewing(
+                table.newToken(),
+                beside.sessionClass,
+                beside.tenant,
+                beside.viewer,
+                title,
+                beside.top,
+                beside.waitMs,
                 new SessionPlaylist(settings.playlist(), nowMs(), host.nowMs()));
         v.ofPiece = true;
         v.beside = beside;
--- a/front/src/main/java/calicovale/front/player/PlayerAnswers.java
+++ b/front/src/main/java/calicovale/front/player/PlayerAnswers.java
@@ -1,7 +1,7 @@
 package calicovale.front.player;
 
-import calicovale.host.Counters;
 import calicovale.front.settings.FrontSettings;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.Headers;
 import java.nio.charset.StandardCharsets;
@@ -26,8 +26,12 @@
     boolean turnAway(Exchange x, String id, double afterMs) {
         counters.count("refused");
         long seconds = Math.max(1, (long) Math.ceil(afterMs / 1000));
-        return x.problem(503, named(id).add("Retry-After", Long.toString(seconds)), "Service Unavailable",
-                "no room now", ",\"retryAfterMs\":" + Math.round(afterMs));
+        return x.problem(
+                503,
+                named(id).add("Retry-After", Long.toString(seconds)),
+                "Service Unavailable",
+                "no room now",
+                ",\"retryAfterMs\":" + Math.round(afterMs));
     }
 
     /** The first answer of a session that plays: its multivariant playlist. */
@@ -37,7 +41,9 @@
         long bits = Math.round(settings.controller().media().rungKb().get(top) * k.scale() * 8000);
         String text = "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-STREAM-INF:BANDWIDTH=" + bits
                 + "\n/s/" + v.token + "/media.m3u8\n";
-        return x.respond(200, named(v.id).add("Content-Type", HLS).add("Cache-Control", "no-store"),
+        return x.respond(
+                200,
+                named(v.id).add("Content-Type", HLS).add("Cache-Control", "no-store"),
                 text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/front/src/main/java/calicovale/front/player/Programme.java
+++ b/front/src/main/java/calicovale/front/player/Programme.java
@@ -2,12 +2,12 @@
 
 import calicovale.ControllerApi.SessionClass;
 import calicovale.front.box.BoxLink;
-import calicovale.host.Counters;
 import calicovale.front.ledger.LedgerDesk;
 import calicovale.front.playlist.Piece;
 import calicovale.front.playlist.Source;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.settings.FrontSettings.Holders;
+import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
 import calicovale.stitch.Change;
 import calicovale.stitch.ChangeBook;
@@ -21,7 +21,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.DoubleSupplier;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -62,6 +61,7 @@
         private int passed = -1;
         /** A change whose showing is noted, and whether that is on disk. */
         private String begun;
+
         private boolean begunKept;
         private Map<String, Viewing> homes = Map.of();
         private Map<String, Double> askedAt = Map.of();
@@ -97,13 +97,21 @@
     private double passBeganMs;
 
     /** {@code commonMs} is the common time. */
-    Programme(EventLoop loop, FrontSettings settings, ChangeBook book, SourceCache sources, LedgerDesk ledger,
-            DoubleSupplier commonMs, Counters counters, Sessions sessions) {
+    Programme(
+            EventLoop loop,
+            FrontSettings settings,
+            ChangeBook book,
+            SourceCache sources,
+            LedgerDesk ledger,
+            DoubleSupplier commonMs,
+            Counters counters,
+            Sessions sessions) {
         this.loop = loop;
         this.settings = settings;
         this.book = book;
         this.sources = sources;
-        this.holders = new PieceHolders(loop, sources, settings.bounds().sources(), settings.times().holders(), counters);
+        this.holders = new PieceHolders(
+                loop, sources, settings.bounds().sources(), settings.times().holders(), counters);
         this.ledger = ledger;
         this.commonMs = commonMs;
         this.counters = counters;
@@ -127,9 +135,18 @@
 
     private ChangeBook.Facts facts(Viewing v, int rung) {
         SessionClass k = settings.controller().classes().get(v.sessionClass);
-        String tenant = settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(v.tenant);
-        return new ChangeBook.Facts(v.token, v.viewer, v.title, settings.classNames().get(v.sessionClass), tenant,
-                k.lowestRung(), settings.controller().media().rungKb().get(rung) * k.scale(), k.scale(), v.returning);
+        String tenant =
+                settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(v.tenant);
+        return new ChangeBook.Facts(
+                v.token,
+                v.viewer,
+                v.title,
+                settings.classNames().get(v.sessionClass),
+                tenant,
+                k.lowestRung(),
+                settings.controller().media().rungKb().get(rung) * k.scale(),
+                k.scale(),
+                v.returning);
     }
 
     private void plan(Viewing v) {
@@ -203,7 +220,9 @@
         for (Change c : v.part.candidates) {
             boolean soon = c.atMs() >= 0 ? c.atMs() <= endMs + leadMs : c.lectureS() <= placeS + leadMs / 1000;
             Change.Rendition r = soon && c.validUntilMs() >= endMs ? ChangeBook.rendition(c, facts) : null;
-            if (r != null && v.state == Viewing.State.PLAYING && home(v, c) == null
+            if (r != null
+                    && v.state == Viewing.State.PLAYING
+                    && home(v, c) == null
                     && holders.state(v.box, c.title(), r.rung()) == PieceHolders.State.LACKS) {
                 setUp(v, c);
             }
@@ -264,7 +283,11 @@
                 return null;
             }
             if (!suits(v, piece)) {
-                tell(v, c.id(), "changes-left-out", "change {} is left out: its segments don't suit the lecture's playlist");
+                tell(
+                        v,
+                        c.id(),
+                        "changes-left-out",
+                        "change {} is left out: its segments don't suit the lecture's playlist");
                 part.candidates = part.candidates.stream().filter(x -> x != c).toList();
                 continue;
             }
@@ -288,7 +311,9 @@
         List<String> names = book.shown(c, facts);
         ledger.shown(c.id(), names);
         part.showings = new ArrayList<>(part.showings);
-        names.stream().filter(name -> !name.startsWith("s ")).forEach(name -> part.showings.add(new Showing(c.id(), name)));
+        names.stream()
+                .filter(name -> !name.startsWith("s "))
+                .forEach(name -> part.showings.add(new Showing(c.id(), name)));
         if (ledger.on()) {
             ledger.whenKept(() -> {
                 if (c.id().equals(part.begun)) {
@@ -317,7 +342,9 @@
         part.cookieUntilMs = nowMs() + COOKIE_MS;
         counters.count("changes-shown");
         tally(c.id()).shown++;
-        LOG.atInfo().addKeyValue("session", v.id).log("change {} before segment {}, rendition {}", c.id(), segment, piece.rung());
+        LOG.atInfo()
+                .addKeyValue("session", v.id)
+                .log("change {} before segment {}, rendition {}", c.id(), segment, piece.rung());
         return piece;
     }
 
@@ -339,8 +366,9 @@
     /** Whether a playlist can show a piece beside its lecture without altering what it told before. */
     private boolean suits(Viewing v, Piece piece) {
         // the target duration may not change (RFC 8216, 6.2.1), and an EXT-X-MAP can't be taken back (4.3.2.5)
-        return piece.interstitial() || piece.source().targetS() <= v.playlist.targetS()
-                && piece.source().hasMap() == v.source.hasMap();
+        return piece.interstitial()
+                || piece.source().targetS() <= v.playlist.targetS()
+                        && piece.source().hasMap() == v.source.hasMap();
     }
 
     /** A change's piece from where it is to be had; WAIT: a box is being asked; null: it is not to be had yet. */
@@ -360,10 +388,12 @@
                 // what is due soon is set up at a holder by prepare()
                 return null;
             }
-            default -> { }
+            default -> {}
         }
         Source source = sources.get(c.title(), r.rung());
-        int to = c.replaceS() > 0 ? Math.max(segment + 1, v.source.boundaryAt(v.source.startS(segment) + c.replaceS())) : segment;
+        int to = c.replaceS() > 0
+                ? Math.max(segment + 1, v.source.boundaryAt(v.source.startS(segment) + c.replaceS()))
+                : segment;
         String asset = v.interstitials ? "/s/" + v.token + "/pieces/" + c.id() + ".m3u8" : null;
         return new Piece(c.id(), r.rung(), base(v, home, c, r), source, segment, to, asset);
     }
@@ -380,7 +410,9 @@
         if (now == Piece.WAIT && v.part.passed != piece.from()) {
             return now;
         }
-        if (now == null || now == Piece.WAIT || now.source().count() != piece.source().count()) {
+        if (now == null
+                || now == Piece.WAIT
+                || now.source().count() != piece.source().count()) {
             counters.count("changes-cut");
             tally(piece.id()).cut++;
             return null;
@@ -425,7 +457,8 @@
         }
         part.askedAt = new HashMap<>(part.askedAt);
         part.askedAt.put(c.id(), nowMs());
-        Holders at = c.homeCell() >= 0 ? new Holders(c.homeCell(), c.span())
+        Holders at = c.homeCell() >= 0
+                ? new Holders(c.homeCell(), c.span())
                 : settings.titles().getOrDefault(c.title(), new Holders(0, Integer.MAX_VALUE));
         Viewing[] home = new Viewing[1];
         home[0] = sessions.place(v, c.title(), at, () -> homeChanged(v, c.id(), home[0]));
@@ -458,7 +491,8 @@
         Part part = v.part;
         if (!part.homes.isEmpty()) {
             for (Map.Entry<String, Viewing> e : new ArrayList<>(part.homes.entrySet())) {
-                boolean waits = part.candidates.stream().anyMatch(c -> c.id().equals(e.getKey())) || e.getKey().equals(part.begun);
+                boolean waits = part.candidates.stream().anyMatch(c -> c.id().equals(e.getKey()))
+                        || e.getKey().equals(part.begun);
                 if (!waits && !v.playlist.shows(e.getKey())) {
                     part.homes.remove(e.getKey());
                     sessions.release(e.getValue());
@@ -480,7 +514,10 @@
         if (c == null) {
             return v.part.takes < 0 ? v.rung : v.part.takes;
         }
-        double rate = c.renditions().stream().filter(r -> r.rung() == piece.rung()).mapToDouble(Change.Rendition::rateKb).sum();
+        double rate = c.renditions().stream()
+                .filter(r -> r.rung() == piece.rung())
+                .mapToDouble(Change.Rendition::rateKb)
+                .sum();
         int rung = settings.controller().classes().get(v.sessionClass).lowestRung();
         while (rung < v.rung && settings.controller().media().rungKb().get(rung) < rate - 1e-9) {
             rung++;
@@ -551,7 +588,8 @@
 
     /** The cookie to go with an answer; null: none. */
     String cookie(Viewing v) {
-        return cookie == null || v.viewer.isEmpty() || v.part.showings.isEmpty() || nowMs() > v.part.cookieUntilMs ? null
+        return cookie == null || v.viewer.isEmpty() || v.part.showings.isEmpty() || nowMs() > v.part.cookieUntilMs
+                ? null
                 : cookie.set(v.viewer, v.part.showings);
     }
 }
--- a/front/src/main/java/calicovale/front/player/Reloads.java
+++ b/front/src/main/java/calicovale/front/player/Reloads.java
@@ -1,9 +1,9 @@
 package calicovale.front.player;
 
-import calicovale.host.Counters;
 import calicovale.front.playlist.Piece;
 import calicovale.front.playlist.Source;
 import calicovale.front.settings.FrontSettings;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Cmcd;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.Headers;
@@ -30,8 +30,16 @@
     /** Every playlist is written into it: the loop owns it, and one is written at a time. */
     private final StringBuilder text = new StringBuilder(4096);
 
-    Reloads(EventLoop loop, FrontSettings settings, Counters counters, SessionTable table, PlayerAnswers answers,
-            SourceCache sources, SessionKeeper keeper, Programme programme, SetUps setUps) {
+    Reloads(
+            EventLoop loop,
+            FrontSettings settings,
+            Counters counters,
+            SessionTable table,
+            PlayerAnswers answers,
+            SourceCache sources,
+            SessionKeeper keeper,
+            Programme programme,
+            SetUps setUps) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
@@ -135,7 +143,8 @@
     }
 
     private void give(Viewing v, Exchange x) {
-        Headers headers = PlayerAnswers.named(v.id).add("Content-Type", PlayerAnswers.HLS).add("Cache-Control", "no-store");
+        Headers headers =
+                PlayerAnswers.named(v.id).add("Content-Type", PlayerAnswers.HLS).add("Cache-Control", "no-store");
         String cookie = programme.cookie(v);
         if (cookie != null) {
             headers.add("Set-Cookie", cookie);
@@ -155,7 +164,9 @@
             return;
         }
         counters.count("pieces-given");
-        x.respond(200, PlayerAnswers.named(v.id).add("Content-Type", PlayerAnswers.HLS).add("Cache-Control", "no-store"),
+        x.respond(
+                200,
+                PlayerAnswers.named(v.id).add("Content-Type", PlayerAnswers.HLS).add("Cache-Control", "no-store"),
                 piece.render().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/front/src/main/java/calicovale/front/player/SessionKeeper.java
+++ b/front/src/main/java/calicovale/front/player/SessionKeeper.java
@@ -1,10 +1,10 @@
 package calicovale.front.player;
 
-import calicovale.host.Counters;
 import calicovale.front.ledger.LedgerDesk;
 import calicovale.front.playlist.SessionPlaylist;
 import calicovale.front.playlist.Source;
 import calicovale.front.settings.FrontSettings;
+import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
 import calicovale.stitch.SessionLedger.Entry;
 import java.util.ArrayList;
@@ -30,7 +30,8 @@
     private final double foundAliveMs;
 
     /** Takes what the ledger found. */
-    SessionKeeper(EventLoop loop, FrontSettings settings, LedgerDesk ledger, DoubleSupplier commonMs, Counters counters) {
+    SessionKeeper(
+            EventLoop loop, FrontSettings settings, LedgerDesk ledger, DoubleSupplier commonMs, Counters counters) {
         this.loop = loop;
         this.settings = settings;
         this.ledger = ledger;
@@ -62,7 +63,8 @@
             return true;
         }
         SessionPlaylist p = v.playlist;
-        boolean covered = p.nextSequence() <= v.kept.sequence && p.number() <= v.kept.number
+        boolean covered = p.nextSequence() <= v.kept.sequence
+                && p.number() <= v.kept.number
                 && p.endDateMs() <= dateAt(v.kept.dateMs, v.kept.atMs, p.targetS());
         boolean soon = covered && p.nextSequence() + RESERVE / 2 <= v.kept.sequence && p.number() + 2 <= v.kept.number;
         if (!soon && !v.kept.underWay) {
@@ -87,15 +89,29 @@
     }
 
     private Entry entry(Viewing v, Viewing.Kept k) {
-        String tenant = settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(v.tenant);
-        return new Entry(v.token, settings.classNames().get(v.sessionClass), tenant, v.viewer, v.title, v.top, v.waitMs,
-                k.sequence, k.number, v.playlist.segmentAt(v.source, nowMs()), v.playlist.targetS(), k.dateMs,
+        String tenant =
+                settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(v.tenant);
+        return new Entry(
+                v.token,
+                settings.classNames().get(v.sessionClass),
+                tenant,
+                v.viewer,
+                v.title,
+                v.top,
+                v.waitMs,
+                k.sequence,
+                k.number,
+                v.playlist.segmentAt(v.source, nowMs()),
+                v.playlist.targetS(),
+                k.dateMs,
                 k.atMs);
     }
 
     /** The date up to which a playlist may have been given by now: it goes on with the time, and one window ahead of it. */
     private double dateAt(double dateMs, double atMs, long targetS) {
-        return dateMs + Math.max(0, commonMs.getAsDouble() - atMs) + 1000.0 * (settings.playlist().ahead() + 2) * targetS;
+        return dateMs
+                + Math.max(0, commonMs.getAsDouble() - atMs)
+                + 1000.0 * (settings.playlist().ahead() + 2) * targetS;
     }
 
     /** Calls {@code body} once the steps told until now are on disk, or after a bound without them. */
@@ -129,9 +145,12 @@
         if (c < 0 || t < 0) {
             return null;
         }
-        SessionPlaylist playlist = new SessionPlaylist(settings.playlist(), nowMs(), commonMs.getAsDouble(),
-                new SessionPlaylist.Progress(e.sequence(), e.number(), e.segment(), e.targetS(),
-                        dateAt(e.dateMs(), e.atMs(), e.targetS())));
+        SessionPlaylist playlist = new SessionPlaylist(
+                settings.playlist(),
+                nowMs(),
+                commonMs.getAsDouble(),
+                new SessionPlaylist.Progress(
+                        e.sequence(), e.number(), e.segment(), e.targetS(), dateAt(e.dateMs(), e.atMs(), e.targetS())));
         Viewing v = new Viewing(token, c, t, e.viewer(), e.title(), e.top(), e.waitMs(), playlist);
         v.given = true;
         v.returning = true;
--- a/front/src/main/java/calicovale/front/player/SessionManager.java
+++ b/front/src/main/java/calicovale/front/player/SessionManager.java
@@ -1,12 +1,12 @@
 package calicovale.front.player;
 
 import calicovale.ControllerApi.ServerList;
-import calicovale.host.ControllerHost;
-import calicovale.host.Counters;
 import calicovale.front.ledger.LedgerDesk;
 import calicovale.front.playlist.SessionPlaylist;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.time.CommonClock;
+import calicovale.host.ControllerHost;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Cmcd;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.Headers;
@@ -43,20 +43,43 @@
     private Supplier<Map<String, Long>> wireCounts = Map::of;
 
     /** {@code incarnation} names this process among all that had its number. */
-    public SessionManager(EventLoop loop, FrontSettings settings, CommonClock common, RandomGenerator random,
-            HttpClient client, ChangeBook changes, LedgerDesk ledger, Counters counters, String incarnation) {
+    public SessionManager(
+            EventLoop loop,
+            FrontSettings settings,
+            CommonClock common,
+            RandomGenerator random,
+            HttpClient client,
+            ChangeBook changes,
+            LedgerDesk ledger,
+            Counters counters,
+            String incarnation) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
-        SourceCache sources = new SourceCache(settings.bounds().sources(), settings.controller().media().rungKb().size(), counters);
+        SourceCache sources = new SourceCache(
+                settings.bounds().sources(),
+                settings.controller().media().rungKb().size(),
+                counters);
         table = new SessionTable(loop, settings, random);
         answers = new PlayerAnswers(settings, counters);
         boxes = new BoxNews(loop, settings, random, client, counters, table, incarnation);
         setUps = new SetUps(loop, settings, counters, table, answers, boxes::box, incarnation);
-        host = new ControllerHost(() -> common.at(loop.clock().nanos() / 1e6), loop.clock()::nanos, loop::schedule,
-                settings.controller(), settings.seed(), setUps);
+        host = new ControllerHost(
+                () -> common.at(loop.clock().nanos() / 1e6),
+                loop.clock()::nanos,
+                loop::schedule,
+                settings.controller(),
+                settings.seed(),
+                setUps);
         SessionKeeper keeper = new SessionKeeper(loop, settings, ledger, host::nowMs, counters);
-        programme = new Programme(loop, settings, changes, sources, ledger, host::nowMs, counters,
+        programme = new Programme(
+                loop,
+                settings,
+                changes,
+                sources,
+                ledger,
+                host::nowMs,
+                counters,
                 new PieceSetUps(loop, settings, counters, table, setUps, host));
         reloads = new Reloads(loop, settings, counters, table, answers, sources, keeper, programme, setUps);
         setUps.with(host, programme, reloads);
@@ -109,7 +132,10 @@
                 x.problem(405, new Headers().add("Allow", "GET, HEAD"), "Method Not Allowed", null, "");
             }
         } else if (path.matches("/s/[0-9a-f]+/pieces/[A-Za-z0-9._-]+\\.m3u8") && reads) {
-            reloads.piece(x, path.substring(3, path.indexOf('/', 3)), path.substring(path.lastIndexOf('/') + 1, path.length() - 5));
+            reloads.piece(
+                    x,
+                    path.substring(3, path.indexOf('/', 3)),
+                    path.substring(path.lastIndexOf('/') + 1, path.length() - 5));
         } else if (path.equals("/v1/status") && reads) {
             status(x);
         } else {
@@ -123,7 +149,8 @@
         int from = prefix.length();
         int to = path.length() - suffix.length();
         return to > from && path.startsWith(prefix) && path.endsWith(suffix) && path.indexOf('/', from) == to
-                ? path.substring(from, to) : null;
+                ? path.substring(from, to)
+                : null;
     }
 
     private void first(Exchange x, String title) {
@@ -135,9 +162,14 @@
         boolean tooLong = viewer.length() > MOST_VIEWER_CHARS;
         if (c < 0 || tooLong || !title.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,99}")) {
             counters.count("bad-requests");
-            x.problem(400, "Bad Request", c < 0 ? "class: one of " + settings.classNames() + " is expected"
-                    : tooLong ? "viewer: at most " + MOST_VIEWER_CHARS + " characters are expected"
-                    : "title: letters, digits, dots, dashes are expected");
+            x.problem(
+                    400,
+                    "Bad Request",
+                    c < 0
+                            ? "class: one of " + settings.classNames() + " is expected"
+                            : tooLong
+                                    ? "viewer: at most " + MOST_VIEWER_CHARS + " characters are expected"
+                                    : "title: letters, digits, dots, dashes are expected");
             return;
         }
         var k = settings.controller().classes().get(c);
@@ -171,7 +203,14 @@
             answers.turnAway(x, null, settings.controller().limits().retryAfterMs());
             return;
         }
-        Viewing v = new Viewing(table.newToken(), c, t, viewer, title, top, wait,
+        Viewing v = new Viewing(
+                table.newToken(),
+                c,
+                t,
+                viewer,
+                title,
+                top,
+                wait,
                 new SessionPlaylist(settings.playlist(), nowMs(), host.nowMs()));
         v.returning = head.query("returning") != null;
         v.interstitials = switch (settings.interstitials()) {
@@ -207,7 +246,11 @@
     /** How a change fared here, as JSON: sessions that were shown it, wait for it, had it left out, or cut. */
     public ObjectNode changeTally(String id) {
         Programme.Tally t = programme.tally(id);
-        return Documents.MAPPER.createObjectNode().put("shown", t.shown).put("waited", t.waited).put("leftOut", t.leftOut)
+        return Documents.MAPPER
+                .createObjectNode()
+                .put("shown", t.shown)
+                .put("waited", t.waited)
+                .put("leftOut", t.leftOut)
                 .put("cut", t.cut);
     }
 
--- a/front/src/main/java/calicovale/front/player/SessionTable.java
+++ b/front/src/main/java/calicovale/front/player/SessionTable.java
@@ -24,11 +24,12 @@
     int pending;
     /** No new request is taken. */
     boolean draining;
+
     private Runnable drained;
     private final EventLoop loop;
     private final FrontSettings settings;
     private final RandomGenerator random;
-    private Consumer<Viewing> forgotten = v -> { };
+    private Consumer<Viewing> forgotten = v -> {};
 
     SessionTable(EventLoop loop, FrontSettings settings, RandomGenerator random) {
         this.loop = loop;
@@ -43,8 +44,11 @@
 
     /** Whether a bound forbids another session or request now; the counter that says which, or null. */
     String full() {
-        return draining ? "refused-draining" : pending >= settings.bounds().pending() ? "bound-pending-hit"
-                : byToken.size() >= settings.bounds().sessions() ? "bound-sessions-hit" : null;
+        return draining
+                ? "refused-draining"
+                : pending >= settings.bounds().pending()
+                        ? "bound-pending-hit"
+                        : byToken.size() >= settings.bounds().sessions() ? "bound-sessions-hit" : null;
     }
 
     /** A secret for a URL. */
--- a/front/src/main/java/calicovale/front/player/SetUps.java
+++ b/front/src/main/java/calicovale/front/player/SetUps.java
@@ -6,10 +6,10 @@
 import calicovale.ControllerApi.Request;
 import calicovale.ControllerApi.Started;
 import calicovale.front.box.BoxLink;
-import calicovale.host.ControllerHost;
-import calicovale.host.Counters;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.settings.FrontSettings.Holders;
+import calicovale.host.ControllerHost;
+import calicovale.host.Counters;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.HttpClient.Failure;
 import calicovale.protocols.http.HttpHead;
@@ -46,8 +46,14 @@
     private long requests;
 
     /** {@code boxes} gives the link of a box by its number, null for one that is not listed. */
-    SetUps(EventLoop loop, FrontSettings settings, Counters counters, SessionTable table, PlayerAnswers answers,
-            LongFunction<BoxLink> boxes, String incarnation) {
+    SetUps(
+            EventLoop loop,
+            FrontSettings settings,
+            Counters counters,
+            SessionTable table,
+            PlayerAnswers answers,
+            LongFunction<BoxLink> boxes,
+            String incarnation) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
@@ -86,10 +92,23 @@
         double left = v.waitMs - settings.times().answerMargin();
         String id = v.id;
         v.deadline = loop.schedule(left, () -> overdue(v, id));
-        Holders holders = v.holders != null ? v.holders
+        Holders holders = v.holders != null
+                ? v.holders
                 : settings.titles().getOrDefault(v.title, new Holders(0, Integer.MAX_VALUE));
-        host.raise(new Request(v.id, v.sessionClass, v.tenant, v.viewer, v.title, host.nowMs() + left, 0,
-                holders.homeCell(), holders.span(), v.top, retry, moved, returning));
+        host.raise(new Request(
+                v.id,
+                v.sessionClass,
+                v.tenant,
+                v.viewer,
+                v.title,
+                host.nowMs() + left,
+                0,
+                holders.homeCell(),
+                holders.span(),
+                v.top,
+                retry,
+                moved,
+                returning));
     }
 
     /** An exchange is answered by what comes of the present placing. */
@@ -160,8 +179,13 @@
             return;
         }
         double scale = settings.controller().classes().get(v.sessionClass).scale();
-        ObjectNode body = Documents.MAPPER.createObjectNode().put("session", id).put("attempt", attempt)
-                .put("class", settings.classNames().get(v.sessionClass)).put("title", v.title).put("rung", v.rung);
+        ObjectNode body = Documents.MAPPER
+                .createObjectNode()
+                .put("session", id)
+                .put("attempt", attempt)
+                .put("class", settings.classNames().get(v.sessionClass))
+                .put("title", v.title)
+                .put("rung", v.rung);
         ArrayNode ladder = body.putArray("ladderKb");
         settings.controller().media().rungKb().forEach(kb -> ladder.add(kb * scale));
         LOG.atInfo().addKeyValue("session", id).log("set-up {} at box {}, rung {}", attempt, server, v.rung);
@@ -178,14 +202,15 @@
 
             @Override
             public void failed(Failure failure) {
-                Outcome outcome = switch (failure) {
-                    case CONNECT_REFUSED, CONNECT_TIMEOUT -> Outcome.CONNECT_FAILED;
-                    case POOL_FULL -> Outcome.MOOT;
-                    case RESET -> Outcome.RESET;
-                    case TIMEOUT -> Outcome.TIMEOUT;
-                    case MALFORMED -> Outcome.ERROR;
-                    case CANCELLED -> Outcome.CANCELLED;
-                };
+                Outcome outcome =
+                        switch (failure) {
+                            case CONNECT_REFUSED, CONNECT_TIMEOUT -> Outcome.CONNECT_FAILED;
+                            case POOL_FULL -> Outcome.MOOT;
+                            case RESET -> Outcome.RESET;
+                            case TIMEOUT -> Outcome.TIMEOUT;
+                            case MALFORMED -> Outcome.ERROR;
+                            case CANCELLED -> Outcome.CANCELLED;
+                        };
                 if (!outcome.provesUnrun()) {
                     // it may have been started: the box lets it go now, or at the end of its lease
                     box.release(id + "." + attempt);
@@ -220,13 +245,14 @@
             v.playlist.resume(v.source, v.lostAtMs, nowMs());
         }
         boolean first = !v.given;
-        boolean any = background | answerAll(v, x -> {
-            if (first) {
-                return answers.giveFirst(v, x);
-            }
-            reloads.serve(v, x, true);
-            return true;
-        });
+        boolean any = background
+                | answerAll(v, x -> {
+                    if (first) {
+                        return answers.giveFirst(v, x);
+                    }
+                    reloads.serve(v, x, true);
+                    return true;
+                });
         if (!any) {
             // the answer could not be written: nobody has it, so nobody plays
             leave(v, Outcome.OK, Map.of());
@@ -236,8 +262,9 @@
         }
         v.given = true;
         counters.count("played");
-        LOG.atInfo().addKeyValue("session", id).log("plays at box {}, rung {}, after {} ms", box.id(), v.rung,
-                Math.round(elapsed));
+        LOG.atInfo()
+                .addKeyValue("session", id)
+                .log("plays at box {}, rung {}, after {} ms", box.id(), v.rung, Math.round(elapsed));
     }
 
     /** A set-up came to play that nobody waits for. */
@@ -257,7 +284,8 @@
             v.call = null;
             v.timedOut = outcome == Outcome.TIMEOUT;
         }
-        counters.count("attempts-" + outcome.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+        counters.count(
+                "attempts-" + outcome.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
         LOG.atInfo().addKeyValue("session", id).log("set-up {} at box {} ended: {}", attempt, server, outcome);
         boolean closed = v.departed || !present;
         host.raise(new AttemptEnded(id, attempt, server, outcome, nowMs() - v.attemptAtMs, closed, load));
@@ -324,8 +352,14 @@
         counters.count("failed");
         LOG.atInfo().addKeyValue("session", id).log("failed");
         int status = v.timedOut ? 504 : 502;
-        answerAll(v, x -> x.problem(status, PlayerAnswers.named(id), status == 504 ? "Gateway Timeout" : "Bad Gateway",
-                "the set-up failed", ""));
+        answerAll(
+                v,
+                x -> x.problem(
+                        status,
+                        PlayerAnswers.named(id),
+                        status == 504 ? "Gateway Timeout" : "Bad Gateway",
+                        "the set-up failed",
+                        ""));
         table.settle(v, Viewing.State.LOST);
     }
 
--- a/front/src/main/java/calicovale/front/player/ShownCookie.java
+++ b/front/src/main/java/calicovale/front/player/ShownCookie.java
@@ -27,6 +27,7 @@
     private static final int MOST_CHARS = 4096;
     /** Showings that a cookie carries: the last ones, about 3 kB of the longest names. */
     private static final int MOST_SHOWINGS = 12;
+
     private static final int MAX_AGE_S = 86_400;
 
     private final SecretKeySpec key;
@@ -40,7 +41,9 @@
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(key);
-            return Base64.getUrlEncoder().withoutPadding().encodeToString(mac.doFinal(text.getBytes(StandardCharsets.US_ASCII)));
+            return Base64.getUrlEncoder()
+                    .withoutPadding()
+                    .encodeToString(mac.doFinal(text.getBytes(StandardCharsets.US_ASCII)));
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
@@ -50,9 +53,12 @@
     String set(String viewer, Collection<Showing> showings) {
         ObjectNode n = Documents.MAPPER.createObjectNode().put("v", viewer);
         ArrayNode list = n.putArray("s");
-        showings.stream().skip(Math.max(0, showings.size() - MOST_SHOWINGS))
+        showings.stream()
+                .skip(Math.max(0, showings.size() - MOST_SHOWINGS))
                 .forEach(s -> list.addArray().add(s.change()).add(s.name()));
-        String text = Base64.getUrlEncoder().withoutPadding().encodeToString(n.toString().getBytes(StandardCharsets.UTF_8));
+        String text = Base64.getUrlEncoder()
+                .withoutPadding()
+                .encodeToString(n.toString().getBytes(StandardCharsets.UTF_8));
         return NAME + "=" + text + "." + mac(text) + "; Path=/; Max-Age=" + MAX_AGE_S + "; HttpOnly; SameSite=Lax";
     }
 
@@ -75,7 +81,8 @@
             return null;
         }
         String text = value.substring(0, dot);
-        if (!MessageDigest.isEqual(mac(text).getBytes(StandardCharsets.US_ASCII),
+        if (!MessageDigest.isEqual(
+                mac(text).getBytes(StandardCharsets.US_ASCII),
                 value.substring(dot + 1).getBytes(StandardCharsets.ISO_8859_1))) {
             return null;
         }
@@ -85,7 +92,9 @@
                 return null;
             }
             List<Showing> result = new ArrayList<>();
-            n.path("s").forEach(s -> result.add(new Showing(s.path(0).asText(), s.path(1).asText())));
+            n.path("s")
+                    .forEach(s ->
+                            result.add(new Showing(s.path(0).asText(), s.path(1).asText())));
             return result;
         } catch (IOException | IllegalArgumentException e) {
             return null;
--- a/front/src/main/java/calicovale/front/player/SourceCache.java
+++ b/front/src/main/java/calicovale/front/player/SourceCache.java
@@ -1,8 +1,8 @@
 package calicovale.front.player;
 
 import calicovale.front.box.BoxLink;
-import calicovale.host.Counters;
 import calicovale.front.playlist.Source;
+import calicovale.host.Counters;
 import calicovale.protocols.hls.HlsException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -23,6 +23,7 @@
     private final int rungs;
     /** By title, the least used first; each with a place for every rung. */
     private final LinkedHashMap<String, Source[]> kept = new LinkedHashMap<>(16, 0.75f, true);
+
     private final Map<String, List<Runnable>> fetching = new HashMap<>();
     private int count;
 
@@ -44,7 +45,9 @@
         while (count > most && kept.size() > 1) {
             counters.count("sources-dropped");
             var least = kept.entrySet().iterator();
-            count -= (int) Arrays.stream(least.next().getValue()).filter(Objects::nonNull).count();
+            count -= (int) Arrays.stream(least.next().getValue())
+                    .filter(Objects::nonNull)
+                    .count();
             least.remove();
         }
     }
--- a/front/src/main/java/calicovale/front/player/Viewing.java
+++ b/front/src/main/java/calicovale/front/player/Viewing.java
@@ -16,7 +16,12 @@
  */
 final class Viewing {
     /** Where it stands: being placed; playing; without a box after a loss; over. */
-    enum State { PLACING, PLAYING, LOST, ENDED }
+    enum State {
+        PLACING,
+        PLAYING,
+        LOST,
+        ENDED
+    }
 
     final String token;
     final int sessionClass;
@@ -40,17 +45,20 @@
     /** Where its title is held; null: as the settings have it. */
     FrontSettings.Holders holders;
     /** Runs whenever the state is another; for set-ups of pieces. */
-    Runnable changed = () -> { };
+    Runnable changed = () -> {};
     /** Ms for which it played after the ledger's last step, if it is of the process before; negative: it is not. */
     double backAfterMs = -1;
     /** Exchanges that the present placing will answer. */
     final List<Exchange> waiting = new ArrayList<>(1);
+
     State state = State.PLACING;
     /** Set once a player was given this session's playlist. */
     boolean given;
+
     boolean departed;
     /** The present request's id and attempt, as the controller knows them. */
     String id;
+
     int attempt = -1;
     int rung;
     int rungChange;
@@ -74,7 +82,14 @@
         boolean underWay;
     }
 
-    Viewing(String token, int sessionClass, int tenant, String viewer, String title, int top, double waitMs,
+    Viewing(
+            String token,
+            int sessionClass,
+            int tenant,
+            String viewer,
+            String title,
+            int top,
+            double waitMs,
             SessionPlaylist playlist) {
         this.token = token;
         this.sessionClass = sessionClass;
--- a/front/src/main/java/calicovale/front/playlist/Piece.java
+++ b/front/src/main/java/calicovale/front/playlist/Piece.java
@@ -73,12 +73,18 @@
 
     /** The EXT-X-DATERANGE line by which a player plays it as an interstitial, in place of so many seconds. */
     String interstitial(double dateMs, long number, double replacedS) {
-        return line(range("com.apple.hls.interstitial", dateMs, number).set("DURATION", seconds(source.lengthS()))
-                .quoted("X-ASSET-URI", asset).set("X-RESUME-OFFSET", seconds(replacedS)).quoted("X-RESTRICT", "SKIP,JUMP"));
+        return line(range("com.apple.hls.interstitial", dateMs, number)
+                .set("DURATION", seconds(source.lengthS()))
+                .quoted("X-ASSET-URI", asset)
+                .set("X-RESUME-OFFSET", seconds(replacedS))
+                .quoted("X-RESTRICT", "SKIP,JUMP"));
     }
 
     private Attributes range(String kind, double dateMs, long number) {
-        return new Attributes().quoted("ID", id + "-" + number).quoted("CLASS", kind).quoted("START-DATE", date(dateMs));
+        return new Attributes()
+                .quoted("ID", id + "-" + number)
+                .quoted("CLASS", kind)
+                .quoted("START-DATE", date(dateMs));
     }
 
     private static String line(Attributes range) {
@@ -87,8 +93,10 @@
 
     /** The piece's own playlist, whole, for a player that plays it as an interstitial. */
     public String render() {
-        StringBuilder out = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:")
-                .append(source.targetS()).append("\n#EXT-X-PLAYLIST-TYPE:VOD\n");
+        StringBuilder out = new StringBuilder(
+                        "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:")
+                .append(source.targetS())
+                .append("\n#EXT-X-PLAYLIST-TYPE:VOD\n");
         Source.State state = new Source.State();
         for (int i = 0; i < source.count(); i++) {
             if (source.broken(i)) {
