--- a/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
+++ b/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
@@ -22,8 +22,7 @@
      * @param behind segments kept before it
      * @param targetS least EXT-X-TARGETDURATION: it may not change later, so it has to be that of the longest piece too
      */
-    public record Shape(int ahead, int behind, int targetS) {
-    }
+    public record Shape(int ahead, int behind, int targetS) {}
 
     /**
      * A stretch of one rung from one box.
@@ -35,13 +34,20 @@
      * @param startMs when its first segment plays
      * @param dateMs the programme's date then
      */
-    private record Run(long firstSequence, int firstSegment, int rung, String base, Source source, Piece piece, int placed,
-            int number, double startMs, double dateMs) {
-    }
+    private record Run(
+            long firstSequence,
+            int firstSegment,
+            int rung,
+            String base,
+            Source source,
+            Piece piece,
+            int placed,
+            int number,
+            double startMs,
+            double dateMs) {}
 
     /** An interstitial, and the segment with which it is told. */
-    private record Mark(long sequence, String text) {
-    }
+    private record Mark(long sequence, String text) {}
 
     /**
      * What must be known to go on with a session's playlist after a restart without a step back.
@@ -52,18 +58,19 @@
      * @param targetS EXT-X-TARGETDURATION as it was given; 0: none was
      * @param dateMs no date after it was given
      */
-    public record Progress(long sequence, int number, int segment, long targetS, double dateMs) {
-    }
+    public record Progress(long sequence, int number, int segment, long targetS, double dateMs) {}
 
     private final Shape shape;
     /** The programme's date, less the monotonic time at which it plays. */
     private double dateOffsetMs;
+
     private final List<Run> runs = new ArrayList<>(2);
     private final List<Mark> marks = new ArrayList<>(0);
     private final List<Piece> plan = new ArrayList<>(0);
     private int nextPlaced;
     /** The lecture as it was extended last; null before that. */
     private Source lecture;
+
     private long nextSequence;
     private int number;
     private boolean restored;
@@ -75,6 +82,7 @@
     private long served = -1;
     /** After a break the last run is over, whatever follows it: how long it was may have been told. */
     private boolean sealed;
+
     private double endMs;
     private long targetS;
 
@@ -190,7 +198,10 @@
         while (segment < end && at + length(source, segment) <= ms) {
             at += length(source, segment++);
             // the player holds the lecture while it plays an interstitial
-            while (run.piece() == null && held < plan.size() && plan.get(held).interstitial() && plan.get(held).from() <= segment) {
+            while (run.piece() == null
+                    && held < plan.size()
+                    && plan.get(held).interstitial()
+                    && plan.get(held).from() <= segment) {
                 at += plan.get(held).from() == segment ? plan.get(held).heldMs(source) : 0;
                 held++;
             }
@@ -275,17 +286,24 @@
             goesOnAt = piece == null ? goesOnAt : pieceSegment;
         } else if (run.piece() != null) {
             goesOnAt = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
-            at = Math.max(nowMs, run.startMs()
-                    + 1000 * (run.piece().source().startS(goesOnAt) - run.piece().source().startS(run.firstSegment())));
+            at = Math.max(
+                    nowMs,
+                    run.startMs()
+                            + 1000
+                                    * (run.piece().source().startS(goesOnAt)
+                                            - run.piece().source().startS(run.firstSegment())));
             nextPlaced = run.placed();
             nextSegment = run.piece().from();
         } else {
             goesOnAt = 0;
             nextSegment = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
-            at = Math.max(nowMs, run.startMs() + 1000 * (source.startS(nextSegment) - source.startS(run.firstSegment())));
+            at = Math.max(
+                    nowMs, run.startMs() + 1000 * (source.startS(nextSegment) - source.startS(run.firstSegment())));
             nextPlaced = run.placed();
-            while (nextPlaced < plan.size() && plan.get(nextPlaced).interstitial()
-                    && plan.get(nextPlaced).from() > run.firstSegment() && plan.get(nextPlaced).from() <= nextSegment) {
+            while (nextPlaced < plan.size()
+                    && plan.get(nextPlaced).interstitial()
+                    && plan.get(nextPlaced).from() > run.firstSegment()
+                    && plan.get(nextPlaced).from() <= nextSegment) {
                 nextPlaced++;
             }
         }
@@ -323,8 +341,10 @@
                     // a stretch that was replaced since took its boundary away
                     nextPlaced++;
                 }
-                boolean planned = nextPlaced < plan.size() && plan.get(nextPlaced).from() == nextSegment;
-                Piece next = planned ? stitcher.again(plan.get(nextPlaced))
+                boolean planned =
+                        nextPlaced < plan.size() && plan.get(nextPlaced).from() == nextSegment;
+                Piece next = planned
+                        ? stitcher.again(plan.get(nextPlaced))
                         : stitcher.before(nextSegment, source.startS(nextSegment), endMs);
                 if (next == Piece.WAIT) {
                     return false;
@@ -360,8 +380,10 @@
             plan.add(nextPlaced, next);
         }
         if (next.interstitial()) {
-            marks.add(new Mark(nextSequence, next.interstitial(endDateMs(), nextSequence,
-                    source.startS(next.to()) - source.startS(next.from()))));
+            marks.add(new Mark(
+                    nextSequence,
+                    next.interstitial(
+                            endDateMs(), nextSequence, source.startS(next.to()) - source.startS(next.from()))));
             // the player holds the lecture meanwhile: what follows plays later, at the same date
             endMs += next.heldMs(source);
             dateOffsetMs -= next.heldMs(source);
@@ -381,8 +403,13 @@
 
     private void add(Source of, int segment, int rung, String base, Piece part) {
         Run last = runs.isEmpty() ? null : runs.get(runs.size() - 1);
-        boolean joins = last != null && !sealed && last.rung() == rung && last.base().equals(base) && Objects.equals(last.piece(), part)
-                && last.firstSegment() + (nextSequence - last.firstSequence()) == segment && !of.broken(segment);
+        boolean joins = last != null
+                && !sealed
+                && last.rung() == rung
+                && last.base().equals(base)
+                && Objects.equals(last.piece(), part)
+                && last.firstSegment() + (nextSequence - last.firstSequence()) == segment
+                && !of.broken(segment);
         if (!joins) {
             number += last != null || restored ? 1 : 0;
             runs.add(new Run(nextSequence, segment, rung, base, of, part, nextPlaced, number, endMs, endDateMs()));
@@ -423,8 +450,10 @@
         Run begins = runs.get(0);
         // the tag before the window's first segment counts it itself
         boolean marked = begins.number() > 0 && begins.firstSequence() == first;
-        out.append("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:").append(targetS)
-                .append("\n#EXT-X-MEDIA-SEQUENCE:").append(first);
+        out.append("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:")
+                .append(targetS)
+                .append("\n#EXT-X-MEDIA-SEQUENCE:")
+                .append(first);
         int discontinuities = begins.number() - (marked ? 1 : 0);
         if (discontinuities > 0) {
             out.append("\n#EXT-X-DISCONTINUITY-SEQUENCE:").append(discontinuities);
@@ -451,7 +480,8 @@
                     if (run.piece() != null) {
                         double from = source.startS(run.firstSegment());
                         double listed = source.startS(run.firstSegment() + (int) (end - run.firstSequence())) - from;
-                        boolean over = i + 1 < runs.size() || sealed || !run.piece().equals(piece);
+                        boolean over =
+                                i + 1 < runs.size() || sealed || !run.piece().equals(piece);
                         out.append(run.piece().dateRange(run.dateMs(), run.firstSequence(), from, over ? listed : -1));
                     }
                 }
--- a/front/src/main/java/calicovale/front/playlist/Source.java
+++ b/front/src/main/java/calicovale/front/playlist/Source.java
@@ -14,15 +14,21 @@
  */
 public final class Source {
     /** Tags that a session's playlist writes itself, or that are made explicit for each segment. */
-    private static final List<String> REWRITTEN = List.of("EXT-X-MAP", "EXT-X-KEY", "EXT-X-BYTERANGE", "EXT-X-DISCONTINUITY",
-            "EXT-X-PROGRAM-DATE-TIME", "EXT-X-DATERANGE", "EXTINF");
+    private static final List<String> REWRITTEN = List.of(
+            "EXT-X-MAP",
+            "EXT-X-KEY",
+            "EXT-X-BYTERANGE",
+            "EXT-X-DISCONTINUITY",
+            "EXT-X-PROGRAM-DATE-TIME",
+            "EXT-X-DATERANGE",
+            "EXTINF");
 
     /**
      * What is written of one segment: the lines that are its own, keys and map with URIs as the box wrote them; {@code below}:
      * its URI only needs the base before it.
      */
-    private record Segment(String lines, String uri, boolean below, List<Attributes> keys, Attributes map, boolean broken) {
-    }
+    private record Segment(
+            String lines, String uri, boolean below, List<Attributes> keys, Attributes map, boolean broken) {}
 
     private final List<Segment> segments;
     private final double[] starts;
@@ -69,7 +75,11 @@
             String range = entry.value("EXT-X-BYTERANGE");
             if (range != null) {
                 long[] at = range(range, entry.uri().equals(rangeOf) ? rangeEnd : -1);
-                lines.append("#EXT-X-BYTERANGE:").append(at[0]).append('@').append(at[1]).append('\n');
+                lines.append("#EXT-X-BYTERANGE:")
+                        .append(at[0])
+                        .append('@')
+                        .append(at[1])
+                        .append('\n');
                 rangeOf = entry.uri();
                 rangeEnd = at[0] + at[1];
             } else {
@@ -77,19 +87,28 @@
             }
             lines.append("#EXTINF:").append(entry.value("EXTINF")).append('\n');
             keys = told.isEmpty() ? keys : "NONE".equals(told.get(0).get("METHOD")) ? List.of() : List.copyOf(told);
-            segments.add(new Segment(lines.toString(), entry.uri(), entry.uri().indexOf(':') < 0 && !entry.uri().startsWith("/"),
-                    explicit(keys, first + i), map, broken));
+            segments.add(new Segment(
+                    lines.toString(),
+                    entry.uri(),
+                    entry.uri().indexOf(':') < 0 && !entry.uri().startsWith("/"),
+                    explicit(keys, first + i),
+                    map,
+                    broken));
             starts[i + 1] = starts[i] + entry.duration();
             longest = Math.max(longest, entry.duration());
         }
-        return new Source(List.copyOf(segments), starts,
+        return new Source(
+                List.copyOf(segments),
+                starts,
                 Math.max(1, Math.max(Math.round(longest), playlist.number("EXT-X-TARGETDURATION", 1))));
     }
 
     /** A range with its offset stated: without one it goes on where the segment before ended, which a window may not show. */
     private static long[] range(String value, long goesOn) throws HlsException {
         String[] parts = value.split("@", -1);
-        if (parts.length > 2 || !parts[0].matches("\\d{1,15}") || parts.length == 2 && !parts[1].matches("\\d{1,15}")
+        if (parts.length > 2
+                || !parts[0].matches("\\d{1,15}")
+                || parts.length == 2 && !parts[1].matches("\\d{1,15}")
                 || parts.length == 1 && goesOn < 0) {
             throw new HlsException(1, "EXT-X-BYTERANGE needs a length, and an offset where it does not go on");
         }
@@ -135,6 +154,7 @@
         private String map;
         /** The map and base from which {@code map} was made: most segments share them. */
         private Attributes mapOf;
+
         private String base;
 
         /** A discontinuity: the initialization section is stated anew. */
--- a/front/src/main/java/calicovale/front/settings/FrontSettings.java
+++ b/front/src/main/java/calicovale/front/settings/FrontSettings.java
@@ -56,18 +56,39 @@
  * @param gossip this manager's place in a group, or null: it talks to no other manager and opens no socket for it
  * @param interstitials whether pieces go to players as interstitials
  */
-public record FrontSettings(ControllerApi.Settings controller, long seed, List<String> classNames,
-        List<String> tenantNames, Map<String, Holders> titles, InetSocketAddress listen, InetSocketAddress directory,
-        Path savedList, Bounds bounds, Times times, SessionPlaylist.Shape playlist, HttpLimits http, LoopLimits loop,
-        InetSocketAddress operators, Path changesFolder, Path changesWatch, ChangeKeys changeKeys, Path sessionsFolder,
-        byte[] viewerKey, CrossOrigin crossOrigin, GossipSettings gossip, Interstitials interstitials) {
+public record FrontSettings(
+        ControllerApi.Settings controller,
+        long seed,
+        List<String> classNames,
+        List<String> tenantNames,
+        Map<String, Holders> titles,
+        InetSocketAddress listen,
+        InetSocketAddress directory,
+        Path savedList,
+        Bounds bounds,
+        Times times,
+        SessionPlaylist.Shape playlist,
+        HttpLimits http,
+        LoopLimits loop,
+        InetSocketAddress operators,
+        Path changesFolder,
+        Path changesWatch,
+        ChangeKeys changeKeys,
+        Path sessionsFolder,
+        byte[] viewerKey,
+        CrossOrigin crossOrigin,
+        GossipSettings gossip,
+        Interstitials interstitials) {
 
     /** Whether pieces go to players as HLS interstitials: to none, to those that ask for it, or to all. */
-    public enum Interstitials { NEVER, ASKED, ALWAYS }
+    public enum Interstitials {
+        NEVER,
+        ASKED,
+        ALWAYS
+    }
 
     /** Cells in a row that hold a title. */
-    public record Holders(int homeCell, int span) {
-    }
+    public record Holders(int homeCell, int span) {}
 
     /**
      * Bounds of tables.
@@ -83,9 +104,17 @@
      * @param plansPerTurn sessions looked at in one turn of the loop when a change is told
      * @param watched documents in the watched folder
      */
-    public record Bounds(int sessions, int pending, int connections, int perBox, int sources, int boxes, int changes,
-            int shown, int plansPerTurn, int watched) {
-    }
+    public record Bounds(
+            int sessions,
+            int pending,
+            int connections,
+            int perBox,
+            int sources,
+            int boxes,
+            int changes,
+            int shown,
+            int plansPerTurn,
+            int watched) {}
 
     /**
      * Waits, all in ms.
@@ -107,10 +136,23 @@
      * @param alive between two notes in the ledger that the process runs
      * @param watch between two looks at the watched folder
      */
-    public record Times(double answerMargin, double connect, double lease, double silent, double lost, double backoff,
-            double backoffMost, double clockEvery, double endedKept, double source, double drain, double stitchWait, double holders,
-            double foundKept, double alive, double watch) {
-    }
+    public record Times(
+            double answerMargin,
+            double connect,
+            double lease,
+            double silent,
+            double lost,
+            double backoff,
+            double backoffMost,
+            double clockEvery,
+            double endedKept,
+            double source,
+            double drain,
+            double stitchWait,
+            double holders,
+            double foundKept,
+            double alive,
+            double watch) {}
 
     /** Reads a file and checks it whole. */
     public static FrontSettings read(Path file) throws InvalidDocumentException {
@@ -130,7 +172,8 @@
             faults.add(name + ": /media/rungWorth: as many as in /media/rungKb are expected (" + rungs + ")");
         }
         for (int i = 1; i < rungs; i++) {
-            if (media.get("rungKb").get(i).asDouble() <= media.get("rungKb").get(i - 1).asDouble()) {
+            if (media.get("rungKb").get(i).asDouble()
+                    <= media.get("rungKb").get(i - 1).asDouble()) {
                 faults.add(name + ": /media/rungKb/" + i + ": a rate above the one before is expected");
             }
         }
@@ -155,10 +198,18 @@
             if (low > high) {
                 faults.add(at + "/lowestRung: at most /highestRung is expected");
             }
-            classes.add(new SessionClass(c.get("worth").asDouble(), c.get("aimMs").asDouble(),
-                    c.get("deadlineMs").asDouble(), Effect.valueOf(upper(c, "effect", "pure")),
-                    Group.valueOf(upper(c, "group", "all")), num(c, "tokenMs", 0), low, high, num(c, "scale", 1),
-                    c.path("live").asBoolean(), c.path("seats").asInt()));
+            classes.add(new SessionClass(
+                    c.get("worth").asDouble(),
+                    c.get("aimMs").asDouble(),
+                    c.get("deadlineMs").asDouble(),
+                    Effect.valueOf(upper(c, "effect", "pure")),
+                    Group.valueOf(upper(c, "group", "all")),
+                    num(c, "tokenMs", 0),
+                    low,
+                    high,
+                    num(c, "scale", 1),
+                    c.path("live").asBoolean(),
+                    c.path("seats").asInt()));
         }
         List<String> tenantNames = new ArrayList<>();
         List<Tenant> tenants = new ArrayList<>();
@@ -167,18 +218,31 @@
             tenants.add(new Tenant(num(t, "quotaPerSecond", 0)));
         }
         JsonNode times = n.path("times");
-        Times waits = new Times(num(times, "answerMarginMs", 40), num(times, "connectMs", 500),
-                num(times, "leaseMs", 1500), num(times, "silentMs", 3000), num(times, "lostMs", 5000),
-                num(times, "backoffMs", 200), num(times, "backoffMostMs", 5000), num(times, "clockEveryMs", 1000),
-                num(times, "endedKeptMs", 30_000), num(times, "sourceMs", 1000), num(times, "drainMs", 10_000),
-                num(times, "stitchWaitMs", 300), num(times, "holdersMs", 60_000), num(times, "foundKeptMs", 120_000),
-                num(times, "aliveMs", 1000), num(times, "watchMs", 1000));
+        Times waits = new Times(
+                num(times, "answerMarginMs", 40),
+                num(times, "connectMs", 500),
+                num(times, "leaseMs", 1500),
+                num(times, "silentMs", 3000),
+                num(times, "lostMs", 5000),
+                num(times, "backoffMs", 200),
+                num(times, "backoffMostMs", 5000),
+                num(times, "clockEveryMs", 1000),
+                num(times, "endedKeptMs", 30_000),
+                num(times, "sourceMs", 1000),
+                num(times, "drainMs", 10_000),
+                num(times, "stitchWaitMs", 300),
+                num(times, "holdersMs", 60_000),
+                num(times, "foundKeptMs", 120_000),
+                num(times, "aliveMs", 1000),
+                num(times, "watchMs", 1000));
         if (waits.backoffMost() < waits.backoff()) {
             faults.add(name + ": /times/backoffMostMs: at least /times/backoffMs is expected");
         }
         ChangeKeys changeKeys = ChangeKeys.ANYONE;
         Map<String, String> keyTexts = new LinkedHashMap<>();
-        n.path("changeKeys").properties().forEach(e -> keyTexts.put(e.getKey(), e.getValue().asText()));
+        n.path("changeKeys")
+                .properties()
+                .forEach(e -> keyTexts.put(e.getKey(), e.getValue().asText()));
         try {
             changeKeys = ChangeKeys.of(keyTexts);
         } catch (IllegalArgumentException e) {
@@ -188,7 +252,8 @@
         try {
             crossOrigin = crossOrigin(n.path("crossOrigin"));
         } catch (IllegalArgumentException e) {
-            faults.add(name + ": /crossOrigin/origins: named origins are expected with /crossOrigin/credentials or beside others,"
+            faults.add(name
+                    + ": /crossOrigin/origins: named origins are expected with /crossOrigin/credentials or beside others,"
                     + " " + e.getMessage());
         }
         GossipSettings gossip = null;
@@ -205,42 +270,99 @@
         }
         JsonNode limits = n.get("limits");
         JsonNode rules = n.get("rules");
-        Limits may = new Limits(limits.get("attempts").asInt(), limits.get("retryAfterMs").asDouble(), false, false,
+        Limits may = new Limits(
+                limits.get("attempts").asInt(),
+                limits.get("retryAfterMs").asDouble(),
+                false,
+                false,
                 limits.path("cancel").asBoolean(true));
-        Rules figures = new Rules(rules.get("coldFrom").asDouble(), rules.get("warmAfterMs").asDouble(),
-                rules.get("tipMultiple").asDouble(), rules.get("tipMs").asDouble(), rules.get("drainGraceMs").asDouble(),
-                num(rules, "extraFree", -1), num(rules, "extraRatio", 0), num(rules, "extraWindowMs", 0), 0);
-        Media ladder = new Media(numbers(media.get("rungKb")), numbers(media.get("rungWorth")),
-                media.path("cells").asInt(), media.path("racks").asInt(), media.get("linkKbPerWeight").asDouble(),
-                num(media, "uplinkKb", 0), numbers(media.get("kindStreams")), num(media, "join", 1),
-                num(media, "fullFrom", 0), num(media, "missingCost", 0), num(media, "changeCostS", 0),
-                media.get("noteDelayMs").asDouble(), media.get("noteEveryMs").asDouble());
-        ReportMode reports = n.path("reports").asText("with_outcomes").equals("none") ? ReportMode.NONE
-                : ReportMode.WITH_OUTCOMES;
-        ControllerApi.Settings settings = new ControllerApi.Settings(manager.get("number").asInt(),
-                manager.get("of").asInt(), manager.path("zone").asInt(), classes, tenants, num(n, "overShareWorth", 1),
-                may, figures, ladder, reports, false, num(n, "worstClassWeight", 0), num(n, "moveCost", 0),
-                num(n, "zoneCost", 0), 0);
+        Rules figures = new Rules(
+                rules.get("coldFrom").asDouble(),
+                rules.get("warmAfterMs").asDouble(),
+                rules.get("tipMultiple").asDouble(),
+                rules.get("tipMs").asDouble(),
+                rules.get("drainGraceMs").asDouble(),
+                num(rules, "extraFree", -1),
+                num(rules, "extraRatio", 0),
+                num(rules, "extraWindowMs", 0),
+                0);
+        Media ladder = new Media(
+                numbers(media.get("rungKb")),
+                numbers(media.get("rungWorth")),
+                media.path("cells").asInt(),
+                media.path("racks").asInt(),
+                media.get("linkKbPerWeight").asDouble(),
+                num(media, "uplinkKb", 0),
+                numbers(media.get("kindStreams")),
+                num(media, "join", 1),
+                num(media, "fullFrom", 0),
+                num(media, "missingCost", 0),
+                num(media, "changeCostS", 0),
+                media.get("noteDelayMs").asDouble(),
+                media.get("noteEveryMs").asDouble());
+        ReportMode reports =
+                n.path("reports").asText("with_outcomes").equals("none") ? ReportMode.NONE : ReportMode.WITH_OUTCOMES;
+        ControllerApi.Settings settings = new ControllerApi.Settings(
+                manager.get("number").asInt(),
+                manager.get("of").asInt(),
+                manager.path("zone").asInt(),
+                classes,
+                tenants,
+                num(n, "overShareWorth", 1),
+                may,
+                figures,
+                ladder,
+                reports,
+                false,
+                num(n, "worstClassWeight", 0),
+                num(n, "moveCost", 0),
+                num(n, "zoneCost", 0),
+                0);
         JsonNode b = n.path("bounds");
-        Bounds bounds = new Bounds(b.path("sessions").asInt(20_000), b.path("pending").asInt(5000),
-                b.path("connections").asInt(50_000), b.path("perBox").asInt(256), b.path("sources").asInt(2000),
-                b.path("boxes").asInt(1000), b.path("changes").asInt(100),
-                b.path("shown").asInt(200_000), b.path("plansPerTurn").asInt(250), b.path("watched").asInt(1000));
+        Bounds bounds = new Bounds(
+                b.path("sessions").asInt(20_000),
+                b.path("pending").asInt(5000),
+                b.path("connections").asInt(50_000),
+                b.path("perBox").asInt(256),
+                b.path("sources").asInt(2000),
+                b.path("boxes").asInt(1000),
+                b.path("changes").asInt(100),
+                b.path("shown").asInt(200_000),
+                b.path("plansPerTurn").asInt(250),
+                b.path("watched").asInt(1000));
         JsonNode p = n.path("playlist");
         Map<String, Holders> titles = new HashMap<>();
         Map<String, JsonNode> named = new LinkedHashMap<>();
         n.path("titles").properties().forEach(e -> named.put(e.getKey(), e.getValue()));
-        named.forEach((title, t) -> titles.put(title, new Holders(t.get("homeCell").asInt(), t.get("span").asInt())));
+        named.forEach((title, t) -> titles.put(
+                title, new Holders(t.get("homeCell").asInt(), t.get("span").asInt())));
         JsonNode d = n.get("directory");
-        return new FrontSettings(settings, manager.path("seed").asLong(1), List.copyOf(classNames),
-                List.copyOf(tenantNames), Map.copyOf(titles), address(n.get("listen")), address(d),
-                d.has("savedList") ? Path.of(d.get("savedList").asText()) : null, bounds, waits,
-                new SessionPlaylist.Shape(p.path("ahead").asInt(3), p.path("behind").asInt(3), p.path("targetS").asInt()),
-                http(n.path("http"), bounds.connections()), loop(n.path("loop")),
+        return new FrontSettings(
+                settings,
+                manager.path("seed").asLong(1),
+                List.copyOf(classNames),
+                List.copyOf(tenantNames),
+                Map.copyOf(titles),
+                address(n.get("listen")),
+                address(d),
+                d.has("savedList") ? Path.of(d.get("savedList").asText()) : null,
+                bounds,
+                waits,
+                new SessionPlaylist.Shape(
+                        p.path("ahead").asInt(3),
+                        p.path("behind").asInt(3),
+                        p.path("targetS").asInt()),
+                http(n.path("http"), bounds.connections()),
+                loop(n.path("loop")),
                 n.has("operators") ? address(n.get("operators")) : null,
-                folder(n, "changesFolder"), folder(n, "changesWatch"), changeKeys, folder(n, "sessionsFolder"),
+                folder(n, "changesFolder"),
+                folder(n, "changesWatch"),
+                changeKeys,
+                folder(n, "sessionsFolder"),
                 n.has("viewerKey") ? HexFormat.of().parseHex(n.get("viewerKey").asText()) : null,
-                crossOrigin, gossip, Interstitials.valueOf(upper(n, "interstitials", "never")));
+                crossOrigin,
+                gossip,
+                Interstitials.valueOf(upper(n, "interstitials", "never")));
     }
 
     private static Path folder(JsonNode n, String key) {
@@ -250,29 +372,44 @@
     /** Headers of answers that a player's page reads. */
     private static final List<String> EXPOSED = List.of("Calicovale-Session", "Retry-After", "Date");
     /** Headers that a player's page sends: CMCD (CTA-5004), ranges, and what fetch adds to reload. */
-    private static final List<String> REQUESTED = List.of("CMCD-Object", "CMCD-Request", "CMCD-Session", "CMCD-Status", "Range",
-            "Cache-Control");
+    private static final List<String> REQUESTED =
+            List.of("CMCD-Object", "CMCD-Request", "CMCD-Session", "CMCD-Status", "Range", "Cache-Control");
 
     private static CrossOrigin crossOrigin(JsonNode n) {
         Set<String> origins = new LinkedHashSet<>();
         n.path("origins").forEach(origin -> origins.add(origin.asText()));
-        return new CrossOrigin(origins, n.path("credentials").asBoolean(), n.path("maxAgeS").asInt(600), EXPOSED, REQUESTED,
+        return new CrossOrigin(
+                origins,
+                n.path("credentials").asBoolean(),
+                n.path("maxAgeS").asInt(600),
+                EXPOSED,
+                REQUESTED,
                 List.of("GET", "HEAD"));
     }
 
     private static HttpLimits http(JsonNode n, int connections) {
         HttpLimits d = HttpLimits.DEFAULT;
-        return new HttpLimits(n.path("lineBytes").asInt(d.lineBytes()), n.path("headerCount").asInt(d.headerCount()),
-                n.path("headerBytes").asInt(d.headerBytes()), n.path("bodyBytes").asInt(d.bodyBytes()),
-                n.path("pipelinedBytes").asInt(d.pipelinedBytes()), num(n, "headMs", d.headMs()),
-                num(n, "bodyMs", d.bodyMs()), num(n, "idleMs", d.idleMs()), connections);
+        return new HttpLimits(
+                n.path("lineBytes").asInt(d.lineBytes()),
+                n.path("headerCount").asInt(d.headerCount()),
+                n.path("headerBytes").asInt(d.headerBytes()),
+                n.path("bodyBytes").asInt(d.bodyBytes()),
+                n.path("pipelinedBytes").asInt(d.pipelinedBytes()),
+                num(n, "headMs", d.headMs()),
+                num(n, "bodyMs", d.bodyMs()),
+                num(n, "idleMs", d.idleMs()),
+                connections);
     }
 
     private static LoopLimits loop(JsonNode n) {
         LoopLimits d = LoopLimits.DEFAULT;
-        return new LoopLimits(n.path("mailbox").asInt(d.mailbox()), n.path("readBytes").asInt(d.readBytes()),
-                n.path("pendingBytes").asInt(d.pendingBytes()), n.path("backlog").asInt(d.backlog()),
-                n.path("acceptsPerTurn").asInt(d.acceptsPerTurn()), n.path("datagramsPerTurn").asInt(d.datagramsPerTurn()));
+        return new LoopLimits(
+                n.path("mailbox").asInt(d.mailbox()),
+                n.path("readBytes").asInt(d.readBytes()),
+                n.path("pendingBytes").asInt(d.pendingBytes()),
+                n.path("backlog").asInt(d.backlog()),
+                n.path("acceptsPerTurn").asInt(d.acceptsPerTurn()),
+                n.path("datagramsPerTurn").asInt(d.datagramsPerTurn()));
     }
 
     private static String upper(JsonNode n, String key, String absent) {
--- a/front/src/main/java/calicovale/front/stream/HeldStream.java
+++ b/front/src/main/java/calicovale/front/stream/HeldStream.java
@@ -1,7 +1,7 @@
 package calicovale.front.stream;
 
-import calicovale.host.Counters;
 import calicovale.host.Backoff;
+import calicovale.host.Counters;
 import calicovale.protocols.http.EventStream;
 import calicovale.protocols.http.Headers;
 import calicovale.protocols.http.HttpClient;
@@ -29,8 +29,7 @@
         void onBroken(Failure failure);
 
         /** Called while the stream is wanted, a few times within the bound on silence. */
-        default void onLook() {
-        }
+        default void onLook() {}
     }
 
     private final EventLoop loop;
@@ -56,8 +55,17 @@
      * @param eventBytes most bytes of an event
      * @param silentMs without a byte after which the stream counts as dead
      */
-    public HeldStream(EventLoop loop, HttpClient client, Supplier<InetSocketAddress> address, String name, String target,
-            int eventBytes, double silentMs, Backoff backoff, Counters counters, Listener listener) {
+    public HeldStream(
+            EventLoop loop,
+            HttpClient client,
+            Supplier<InetSocketAddress> address,
+            String name,
+            String target,
+            int eventBytes,
+            double silentMs,
+            Backoff backoff,
+            Counters counters,
+            Listener listener) {
         this.loop = loop;
         this.client = client;
         this.address = address;
@@ -132,8 +140,15 @@
                 listener.onEvent(type, data, askedAt);
             }
         });
-        self[0] = call = client.stream(address.get(), name, "GET", target, new Headers().add("Accept", "text/event-stream"),
-                new byte[0], 0, new HttpClient.ResponseHandler() {
+        self[0] = call = client.stream(
+                address.get(),
+                name,
+                "GET",
+                target,
+                new Headers().add("Accept", "text/event-stream"),
+                new byte[0],
+                0,
+                new HttpClient.ResponseHandler() {
                     private boolean good;
 
                     @Override
--- a/front/src/main/java/calicovale/front/time/CommonClock.java
+++ b/front/src/main/java/calicovale/front/time/CommonClock.java
@@ -33,8 +33,7 @@
             // before the first exchange only a guess was given, and nobody was served: it must not hold the clock up
             last = Double.NEGATIVE_INFINITY;
         }
-        double aged = error == Double.MAX_VALUE ? error
-                : error + DRIFT_MS_PER_S * (receivedMs - sampledAt) / 1000;
+        double aged = error == Double.MAX_VALUE ? error : error + DRIFT_MS_PER_S * (receivedMs - sampledAt) / 1000;
         double seen = remoteMs - (sentMs + receivedMs) / 2;
         // a worse exchange still counts where it proves the estimate wrong: the directory's clock was set
         if (half <= aged || Math.abs(seen - offset) > half + aged) {
--- a/front/src/test/java/calicovale/front/CommonClockTest.java
+++ b/front/src/test/java/calicovale/front/CommonClockTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicovale.host.Backoff;
 import calicovale.front.time.CommonClock;
+import calicovale.host.Backoff;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
--- a/gossip/src/main/java/calicovale/gossip/claims/Claim.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Claim.java
@@ -12,5 +12,10 @@
 public record Claim(long box, Kind kind, double strength, double ageMs, double lastsMs) {
 
     /** What can go wrong at a box. */
-    public enum Kind { FAILED, TIMEOUT, RESET, SHORT }
+    public enum Kind {
+        FAILED,
+        TIMEOUT,
+        RESET,
+        SHORT
+    }
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimBook.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimBook.java
@@ -14,8 +14,7 @@
 public final class ClaimBook {
 
     /** A statement and when it came, in ms of the clock here. */
-    public record Held(Statement statement, double atMs) {
-    }
+    public record Held(Statement statement, double atMs) {}
 
     private final ClaimSettings settings;
     private final String self;
@@ -55,7 +54,8 @@
         if (same(before, claims) && nowMs - last.atMs() < settings.refreshMs()) {
             return;
         }
-        long number = Math.max((long) wallMs, last == null ? 0 : last.statement().number() + 1);
+        long number =
+                Math.max((long) wallMs, last == null ? 0 : last.statement().number() + 1);
         Statement said = new Statement(self, number, List.copyOf(claims), new byte[0]);
         said = new Statement(self, number, said.claims(), proofs.prove(said));
         held.put(self, new Held(said, nowMs));
@@ -68,8 +68,10 @@
             return false;
         }
         for (Claim claim : a) {
-            if (b.stream().noneMatch(other -> other.box() == claim.box() && Objects.equals(other.kind(), claim.kind())
-                    && Math.abs(other.strength() - claim.strength()) < 0.25)) {
+            if (b.stream()
+                    .noneMatch(other -> other.box() == claim.box()
+                            && Objects.equals(other.kind(), claim.kind())
+                            && Math.abs(other.strength() - claim.strength()) < 0.25)) {
                 return false;
             }
         }
@@ -79,12 +81,17 @@
     /** Takes a statement, whoever brought it; false if it was known or is not to be believed. */
     public boolean take(double nowMs, double wallMs, Statement s) {
         Held before = held.get(s.from());
-        if (s.from().equals(self) || before != null && s.number() <= before.statement().number()) {
+        if (s.from().equals(self)
+                || before != null && s.number() <= before.statement().number()) {
             return false;
         }
-        boolean twice = s.claims().stream().map(Claim::box).distinct().count() < s.claims().size();
-        if (Math.abs(s.number() - wallMs) > settings.windowMs() || twice || s.claims().size() > settings.claimsMost()
-                || before == null && held.size() >= settings.membersMost() || !proofs.proved(s)) {
+        boolean twice = s.claims().stream().map(Claim::box).distinct().count()
+                < s.claims().size();
+        if (Math.abs(s.number() - wallMs) > settings.windowMs()
+                || twice
+                || s.claims().size() > settings.claimsMost()
+                || before == null && held.size() >= settings.membersMost()
+                || !proofs.proved(s)) {
             refused++;
             return false;
         }
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
@@ -17,11 +17,23 @@
  * @param ownMs for which a set-up that worked here outranks whatever others say
  * @param believedMs between two looks at what is to be believed
  */
-public record ClaimSettings(int claimsMost, int membersMost, double lastsMs, double refreshMs, double windowMs, int perMessage,
-        double seenMs, double leastStrength, double shortShare, int quorumLeast, double quorumPart, double ownMs,
+public record ClaimSettings(
+        int claimsMost,
+        int membersMost,
+        double lastsMs,
+        double refreshMs,
+        double windowMs,
+        int perMessage,
+        double seenMs,
+        double leastStrength,
+        double shortShare,
+        int quorumLeast,
+        double quorumPart,
+        double ownMs,
         double believedMs) {
     /** Figures for a local network. */
-    public static final ClaimSettings LAN = new ClaimSettings(8, 1000, 8000, 2000, 30_000, 2, 8000, 0.3, 0.5, 2, 0.2, 4000, 250);
+    public static final ClaimSettings LAN =
+            new ClaimSettings(8, 1000, 8000, 2000, 30_000, 2, 8000, 0.3, 0.5, 2, 0.2, 4000, 250);
 
     /** Members that must say so in a group of so many. */
     public int quorum(int present) {
--- a/gossip/src/main/java/calicovale/gossip/claims/Judge.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Judge.java
@@ -118,7 +118,8 @@
         remembered.replaceAll((box, strength) -> strength * left);
         remembered.keySet().removeIf(box -> {
             Own o = own.get(box);
-            return remembered.get(box) < NEGLIGIBLE || o != null && o.goodMs > o.badMs && nowMs - o.goodMs < settings.ownMs();
+            return remembered.get(box) < NEGLIGIBLE
+                    || o != null && o.goodMs > o.badMs && nowMs - o.goodMs < settings.ownMs();
         });
         present.forEach((box, strength) -> remembered.merge(box, strength, Math::max));
         present.putAll(remembered);
@@ -145,7 +146,9 @@
             String from = h.statement().from();
             double age = nowMs - h.atMs();
             double weight = from.equals(self) ? 1 : voice(from, nowMs);
-            long boxes = h.statement().claims().stream().filter(c -> age < c.lastsMs()).count();
+            long boxes = h.statement().claims().stream()
+                    .filter(c -> age < c.lastsMs())
+                    .count();
             for (Claim c : h.statement().claims()) {
                 if (age >= c.lastsMs()) {
                     continue;
--- a/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
@@ -14,8 +14,7 @@
     /** Outcomes remembered of one box: enough for a strength in steps of a few per cent. */
     private static final int MOST_OF_BOX = 64;
 
-    private record Outcome(double atMs, Kind kind) {
-    }
+    private record Outcome(double atMs, Kind kind) {}
 
     private final ClaimSettings settings;
     private final int boxesMost;
@@ -53,7 +52,7 @@
     /** The claims that hold now, the strongest first. */
     public List<Claim> claims(double nowMs) {
         List<Claim> result = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, ArrayDeque<Outcome>>> i = boxes.entrySet().iterator(); i.hasNext();) {
+        for (Iterator<Map.Entry<Long, ArrayDeque<Outcome>>> i = boxes.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Long, ArrayDeque<Outcome>> e = i.next();
             ArrayDeque<Outcome> of = e.getValue();
             while (!of.isEmpty() && nowMs - of.peekFirst().atMs() > settings.seenMs()) {
@@ -68,7 +67,8 @@
                 result.add(claim);
             }
         }
-        result.sort(Comparator.comparingDouble((Claim claim) -> -claim.strength()).thenComparingLong(Claim::box));
+        result.sort(
+                Comparator.comparingDouble((Claim claim) -> -claim.strength()).thenComparingLong(Claim::box));
         return List.copyOf(result.subList(0, Math.min(settings.claimsMost(), result.size())));
     }
 
--- a/gossip/src/main/java/calicovale/gossip/claims/Statement.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Statement.java
@@ -11,5 +11,4 @@
  * @param claims at most one for each box
  * @param proof that the member said so
  */
-public record Statement(String from, long number, List<Claim> claims, byte[] proof) {
-}
+public record Statement(String from, long number, List<Claim> claims, byte[] proof) {}
--- a/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
@@ -19,16 +19,43 @@
  * @param falseAlarmsMost suspicions that one member raised alone and that were refuted, after which it needs a second voice
  * @param deadKeptMs for which a member that is dead or has left is remembered
  */
-public record MemberSettings(double probeMs, double timeoutMs, int indirect, double suspicionMult, double suspicionMaxMult,
-        double retransmitMult, double newsMs, int newsTo, double exchangeMs, int healthMost, boolean buddy, int updatesMost,
-        int membersMost, int falseAlarmsMost, double deadKeptMs) {
+public record MemberSettings(
+        double probeMs,
+        double timeoutMs,
+        int indirect,
+        double suspicionMult,
+        double suspicionMaxMult,
+        double retransmitMult,
+        double newsMs,
+        int newsTo,
+        double exchangeMs,
+        int healthMost,
+        boolean buddy,
+        int updatesMost,
+        int membersMost,
+        int falseAlarmsMost,
+        double deadKeptMs) {
     /** Figures for a local network: those of memberlist, exchanges included. */
     public static final MemberSettings LAN =
             new MemberSettings(1000, 500, 3, 4, 6, 4, 200, 3, 30_000, 8, true, 8, 1000, 6, 3_600_000);
 
     /** The same group without Lifeguard's parts: SWIM alone, for comparison. */
     public MemberSettings withoutLifeguard() {
-        return new MemberSettings(probeMs, timeoutMs, indirect, suspicionMult, 1, retransmitMult, newsMs, newsTo, exchangeMs, 1, false,
-                updatesMost, membersMost, falseAlarmsMost, deadKeptMs);
+        return new MemberSettings(
+                probeMs,
+                timeoutMs,
+                indirect,
+                suspicionMult,
+                1,
+                retransmitMult,
+                newsMs,
+                newsTo,
+                exchangeMs,
+                1,
+                false,
+                updatesMost,
+                membersMost,
+                falseAlarmsMost,
+                deadKeptMs);
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/member/Membership.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Membership.java
@@ -98,8 +98,7 @@
     }
 
     /** A probe made for another. */
-    private record Errand(String forAddress, long number, double nackAtMs, double endMs) {
-    }
+    private record Errand(String forAddress, long number, double nackAtMs, double endMs) {}
 
     /** An indirect probe says that it heard nothing after this part of the time-out, so that its word comes in time. */
     private static final double NACK_PART = 0.8;
@@ -134,8 +133,16 @@
      *
      * @param incarnation above that of any earlier life, if that is known; else it learns it from the others
      */
-    public Membership(MemberSettings settings, String id, String address, long incarnation, List<String> seeds,
-            RandomGenerator random, Wire wire, Proofs proofs, Listener listener) {
+    public Membership(
+            MemberSettings settings,
+            String id,
+            String address,
+            long incarnation,
+            List<String> seeds,
+            RandomGenerator random,
+            Wire wire,
+            Proofs proofs,
+            Listener listener) {
         this.settings = settings;
         this.random = random;
         this.wire = wire;
@@ -200,7 +207,11 @@
     /** Its whole state as text, times but for suspicions' left out: two that give the same go on alike. For checks of the model. */
     public void describe(StringBuilder to) {
         for (Member m : members.values()) {
-            to.append(m.id).append(m.address).append(m.incarnation).append(m.state).append(m.whisperer);
+            to.append(m.id)
+                    .append(m.address)
+                    .append(m.incarnation)
+                    .append(m.state)
+                    .append(m.whisperer);
             to.append(m.suspicion == null ? "" : Double.toString(m.suspicion.endMs()));
         }
         to.append(turn).append(health).append(numbers).append(leaving).append(errands.keySet());
@@ -293,7 +304,7 @@
     }
 
     private void forgetOld(double nowMs) {
-        for (Iterator<Member> i = members.values().iterator(); i.hasNext();) {
+        for (Iterator<Member> i = members.values().iterator(); i.hasNext(); ) {
             Member m = i.next();
             if (!m.present() && m != self && nowMs - m.sinceMs > settings.deadKeptMs()) {
                 i.remove();
@@ -310,7 +321,8 @@
             }
             if (nowMs >= probe.endMs) {
                 Member m = members.get(probe.target);
-                // whoever was asked and did not even say that it heard nothing: perhaps it is this member that is not heard
+                // whoever was asked and did not even say that it heard nothing: perhaps it is this member that is not
+                // heard
                 health(probe.nacksDue > 0 ? probe.nacksDue : probe.indirect ? 0 : 1);
                 probe = null;
                 if (m != null && m.present()) {
@@ -369,7 +381,7 @@
     }
 
     private void errands(double nowMs) {
-        for (Iterator<Map.Entry<Long, Errand>> i = errands.entrySet().iterator(); i.hasNext();) {
+        for (Iterator<Map.Entry<Long, Errand>> i = errands.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Long, Errand> e = i.next();
             Errand errand = e.getValue();
             if (nowMs >= errand.endMs()) {
@@ -401,9 +413,16 @@
         } else if (message instanceof Message.PingReq asked) {
             long number = ++numbers;
             if (errands.size() < settings.membersMost()) {
-                errands.put(number, new Errand(address, asked.number(), nowMs + NACK_PART * settings.timeoutMs(),
-                        nowMs + settings.probeMs()));
-                wire.send(asked.targetAddress(), new Message.Ping(number, asked.target(), carried(members.get(asked.target()))));
+                errands.put(
+                        number,
+                        new Errand(
+                                address,
+                                asked.number(),
+                                nowMs + NACK_PART * settings.timeoutMs(),
+                                nowMs + settings.probeMs()));
+                wire.send(
+                        asked.targetAddress(),
+                        new Message.Ping(number, asked.target(), carried(members.get(asked.target()))));
             } else {
                 overBound++;
             }
@@ -456,7 +475,9 @@
         Member m = members.get(u.id());
         if (m == self) {
             // an earlier life of this member: the others must hear of this one
-            if ((u.incarnation() > self.incarnation || u.incarnation() == self.incarnation && !u.address().equals(self.address))
+            if ((u.incarnation() > self.incarnation
+                            || u.incarnation() == self.incarnation
+                                    && !u.address().equals(self.address))
                     && proofs.proved(u)) {
                 refute(u.incarnation(), true);
             }
@@ -521,7 +542,8 @@
         int others = present() - 2;
         double least = settings.suspicionMult() * Math.max(1, Math.log10(Math.max(1, present()))) * settings.probeMs();
         int expected = (int) settings.suspicionMult() - 2;
-        m.suspicion = new Suspicion(first, nowMs, least, least * settings.suspicionMaxMult(), others < expected ? 0 : expected);
+        m.suspicion = new Suspicion(
+                first, nowMs, least, least * settings.suspicionMaxMult(), others < expected ? 0 : expected);
         if (before != null) {
             m.suspicion.confirm(before);
         }
@@ -530,7 +552,12 @@
 
     private void left(Update u, double nowMs) {
         Member m = members.get(u.id());
-        if (m == null || m == self || !u.from().equals(u.id()) || u.incarnation() < m.incarnation || !m.present() || !proved(u)) {
+        if (m == null
+                || m == self
+                || !u.from().equals(u.id())
+                || u.incarnation() < m.incarnation
+                || !m.present()
+                || !proved(u)) {
             return;
         }
         m.alive = u;
--- a/gossip/src/main/java/calicovale/gossip/member/NewsQueue.java
+++ b/gossip/src/main/java/calicovale/gossip/member/NewsQueue.java
@@ -28,8 +28,11 @@
      */
     void add(Update update) {
         boolean suspicion = update.state() == Update.State.SUSPECT;
-        items.values().removeIf(i -> i.update.id().equals(update.id())
-                && (!suspicion || i.update.state() != Update.State.SUSPECT || i.update.from().equals(update.from())));
+        items.values()
+                .removeIf(i -> i.update.id().equals(update.id())
+                        && (!suspicion
+                                || i.update.state() != Update.State.SUSPECT
+                                || i.update.from().equals(update.from())));
         items.put(key(update), new Item(update));
     }
 
@@ -59,6 +62,10 @@
     }
 
     void describe(StringBuilder to) {
-        items.values().forEach(i -> to.append(i.update.id()).append(i.update.state()).append(i.update.incarnation()).append(i.sent));
+        items.values()
+                .forEach(i -> to.append(i.update.id())
+                        .append(i.update.state())
+                        .append(i.update.incarnation())
+                        .append(i.sent));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/member/Update.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Update.java
@@ -14,7 +14,12 @@
 public record Update(String id, String address, long incarnation, State state, String from, byte[] proof) {
 
     /** What a member is taken for. */
-    public enum State { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum State {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     /** One that is not proved yet. */
     public static Update unproved(String id, String address, long incarnation, State state, String from) {
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -55,6 +55,7 @@
     private static final String REPLY = "reply:";
     /** By how much an evidence must change to be told again: a quarter of the least step that changes a decision. */
     private static final double TOLD_AGAIN = 0.05;
+
     private static final double LEAST_WAIT_MS = 1;
     /** Ports tried where any will do. */
     private static final int MOST_BINDS = 20;
@@ -65,8 +66,7 @@
         void evidence(long box, double strength);
     }
 
-    private record Reply(Connection connection, Envelopes.Opened to) {
-    }
+    private record Reply(Connection connection, Envelopes.Opened to) {}
 
     private final EventLoop loop;
     private final GossipSettings settings;
@@ -111,7 +111,8 @@
         this.settings = settings;
         this.random = random;
         this.listener = listener;
-        roster = new Roster(settings.group(), settings.authority(), settings.wire().membersMost());
+        roster = new Roster(
+                settings.group(), settings.authority(), settings.wire().membersMost());
         codec = new Codec(settings.wire());
         outcomes = new Outcomes(settings.claims(), boxesMost);
         judge = new Judge(settings.claims(), settings.member(), boxesMost);
@@ -122,17 +123,22 @@
         });
         pair = KeyDocuments.pair(settings.keyFile());
         if (!pair.member().equals(settings.member())) {
-            throw new InvalidDocumentException(List.of(settings.keyFile() + ": /member: " + settings.member() + " is expected"));
+            throw new InvalidDocumentException(
+                    List.of(settings.keyFile() + ": /member: " + settings.member() + " is expected"));
         }
         try {
-            reading = RosterFolder.read(settings.rosterFolder(), settings.authority(), 4 * settings.members().membersMost());
+            reading = RosterFolder.read(
+                    settings.rosterFolder(),
+                    settings.authority(),
+                    4 * settings.members().membersMost());
         } catch (IOException e) {
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: a readable folder is expected"));
         }
         list(List.of());
         if (roster.of(Ed25519.id(pair.publicKey()), loop.clock().millis()) == null) {
-            throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: " + (settings.authority() == null ? "the key"
-                    : "a certificate, in force, of the key") + " of " + settings.member() + " is expected"));
+            throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: "
+                    + (settings.authority() == null ? "the key" : "a certificate, in force, of the key") + " of "
+                    + settings.member() + " is expected"));
         }
     }
 
@@ -153,32 +159,44 @@
         InetSocketAddress at = bind();
         here = text(at);
         long life = (long) wallMs();
-        signer = new Signer(roster, this::wallMs, pair.privateKey(), pair.publicKey(), ownCertificate(pair.publicKey()));
+        signer =
+                new Signer(roster, this::wallMs, pair.privateKey(), pair.publicKey(), ownCertificate(pair.publicKey()));
         envelopes = new Envelopes(roster, signer, settings.wire(), life, nowMs());
-        membership = new Membership(settings.members(), settings.member(), here, life, settings.seeds(), random, new Membership.Wire() {
-            @Override
-            public void send(String address, Message message) {
-                GossipNode.this.send(address, message, message instanceof Message.Exchange);
-            }
+        membership = new Membership(
+                settings.members(),
+                settings.member(),
+                here,
+                life,
+                settings.seeds(),
+                random,
+                new Membership.Wire() {
+                    @Override
+                    public void send(String address, Message message) {
+                        GossipNode.this.send(address, message, message instanceof Message.Exchange);
+                    }
 
-            @Override
-            public void sendReliably(String address, Message message) {
-                GossipNode.this.send(address, message, true);
-            }
-        }, signer, this::changed);
+                    @Override
+                    public void sendReliably(String address, Message message) {
+                        GossipNode.this.send(address, message, true);
+                    }
+                },
+                signer,
+                this::changed);
         book = new ClaimBook(settings.claims(), settings.member(), signer);
         claimsAtMs = nowMs();
         believedAtMs = nowMs();
         membership.start(nowMs());
         loop.schedule(settings.rosterMs(), this::lookAtKeys);
         due();
-        LOG.atInfo().addKeyValue("member", settings.member()).log("member {} of group {} at {}", settings.member(), settings.group(), here);
+        LOG.atInfo()
+                .addKeyValue("member", settings.member())
+                .log("member {} of group {} at {}", settings.member(), settings.group(), here);
         return at;
     }
 
     /** Binds both sockets to one port; where any will do, the one that the system gives for datagrams may be taken for connections. */
     private InetSocketAddress bind() throws IOException {
-        for (int tries = 1;; tries++) {
+        for (int tries = 1; ; tries++) {
             datagrams = loop.datagrams(settings.listen(), this::onDatagram);
             InetSocketAddress at = datagrams.address();
             try {
@@ -202,12 +220,19 @@
 
     private void list(List<String> faultsKnown) {
         roster.list(reading.keys(), reading.certificates(), reading.revoked());
-        reading.faults().stream().filter(fault -> !faultsKnown.contains(fault)).forEach(fault -> LOG.warn("roster: {}", fault));
+        reading.faults().stream()
+                .filter(fault -> !faultsKnown.contains(fault))
+                .forEach(fault -> LOG.warn("roster: {}", fault));
     }
 
     private Certificate ownCertificate(byte[] key) {
-        return reading.certificates().stream().filter(c -> Arrays.equals(c.key(), key) && c.member().equals(settings.member())
-                && roster.certifies() && roster.admit(c)).max((a, b) -> Long.compare(a.untilMs(), b.untilMs())).orElse(null);
+        return reading.certificates().stream()
+                .filter(c -> Arrays.equals(c.key(), key)
+                        && c.member().equals(settings.member())
+                        && roster.certifies()
+                        && roster.admit(c))
+                .max((a, b) -> Long.compare(a.untilMs(), b.untilMs()))
+                .orElse(null);
     }
 
     /** A look at folder and key file, by a thread that may wait for the disk. */
@@ -222,7 +247,10 @@
                 KeyDocuments.Pair nextPair = null;
                 String fault = null;
                 try {
-                    next = RosterFolder.read(settings.rosterFolder(), settings.authority(), 4 * settings.members().membersMost());
+                    next = RosterFolder.read(
+                            settings.rosterFolder(),
+                            settings.authority(),
+                            4 * settings.members().membersMost());
                     nextPair = KeyDocuments.pair(settings.keyFile());
                 } catch (IOException | InvalidDocumentException e) {
                     fault = e.getMessage();
@@ -256,10 +284,13 @@
             list(known);
         }
         if (key != null && !Arrays.equals(key.publicKey(), pair.publicKey())) {
-            if (!key.member().equals(settings.member()) || roster.of(Ed25519.id(key.publicKey()), wallMs()) == null
-                    && (!roster.certifies() || ownCertificate(key.publicKey()) == null)) {
+            if (!key.member().equals(settings.member())
+                    || roster.of(Ed25519.id(key.publicKey()), wallMs()) == null
+                            && (!roster.certifies() || ownCertificate(key.publicKey()) == null)) {
                 count("keys-not-listed");
-                LOG.warn("the key file's new key is not of {} in the roster: the old one stays in use", settings.member());
+                LOG.warn(
+                        "the key file's new key is not of {} in the roster: the old one stays in use",
+                        settings.member());
                 return;
             }
             pair = key;
@@ -350,7 +381,9 @@
 
     private void changed(String id, State before, State now, long incarnation) {
         count("members-" + now.name().toLowerCase(Locale.ROOT));
-        LOG.atInfo().addKeyValue("member", id).log("member {} is {} (before: {}), incarnation {}", id, now, before, incarnation);
+        LOG.atInfo()
+                .addKeyValue("member", id)
+                .log("member {} is {} (before: {}), incarnation {}", id, now, before, incarnation);
         if (now == State.DEAD || now == State.LEFT) {
             book.forget(id);
         }
@@ -380,12 +413,19 @@
                 return null;
             }
         }
-        if (part < 4 || digits == 0 || parts[0] != 127 || parts[1] > 255 || parts[2] > 255 || parts[3] > 255 || parts[4] < 1
+        if (part < 4
+                || digits == 0
+                || parts[0] != 127
+                || parts[1] > 255
+                || parts[2] > 255
+                || parts[3] > 255
+                || parts[4] < 1
                 || parts[4] > 65535) {
             return null;
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, (byte) parts[1], (byte) parts[2], (byte) parts[3]}),
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(new byte[] {127, (byte) parts[1], (byte) parts[2], (byte) parts[3]}),
                     parts[4]);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
@@ -440,7 +480,10 @@
 
     private static Message shorter(Message m) {
         if (m instanceof Message.Claims c) {
-            return c.statements().size() < 2 ? null : new Message.Claims(c.statements().subList(0, c.statements().size() - 1));
+            return c.statements().size() < 2
+                    ? null
+                    : new Message.Claims(
+                            c.statements().subList(0, c.statements().size() - 1));
         }
         if (m.updates().isEmpty()) {
             return null;
@@ -461,7 +504,10 @@
     }
 
     private static ByteBuffer frame(byte[] sealed) {
-        return ByteBuffer.allocate(4 + sealed.length).putInt(sealed.length).put(sealed).flip();
+        return ByteBuffer.allocate(4 + sealed.length)
+                .putInt(sealed.length)
+                .put(sealed)
+                .flip();
     }
 
     private void connect(String to, InetSocketAddress address, Message message, double delay) {
@@ -473,20 +519,25 @@
         byte[] sealed = envelopes.seal(wallMs(), to, codec.encode(message), true);
         count("connected");
         counts.merge("sent-bytes", (long) sealed.length, Long::sum);
-        loop.schedule(delay, () -> loop.connect(address, CONNECTION, settings.connectionMs(),
-                new Stream(Envelopes.referenceOf(sealed), to, false) {
-                    @Override
-                    public void onOpen(Connection c) {
-                        c.write(frame(sealed));
-                        limit(c);
-                    }
-
-                    @Override
-                    public void onClosed(Connection c, IOException cause) {
-                        super.onClosed(c, cause);
-                        outgoing--;
-                    }
-                }));
+        loop.schedule(
+                delay,
+                () -> loop.connect(
+                        address,
+                        CONNECTION,
+                        settings.connectionMs(),
+                        new Stream(Envelopes.referenceOf(sealed), to, false) {
+                            @Override
+                            public void onOpen(Connection c) {
+                                c.write(frame(sealed));
+                                limit(c);
+                            }
+
+                            @Override
+                            public void onClosed(Connection c, IOException cause) {
+                                super.onClosed(c, cause);
+                                outgoing--;
+                            }
+                        }));
     }
 
     private void reply(String to, Message message) {
@@ -620,8 +671,15 @@
         private void whole(Connection c) {
             InetSocketAddress remote = c.remote();
             count("received");
-            Envelopes.Opened o = remote == null ? null
-                    : envelopes.open(nowMs(), wallMs(), expects, "connection " + remote.getAddress().getHostAddress(), frame, got);
+            Envelopes.Opened o = remote == null
+                    ? null
+                    : envelopes.open(
+                            nowMs(),
+                            wallMs(),
+                            expects,
+                            "connection " + remote.getAddress().getHostAddress(),
+                            frame,
+                            got);
             if (o == null) {
                 c.close();
                 return;
@@ -653,7 +711,10 @@
             // not started yet
             return result;
         }
-        envelopes.drops().forEach((why, times) -> result.put("dropped-" + why.name().toLowerCase(Locale.ROOT).replace('_', '-'), times));
+        envelopes
+                .drops()
+                .forEach((why, times) -> result.put(
+                        "dropped-" + why.name().toLowerCase(Locale.ROOT).replace('_', '-'), times));
         result.put("updates-unproved", membership.unproved());
         result.put("members-over-bound", membership.overBound());
         result.put("statements-refused", book.refused());
@@ -664,21 +725,34 @@
 
     /** This member's view of the group and of boxes. */
     public ObjectNode view() {
-        ObjectNode n = Documents.MAPPER.createObjectNode().put("schema", "calicovale/members/1").put("group", settings.group())
-                .put("member", settings.member()).put("address", here).put("health", membership.health())
-                .put("present", membership.present()).put("quorum", settings.claims().quorum(membership.present()));
+        ObjectNode n = Documents.MAPPER
+                .createObjectNode()
+                .put("schema", "calicovale/members/1")
+                .put("group", settings.group())
+                .put("member", settings.member())
+                .put("address", here)
+                .put("health", membership.health())
+                .put("present", membership.present())
+                .put("quorum", settings.claims().quorum(membership.present()));
         ArrayNode members = n.putArray("members");
         for (Membership.Member m : membership.members()) {
-            members.addObject().put("id", m.id()).put("address", m.address()).put("state", m.state().name().toLowerCase(Locale.ROOT))
-                    .put("incarnation", m.incarnation()).put("sinceS", Math.round((nowMs() - m.sinceMs()) / 100) / 10.0)
+            members.addObject()
+                    .put("id", m.id())
+                    .put("address", m.address())
+                    .put("state", m.state().name().toLowerCase(Locale.ROOT))
+                    .put("incarnation", m.incarnation())
+                    .put("sinceS", Math.round((nowMs() - m.sinceMs()) / 100) / 10.0)
                     .put("voice", Math.round(100 * judge.voice(m.id(), nowMs())) / 100.0);
         }
         ArrayNode claims = n.putArray("claims");
         for (ClaimBook.Held h : book.held()) {
             for (Claim c : h.statement().claims()) {
                 if (nowMs() - h.atMs() < c.lastsMs()) {
-                    claims.addObject().put("box", c.box()).put("by", h.statement().from())
-                            .put("kind", c.kind().name().toLowerCase(Locale.ROOT)).put("strength", c.strength())
+                    claims.addObject()
+                            .put("box", c.box())
+                            .put("by", h.statement().from())
+                            .put("kind", c.kind().name().toLowerCase(Locale.ROOT))
+                            .put("strength", c.strength())
                             .put("seenS", Math.round((nowMs() - h.atMs() + c.ageMs()) / 100) / 10.0);
                 }
             }
--- a/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
@@ -30,28 +30,49 @@
  * @param connections connections open at once, each way
  * @param connectionMs after which a connection is given up
  */
-public record GossipSettings(String group, String member, InetSocketAddress listen, List<String> seeds, Path keyFile,
-        Path rosterFolder, PublicKey authority, double rosterMs, MemberSettings members, ClaimSettings claims, WireLimits wire,
-        int connections, double connectionMs) {
+public record GossipSettings(
+        String group,
+        String member,
+        InetSocketAddress listen,
+        List<String> seeds,
+        Path keyFile,
+        Path rosterFolder,
+        PublicKey authority,
+        double rosterMs,
+        MemberSettings members,
+        ClaimSettings claims,
+        WireLimits wire,
+        int connections,
+        double connectionMs) {
 
     /** Checks a document whole; {@code name} leads each fault. */
     public static GossipSettings parse(String name, JsonNode document) throws InvalidDocumentException {
         JsonNode n = Documents.check(name, document.toString(), GossipSettings.class, "gossip.schema.json");
         List<String> faults = new ArrayList<>();
         MemberSettings d = MemberSettings.LAN;
-        MemberSettings members = new MemberSettings(num(n, "probeMs", d.probeMs()), num(n, "timeoutMs", d.timeoutMs()),
-                n.path("indirect").asInt(d.indirect()), num(n, "suspicionMult", d.suspicionMult()),
-                num(n, "suspicionMaxMult", d.suspicionMaxMult()), num(n, "retransmitMult", d.retransmitMult()),
-                num(n, "newsMs", d.newsMs()), n.path("newsTo").asInt(d.newsTo()), num(n, "exchangeMs", d.exchangeMs()),
-                n.path("healthMost").asInt(d.healthMost()), d.buddy(), n.path("updatesMost").asInt(d.updatesMost()),
-                n.path("membersMost").asInt(d.membersMost()), n.path("falseAlarmsMost").asInt(d.falseAlarmsMost()),
+        MemberSettings members = new MemberSettings(
+                num(n, "probeMs", d.probeMs()),
+                num(n, "timeoutMs", d.timeoutMs()),
+                n.path("indirect").asInt(d.indirect()),
+                num(n, "suspicionMult", d.suspicionMult()),
+                num(n, "suspicionMaxMult", d.suspicionMaxMult()),
+                num(n, "retransmitMult", d.retransmitMult()),
+                num(n, "newsMs", d.newsMs()),
+                n.path("newsTo").asInt(d.newsTo()),
+                num(n, "exchangeMs", d.exchangeMs()),
+                n.path("healthMost").asInt(d.healthMost()),
+                d.buddy(),
+                n.path("updatesMost").asInt(d.updatesMost()),
+                n.path("membersMost").asInt(d.membersMost()),
+                n.path("falseAlarmsMost").asInt(d.falseAlarmsMost()),
                 num(n, "deadKeptMs", d.deadKeptMs()));
         if (members.timeoutMs() >= members.probeMs()) {
             faults.add(name + ": /timeoutMs: less than /probeMs is expected (" + members.probeMs() + ")");
         }
         PublicKey authority = null;
         try {
-            authority = n.has("authority") ? Ed25519.publicKey(n.get("authority").asText()) : null;
+            authority =
+                    n.has("authority") ? Ed25519.publicKey(n.get("authority").asText()) : null;
         } catch (IllegalArgumentException e) {
             faults.add(name + ": /authority: " + e.getMessage());
         }
@@ -63,15 +84,30 @@
             }
         }
         WireLimits w = WireLimits.DEFAULT;
-        WireLimits wire = new WireLimits(n.path("datagramBytes").asInt(w.datagramBytes()), n.path("exchangeBytes").asInt(w.exchangeBytes()),
-                4 * members.membersMost(), w.claimsMost(), num(n, "skewMs", w.skewMs()), members.membersMost(),
-                num(n, "perPeer", w.perPeer()), num(n, "strangers", w.strangers()));
+        WireLimits wire = new WireLimits(
+                n.path("datagramBytes").asInt(w.datagramBytes()),
+                n.path("exchangeBytes").asInt(w.exchangeBytes()),
+                4 * members.membersMost(),
+                w.claimsMost(),
+                num(n, "skewMs", w.skewMs()),
+                members.membersMost(),
+                num(n, "perPeer", w.perPeer()),
+                num(n, "strangers", w.strangers()));
         JsonNode c = n.path("claims");
         ClaimSettings k = ClaimSettings.LAN;
-        ClaimSettings claims = new ClaimSettings(c.path("claimsMost").asInt(k.claimsMost()), members.membersMost(),
-                num(c, "lastsMs", k.lastsMs()), num(c, "refreshMs", k.refreshMs()), wire.skewMs(), k.perMessage(),
-                num(c, "seenMs", k.seenMs()), num(c, "leastStrength", k.leastStrength()), num(c, "shortShare", k.shortShare()),
-                c.path("quorumLeast").asInt(k.quorumLeast()), num(c, "quorumPart", k.quorumPart()), num(c, "ownMs", k.ownMs()),
+        ClaimSettings claims = new ClaimSettings(
+                c.path("claimsMost").asInt(k.claimsMost()),
+                members.membersMost(),
+                num(c, "lastsMs", k.lastsMs()),
+                num(c, "refreshMs", k.refreshMs()),
+                wire.skewMs(),
+                k.perMessage(),
+                num(c, "seenMs", k.seenMs()),
+                num(c, "leastStrength", k.leastStrength()),
+                num(c, "shortShare", k.shortShare()),
+                c.path("quorumLeast").asInt(k.quorumLeast()),
+                num(c, "quorumPart", k.quorumPart()),
+                num(c, "ownMs", k.ownMs()),
                 num(c, "believedMs", k.believedMs()));
         if (claims.refreshMs() >= claims.lastsMs()) {
             faults.add(name + ": /claims/refreshMs: less than /claims/lastsMs is expected (" + claims.lastsMs() + ")");
@@ -82,10 +118,20 @@
         List<String> seeds = new ArrayList<>();
         n.get("seeds").forEach(seed -> seeds.add(seed.asText()));
         JsonNode at = n.get("listen");
-        return new GossipSettings(n.get("group").asText(), n.get("member").asText(),
-                new InetSocketAddress(at.get("host").asText(), at.get("port").asInt()), List.copyOf(seeds),
-                Path.of(n.get("keyFile").asText()), Path.of(n.get("rosterFolder").asText()), authority, num(n, "rosterMs", 5000),
-                members, claims, wire, n.path("connections").asInt(64), num(n, "connectionMs", 2000));
+        return new GossipSettings(
+                n.get("group").asText(),
+                n.get("member").asText(),
+                new InetSocketAddress(at.get("host").asText(), at.get("port").asInt()),
+                List.copyOf(seeds),
+                Path.of(n.get("keyFile").asText()),
+                Path.of(n.get("rosterFolder").asText()),
+                authority,
+                num(n, "rosterMs", 5000),
+                members,
+                claims,
+                wire,
+                n.path("connections").asInt(64),
+                num(n, "connectionMs", 2000));
     }
 
     private static double num(JsonNode n, String key, double absent) {
--- a/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
+++ b/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
@@ -18,11 +18,9 @@
 public final class KeyDocuments {
 
     /** A member's pair. */
-    public record Pair(String member, byte[] publicKey, PrivateKey privateKey) {
-    }
+    public record Pair(String member, byte[] publicKey, PrivateKey privateKey) {}
 
-    private KeyDocuments() {
-    }
+    private KeyDocuments() {}
 
     private static byte[] bytes(JsonNode n, String member) {
         return Base64.getUrlDecoder().decode(n.get(member).asText());
@@ -39,7 +37,16 @@
     /** A new pair for a member; of the two texts the first is to be kept secret, the second lists its key. */
     public static List<String> make(String member) throws GeneralSecurityException {
         Ed25519.Pair pair = Ed25519.Pair.make();
-        return List.of(text("schema", "calicovale/key/1", "member", member, "publicKey", pair.publicKey(), "privateKey", pair.privateKey()),
+        return List.of(
+                text(
+                        "schema",
+                        "calicovale/key/1",
+                        "member",
+                        member,
+                        "publicKey",
+                        pair.publicKey(),
+                        "privateKey",
+                        pair.privateKey()),
                 text("schema", "calicovale/member-key/1", "member", member, "key", pair.publicKey()));
     }
 
@@ -48,7 +55,10 @@
         JsonNode n = Documents.read(file, KeyDocuments.class, "key.schema.json");
         try {
             Ed25519.publicKey(n.get("publicKey").asText());
-            Pair pair = new Pair(n.get("member").asText(), bytes(n, "publicKey"), Ed25519.privateKey(n.get("privateKey").asText()));
+            Pair pair = new Pair(
+                    n.get("member").asText(),
+                    bytes(n, "publicKey"),
+                    Ed25519.privateKey(n.get("privateKey").asText()));
             byte[] probe = {1};
             if (!Ed25519.verify(Ed25519.publicKey(pair.publicKey()), Ed25519.sign(pair.privateKey(), probe), probe)) {
                 throw new IllegalArgumentException("halves of one pair are expected");
@@ -62,7 +72,8 @@
     /** A listed key. */
     static Roster.Entry listed(String name, String text) throws InvalidDocumentException {
         JsonNode n = Documents.check(name, text, KeyDocuments.class, "member-key.schema.json");
-        return new Roster.Entry(n.get("member").asText(), key(name, n), Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY);
+        return new Roster.Entry(
+                n.get("member").asText(), key(name, n), Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
     private static PublicKey key(String name, JsonNode n) throws InvalidDocumentException {
@@ -74,17 +85,35 @@
     }
 
     /** A certificate as a document. */
-    public static String certificate(PrivateKey authority, String group, String member, byte[] key, long fromMs, long untilMs) {
+    public static String certificate(
+            PrivateKey authority, String group, String member, byte[] key, long fromMs, long untilMs) {
         Certificate c = Certificate.sign(authority, group, member, key, fromMs, untilMs);
-        return text("schema", "calicovale/certificate/1", "group", group, "member", member, "key", Ed25519.text(key), "fromMs", fromMs,
-                "untilMs", untilMs, "signature", Ed25519.text(c.signature()));
+        return text(
+                "schema",
+                "calicovale/certificate/1",
+                "group",
+                group,
+                "member",
+                member,
+                "key",
+                Ed25519.text(key),
+                "fromMs",
+                fromMs,
+                "untilMs",
+                untilMs,
+                "signature",
+                Ed25519.text(c.signature()));
     }
 
     /** Reads a certificate; whether it is the operators' is for the roster to say. */
     static Certificate certificate(String name, String text) throws InvalidDocumentException {
         JsonNode n = Documents.check(name, text, KeyDocuments.class, "certificate.schema.json");
         key(name, n);
-        return new Certificate(n.get("member").asText(), bytes(n, "key"), n.get("fromMs").asLong(), n.get("untilMs").asLong(),
+        return new Certificate(
+                n.get("member").asText(),
+                bytes(n, "key"),
+                n.get("fromMs").asLong(),
+                n.get("untilMs").asLong(),
                 bytes(n, "signature"));
     }
 
@@ -95,15 +124,26 @@
     /** A revocation as a document; {@code authority} null: for a group without an operators' key. */
     public static String revocation(PrivateKey authority, byte[] key) {
         String text = Ed25519.text(key);
-        return authority == null ? text("schema", "calicovale/revocation/1", "key", text)
-                : text("schema", "calicovale/revocation/1", "key", text, "signature", Ed25519.text(Ed25519.sign(authority, revoked(text))));
+        return authority == null
+                ? text("schema", "calicovale/revocation/1", "key", text)
+                : text(
+                        "schema",
+                        "calicovale/revocation/1",
+                        "key",
+                        text,
+                        "signature",
+                        Ed25519.text(Ed25519.sign(authority, revoked(text))));
     }
 
     /** The id of a revoked key; with an operators' key only what that signed counts. */
     static long revocation(String name, String text, PublicKey authority) throws InvalidDocumentException {
         JsonNode n = Documents.check(name, text, KeyDocuments.class, "revocation.schema.json");
-        if (authority != null && !(n.has("signature")
-                && Ed25519.verify(authority, bytes(n, "signature"), revoked(n.get("key").asText())))) {
+        if (authority != null
+                && !(n.has("signature")
+                        && Ed25519.verify(
+                                authority,
+                                bytes(n, "signature"),
+                                revoked(n.get("key").asText())))) {
             throw new InvalidDocumentException(List.of(name + ": /signature: the operators' signature is expected"));
         }
         return Ed25519.id(bytes(n, "key"));
--- a/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
+++ b/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
@@ -19,18 +19,18 @@
     private static final int MOST_BYTES = 4096;
 
     /** What a reading gave. */
-    record Reading(List<Roster.Entry> keys, List<Certificate> certificates, Set<Long> revoked, List<String> faults) {
-    }
+    record Reading(List<Roster.Entry> keys, List<Certificate> certificates, Set<Long> revoked, List<String> faults) {}
 
-    private RosterFolder() {
-    }
+    private RosterFolder() {}
 
     /** Reads at most so many files, in the order of their names. */
     static Reading read(Path folder, PublicKey authority, int most) throws IOException {
         Reading result = new Reading(new ArrayList<>(), new ArrayList<>(), new HashSet<>(), new ArrayList<>());
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
-            files = all.filter(f -> f.getFileName().toString().endsWith(".json")).sorted().toList();
+            files = all.filter(f -> f.getFileName().toString().endsWith(".json"))
+                    .sorted()
+                    .toList();
         }
         if (files.size() > most) {
             result.faults().add(folder + ": at most " + most + " files are expected, " + files.size() + " are there");
@@ -56,14 +56,16 @@
         switch (Documents.MAPPER.readTree(text).path("schema").asText()) {
             case "calicovale/member-key/1" -> {
                 if (authority != null) {
-                    throw new InvalidDocumentException(List.of(name + ": /schema: a certificate is expected, since /authority is set"));
+                    throw new InvalidDocumentException(
+                            List.of(name + ": /schema: a certificate is expected, since /authority is set"));
                 }
                 into.keys().add(KeyDocuments.listed(name, text));
             }
             case "calicovale/certificate/1" -> into.certificates().add(KeyDocuments.certificate(name, text));
             case "calicovale/revocation/1" -> into.revoked().add(KeyDocuments.revocation(name, text, authority));
-            default -> throw new InvalidDocumentException(List.of(name + ": /schema: one of calicovale/member-key/1, "
-                    + "calicovale/certificate/1, calicovale/revocation/1 is expected"));
+            default ->
+                throw new InvalidDocumentException(List.of(name + ": /schema: one of calicovale/member-key/1, "
+                        + "calicovale/certificate/1, calicovale/revocation/1 is expected"));
         }
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
@@ -19,14 +19,20 @@
     private static final int MOST_MEMBER = 64;
 
     /** Signs one for a group. */
-    public static Certificate sign(PrivateKey authority, String group, String member, byte[] key, long fromMs, long untilMs) {
+    public static Certificate sign(
+            PrivateKey authority, String group, String member, byte[] key, long fromMs, long untilMs) {
         byte[] text = text(group, member, key, fromMs, untilMs);
         return new Certificate(member, key, fromMs, untilMs, Ed25519.sign(authority, text));
     }
 
     private static byte[] text(String group, String member, byte[] key, long fromMs, long untilMs) {
         byte[] names = ("calicovale-certificate-1\0" + group + "\0" + member + "\0").getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(names.length + key.length + 16).put(names).put(key).putLong(fromMs).putLong(untilMs).array();
+        return ByteBuffer.allocate(names.length + key.length + 16)
+                .put(names)
+                .put(key)
+                .putLong(fromMs)
+                .putLong(untilMs)
+                .array();
     }
 
     /** Whether the operators signed it for this group. */
@@ -37,14 +43,22 @@
     /** Its bytes as they go with messages. */
     public byte[] bytes() {
         byte[] name = member.getBytes(StandardCharsets.US_ASCII);
-        return ByteBuffer.allocate(1 + name.length + key.length + 16 + signature.length).put((byte) name.length).put(name).put(key)
-                .putLong(fromMs).putLong(untilMs).put(signature).array();
+        return ByteBuffer.allocate(1 + name.length + key.length + 16 + signature.length)
+                .put((byte) name.length)
+                .put(name)
+                .put(key)
+                .putLong(fromMs)
+                .putLong(untilMs)
+                .put(signature)
+                .array();
     }
 
     /** One of its bytes, or null if they are none; nothing is verified yet. */
     public static Certificate of(byte[] bytes) {
         int name = bytes.length == 0 ? 0 : bytes[0];
-        if (name <= 0 || name > MOST_MEMBER || bytes.length != 1 + name + Ed25519.KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
+        if (name <= 0
+                || name > MOST_MEMBER
+                || bytes.length != 1 + name + Ed25519.KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
--- a/gossip/src/main/java/calicovale/gossip/wire/Codec.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Codec.java
@@ -31,8 +31,15 @@
     private static final double PER_CENT = 100;
     /** Ms that a claim may be old or last: a day, far above any setting. */
     private static final long MOST_MS = 86_400_000;
-    private static final CBORFactory FACTORY = CBORFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-            .maxNestingDepth(6).maxStringLength(4 * MOST_TEXT).maxNumberLength(20).maxNameLength(MOST_TEXT).build()).build();
+
+    private static final CBORFactory FACTORY = CBORFactory.builder()
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(6)
+                    .maxStringLength(4 * MOST_TEXT)
+                    .maxNumberLength(20)
+                    .maxNameLength(MOST_TEXT)
+                    .build())
+            .build();
 
     private final WireLimits limits;
 
@@ -95,8 +102,9 @@
     }
 
     private static int size(Message m) {
-        return m instanceof Message.PingReq ? 6 : m instanceof Message.Ping ? 5 : m instanceof Message.News || m instanceof Message.Claims
-                ? 3 : 4;
+        return m instanceof Message.PingReq
+                ? 6
+                : m instanceof Message.Ping ? 5 : m instanceof Message.News || m instanceof Message.Claims ? 3 : 4;
     }
 
     private static void write(JsonGenerator g, Update u) throws IOException {
@@ -166,16 +174,17 @@
         open(p);
         number(p, VERSION, VERSION);
         int kind = (int) number(p, 0, 7);
-        Message result = switch (kind) {
-            case 0 -> new Message.Ping(any(p), text(p), updates(p));
-            case 1 -> new Message.PingReq(any(p), text(p), text(p), updates(p));
-            case 2 -> new Message.Ack(any(p), updates(p));
-            case 3 -> new Message.Nack(any(p), updates(p));
-            case 4 -> new Message.News(updates(p));
-            case 5 -> new Message.Digest(any(p), updates(p));
-            case 6 -> new Message.Exchange(number(p, 0, 1) == 1, updates(p));
-            default -> new Message.Claims(statements(p));
-        };
+        Message result =
+                switch (kind) {
+                    case 0 -> new Message.Ping(any(p), text(p), updates(p));
+                    case 1 -> new Message.PingReq(any(p), text(p), text(p), updates(p));
+                    case 2 -> new Message.Ack(any(p), updates(p));
+                    case 3 -> new Message.Nack(any(p), updates(p));
+                    case 4 -> new Message.News(updates(p));
+                    case 5 -> new Message.Digest(any(p), updates(p));
+                    case 6 -> new Message.Exchange(number(p, 0, 1) == 1, updates(p));
+                    default -> new Message.Claims(statements(p));
+                };
         close(p);
         return result;
     }
@@ -213,8 +222,12 @@
                 if (claims.size() >= limits.claimsMost()) {
                     throw new WireException("at most " + limits.claimsMost() + " claims are expected");
                 }
-                claims.add(new Claim(any(p), Claim.Kind.values()[(int) number(p, 0, Claim.Kind.values().length - 1)],
-                        number(p, 1, (long) PER_CENT) / PER_CENT, number(p, 0, MOST_MS), number(p, 0, MOST_MS)));
+                claims.add(new Claim(
+                        any(p),
+                        Claim.Kind.values()[(int) number(p, 0, Claim.Kind.values().length - 1)],
+                        number(p, 1, (long) PER_CENT) / PER_CENT,
+                        number(p, 0, MOST_MS),
+                        number(p, 0, MOST_MS)));
                 close(p);
             }
             result.add(new Statement(from, number, List.copyOf(claims), bytes(p)));
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -27,11 +27,21 @@
     private static final int CERTIFICATE = 38;
     /** Bytes of an envelope without a certificate. */
     public static final int HEAD = CERTIFICATE + Ed25519.SIGNATURE_BYTES;
+
     private static final int VERSION = 1;
     private static final int MOST_CERTIFICATE = 256;
 
     /** Why a message was dropped. */
-    public enum Drop { MALFORMED, VERSION, UNKNOWN_KEY, SKEWED, REPLAYED, RATE, SIGNATURE, BOUND }
+    public enum Drop {
+        MALFORMED,
+        VERSION,
+        UNKNOWN_KEY,
+        SKEWED,
+        REPLAYED,
+        RATE,
+        SIGNATURE,
+        BOUND
+    }
 
     /**
      * A message whose sender is certain.
@@ -86,7 +96,11 @@
         byte[] certificate = certified ? signer.certificate() : new byte[0];
         ByteBuffer out = ByteBuffer.allocate(HEAD + certificate.length + message.length);
         out.put((byte) 'c').put((byte) 'v').putShort((short) VERSION);
-        out.putShort((short) certificate.length).putLong(signer.keyId()).putLong(life).putLong(++sequence).putLong((long) wallMs);
+        out.putShort((short) certificate.length)
+                .putLong(signer.keyId())
+                .putLong(life)
+                .putLong(++sequence)
+                .putLong((long) wallMs);
         out.put(certificate);
         byte[] head = Arrays.copyOf(out.array(), out.position());
         out.put(signer.sign(context(roster.group(), to), head, message)).put(message);
@@ -157,7 +171,11 @@
         if (from > length) {
             return drop(Drop.MALFORMED);
         }
-        if (!Ed25519.verify(entry.key(), signature, context(roster.group(), here), Arrays.copyOf(bytes, head),
+        if (!Ed25519.verify(
+                entry.key(),
+                signature,
+                context(roster.group(), here),
+                Arrays.copyOf(bytes, head),
                 Arrays.copyOfRange(bytes, from, length))) {
             return drop(Drop.SIGNATURE);
         }
@@ -167,8 +185,11 @@
         if (home == null) {
             // the place where a verified message came from has a rate of its own from now on
             if (homes.size() >= 2 * limits.membersMost()) {
-                homes.remove(homes.entrySet().stream().min((a, b) -> Double.compare(a.getValue().lastMs(), b.getValue().lastMs()))
-                        .orElseThrow().getKey());
+                homes.remove(homes.entrySet().stream()
+                        .min((a, b) -> Double.compare(
+                                a.getValue().lastMs(), b.getValue().lastMs()))
+                        .orElseThrow()
+                        .getKey());
             }
             homes.put(place, new TokenBucket(limits.perPeer(), nowMs));
         }
--- a/gossip/src/main/java/calicovale/gossip/wire/Roster.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Roster.java
@@ -18,8 +18,7 @@
 public final class Roster {
 
     /** A key that may speak for a member from one time to another, ms since 1970. */
-    public record Entry(String member, PublicKey key, double fromMs, double untilMs) {
-    }
+    public record Entry(String member, PublicKey key, double fromMs, double untilMs) {}
 
     private final String group;
     private final PublicKey authority;
--- a/gossip/src/main/java/calicovale/gossip/wire/Signer.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Signer.java
@@ -56,7 +56,11 @@
     private byte[] proof(byte[] text, boolean certified) {
         byte[] signature = Ed25519.sign(key, text);
         byte[] more = certified ? certificate : new byte[0];
-        return ByteBuffer.allocate(8 + signature.length + more.length).putLong(keyId).put(signature).put(more).array();
+        return ByteBuffer.allocate(8 + signature.length + more.length)
+                .putLong(keyId)
+                .put(signature)
+                .put(more)
+                .array();
     }
 
     private boolean proved(String from, byte[] proof, byte[] text) {
@@ -71,19 +75,24 @@
                 entry = roster.of(by, wallMs.getAsDouble());
             }
         }
-        return entry != null && entry.member().equals(from)
+        return entry != null
+                && entry.member().equals(from)
                 && Ed25519.verify(entry.key(), Arrays.copyOfRange(proof, 8, 8 + Ed25519.SIGNATURE_BYTES), text);
     }
 
     private byte[] text(Update u) {
         return ("calicovale-update-1\0" + roster.group() + "\0" + u.from() + "\0" + u.id() + "\0" + u.address() + "\0"
-                + u.incarnation() + "\0" + u.state()).getBytes(StandardCharsets.UTF_8);
+                        + u.incarnation() + "\0" + u.state())
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private byte[] text(Statement s) {
         byte[] head = ("calicovale-statement-1\0" + roster.group() + "\0").getBytes(StandardCharsets.UTF_8);
         byte[] body = Codec.signed(s);
-        return ByteBuffer.allocate(head.length + body.length).put(head).put(body).array();
+        return ByteBuffer.allocate(head.length + body.length)
+                .put(head)
+                .put(body)
+                .array();
     }
 
     @Override
--- a/gossip/src/main/java/calicovale/gossip/wire/WireLimits.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/WireLimits.java
@@ -12,8 +12,15 @@
  * @param perPeer messages a second verified of one key from the address that it is known by
  * @param strangers the same for all other addresses together
  */
-public record WireLimits(int datagramBytes, int exchangeBytes, int updatesMost, int claimsMost, double skewMs, int membersMost,
-        double perPeer, double strangers) {
+public record WireLimits(
+        int datagramBytes,
+        int exchangeBytes,
+        int updatesMost,
+        int claimsMost,
+        double skewMs,
+        int membersMost,
+        double perPeer,
+        double strangers) {
     /** Bounds for groups of up to a thousand. */
     public static final WireLimits DEFAULT = new WireLimits(1200, 1 << 19, 4000, 8, 30_000, 1000, 200, 100);
 }
--- a/host/src/main/java/calicovale/host/ControllerHost.java
+++ b/host/src/main/java/calicovale/host/ControllerHost.java
@@ -2,9 +2,9 @@
 
 import calicovale.ControllerApi.Actions;
 import calicovale.ControllerApi.Event;
+import calicovale.ControllerApi.Settings;
 import calicovale.ControllerApi.TimerFired;
 import calicovale.SessionController;
-import calicovale.ControllerApi.Settings;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
@@ -21,8 +21,8 @@
     private final ArrayDeque<Event> waiting = new ArrayDeque<>();
     private final SessionController controller;
     private boolean handling;
-    private LongConsumer decisionNanos = nanos -> { };
-    private Consumer<Event> witness = event -> { };
+    private LongConsumer decisionNanos = nanos -> {};
+    private Consumer<Event> witness = event -> {};
 
     /**
      * Starts the controller; {@code carrier} carries its actions out.
@@ -31,7 +31,12 @@
      * @param nanos a monotonic clock, by which decisions are timed
      * @param scheduler calls back on the thread that owns this host
      */
-    public ControllerHost(DoubleSupplier now, LongSupplier nanos, Scheduler scheduler, Settings settings, long seed,
+    public ControllerHost(
+            DoubleSupplier now,
+            LongSupplier nanos,
+            Scheduler scheduler,
+            Settings settings,
+            long seed,
             Carrier carrier) {
         this.now = now;
         this.nanos = nanos;
--- a/host/src/main/java/calicovale/host/PlatformSettings.java
+++ b/host/src/main/java/calicovale/host/PlatformSettings.java
@@ -23,8 +23,14 @@
  * @param connIdleMs servers close connections that were idle for so long
  * @param mostHeld sessions that one manager may hold
  */
-public record PlatformSettings(Settings controller, List<String> classes, List<String> zones, List<String> kinds,
-        double connectTimeoutMs, double connIdleMs, int mostHeld) {
+public record PlatformSettings(
+        Settings controller,
+        List<String> classes,
+        List<String> zones,
+        List<String> kinds,
+        double connectTimeoutMs,
+        double connIdleMs,
+        int mostHeld) {
 
     /** Reads all of them; a fault is told to {@code f}. */
     public static PlatformSettings read(Values f) throws BadValueException {
@@ -32,8 +38,14 @@
         for (int i = 0; i < f.integer("profiles.count", 0); i++) {
             names.add(f.text("profiles." + i + ".name", ""));
         }
-        return new PlatformSettings(controller(f), List.copyOf(names), List.of(f.list("dcs")), List.of(f.list("kinds")),
-                f.number("limits.connectTimeoutMs", 0), f.number("limits.connIdleMs", 0), f.integer("limits.mostHeld", 0));
+        return new PlatformSettings(
+                controller(f),
+                List.copyOf(names),
+                List.of(f.list("dcs")),
+                List.of(f.list("kinds")),
+                f.number("limits.connectTimeoutMs", 0),
+                f.number("limits.connIdleMs", 0),
+                f.integer("limits.mostHeld", 0));
     }
 
     /** What the controller is told. */
@@ -43,26 +55,53 @@
         for (int i = 0; i < f.integer("parties.count", 0); i++) {
             tenants.add(new Tenant(f.number("parties." + i + ".quotaRps", 0)));
         }
-        Limits limits = new Limits(f.integer("limits.sendCap", 0),
+        Limits limits = new Limits(
+                f.integer("limits.sendCap", 0),
                 f.flag("limits.retryAfter") ? f.number("limits.maxRetryAfterMs", 0) : 0,
-                f.flag("limits.probes"), f.flag("limits.mayTell"), f.flag("limits.cancelling"));
+                f.flag("limits.probes"),
+                f.flag("limits.mayTell"),
+                f.flag("limits.cancelling"));
         boolean budget = f.has("rules.extraFree") || f.has("rules.repeatRatio");
-        Rules rules = new Rules(f.number("rules.coldFrom", 1), f.number("rules.warmAfterMs", 0),
-                f.number("rules.tipMultiple", 1), f.number("rules.fallMs", 0),
-                f.number("rules.drainGraceMs", 0), budget ? f.number("rules.extraFree", 0) : -1,
-                f.number("rules.repeatRatio", 0), f.number("rules.countedOverMs", 0),
+        Rules rules = new Rules(
+                f.number("rules.coldFrom", 1),
+                f.number("rules.warmAfterMs", 0),
+                f.number("rules.tipMultiple", 1),
+                f.number("rules.fallMs", 0),
+                f.number("rules.drainGraceMs", 0),
+                budget ? f.number("rules.extraFree", 0) : -1,
+                f.number("rules.repeatRatio", 0),
+                f.number("rules.countedOverMs", 0),
                 f.number("rules.askEveryMs", 0));
-        Media media = new Media(boxed(f.numbers("specifics.levelKb")), boxed(f.numbers("specifics.ladderWorth")),
-                f.integer("specifics.positions", 0), f.integer("specifics.racks", 0),
-                f.number("specifics.linkUnitKb", 0), f.number("specifics.rackLinkKb", 0),
-                boxed(f.numbers("specifics.kindStreams")), f.number("specifics.join", 1),
-                f.number("specifics.fullFrom", 0), f.number("specifics.shortfallCost", 0),
-                f.number("specifics.switchS", 0), f.number("specifics.seeMs", 0),
+        Media media = new Media(
+                boxed(f.numbers("specifics.levelKb")),
+                boxed(f.numbers("specifics.ladderWorth")),
+                f.integer("specifics.positions", 0),
+                f.integer("specifics.racks", 0),
+                f.number("specifics.linkUnitKb", 0),
+                f.number("specifics.rackLinkKb", 0),
+                boxed(f.numbers("specifics.kindStreams")),
+                f.number("specifics.join", 1),
+                f.number("specifics.fullFrom", 0),
+                f.number("specifics.shortfallCost", 0),
+                f.number("specifics.switchS", 0),
+                f.number("specifics.seeMs", 0),
                 f.number("specifics.tellMs", 0));
-        return new Settings(f.integer("me", 0), f.integer("replicasOfMe", 1), f.integer("az", 0), classes, tenants,
-                f.number("overShareWorth", 1), limits, rules, media, reports(f),
+        return new Settings(
+                f.integer("me", 0),
+                f.integer("replicasOfMe", 1),
+                f.integer("az", 0),
+                classes,
+                tenants,
+                f.number("overShareWorth", 1),
+                limits,
+                rules,
+                media,
+                reports(f),
                 choice(f, "discovery", "push", "push", "ask") == 1,
-                f.number("scoringMix.worstClass", 0), f.number("costs.moves", 0), f.number("costs.crossZone", 0), f.number("costs.probe", 0));
+                f.number("scoringMix.worstClass", 0),
+                f.number("costs.moves", 0),
+                f.number("costs.crossZone", 0),
+                f.number("costs.probe", 0));
     }
 
     private static List<SessionClass> classes(Values f) throws BadValueException {
@@ -77,10 +116,18 @@
             String at = "profiles." + i + ".";
             Effect effect = Effect.values()[choice(f, at + "effect", "pure", "pure", "token", "side_effect")];
             Group group = Group.values()[choice(f, at + "group", "all", "all", "zone", "cell")];
-            result.add(new SessionClass(f.number(at + "gain", 1), f.number(at + "aimMs", 0),
-                    f.number(at + "deadlineMs", 0), effect, group, f.number(at + "keyTtlMs", 0),
-                    (int) at(lowest, i, 0), (int) at(highest, i, rungs - 1), at(scale, i, 1),
-                    i < live.length && live[i].equals("true"), (int) at(seats, i, 0)));
+            result.add(new SessionClass(
+                    f.number(at + "gain", 1),
+                    f.number(at + "aimMs", 0),
+                    f.number(at + "deadlineMs", 0),
+                    effect,
+                    group,
+                    f.number(at + "keyTtlMs", 0),
+                    (int) at(lowest, i, 0),
+                    (int) at(highest, i, rungs - 1),
+                    at(scale, i, 1),
+                    i < live.length && live[i].equals("true"),
+                    (int) at(seats, i, 0)));
         }
         return result;
     }
--- a/host/src/main/java/calicovale/host/Values.java
+++ b/host/src/main/java/calicovale/host/Values.java
@@ -118,8 +118,7 @@
 
     private int toInt(String key, double value) throws BadValueException {
         if (value != Math.rint(value) || value < 0 || value > Integer.MAX_VALUE) {
-            fault("'" + key + "' must be a whole number from 0, not '"
-                    + values.get(key) + "'");
+            fault("'" + key + "' must be a whole number from 0, not '" + values.get(key) + "'");
             return 0;
         }
         return (int) value;
--- a/manager/src/main/java/calicovale/manager/ManagerMain.java
+++ b/manager/src/main/java/calicovale/manager/ManagerMain.java
@@ -14,11 +14,11 @@
 public final class ManagerMain {
     /** The variable that names the configuration. */
     public static final String CONFIG = "PROXY_CONFIG";
+
     private static final int FAILED = 1;
     private static final int BAD_INPUT = 2;
 
-    private ManagerMain() {
-    }
+    private ManagerMain() {}
 
     /** Runs until a drain has ended and gives the exit status. */
     public static int run(Path file) throws IOException, InterruptedException {
--- a/manager/src/main/java/calicovale/manager/ManagerProcess.java
+++ b/manager/src/main/java/calicovale/manager/ManagerProcess.java
@@ -33,6 +33,7 @@
     private static final double LINGER_MS = 300;
     /** Ms before a configuration that could not be read is read again, doubling, and how often: it may be half written. */
     private static final double READ_AGAIN_MS = 50;
+
     private static final int READS = 7;
     /** Bounds of the loop: some hundreds of connections, each message 16 KiB at most. */
     private static final LoopLimits LIMITS = new LoopLimits(1 << 10, 1 << 16, 1 << 18, 512, 64, 1);
@@ -77,8 +78,15 @@
 
     private boolean begin(Runnable caughtUp) {
         manager = new SessionManager(loop, config);
-        bus = new EventBus(loop, new SplittableRandom(config.seed()), manager.log(LOG), config.bus(), config.knownOffset(),
-                config.platform().controller().rules().drainGraceMs(), manager::onBus, this::busLost);
+        bus = new EventBus(
+                loop,
+                new SplittableRandom(config.seed()),
+                manager.log(LOG),
+                config.bus(),
+                config.knownOffset(),
+                config.platform().controller().rules().drainGraceMs(),
+                manager::onBus,
+                this::busLost);
         bus.open(caughtUp);
         loop.schedule(COUNTS_MS, this::tellCounts);
         return true;
--- a/manager/src/main/java/calicovale/manager/SessionManager.java
+++ b/manager/src/main/java/calicovale/manager/SessionManager.java
@@ -56,6 +56,7 @@
     private static final int ENDED_UNHELD = 1024;
     /** Most ms that the platform leaves for answers at a drain, after the last set-up, and what is kept in hand of them. */
     private static final double MOST_ANSWER_MS = 3000;
+
     private static final double ANSWER_MARGIN_MS = 200;
     /** Set-ups open at once on one connection: all of 90 a second with a hung server are fewer. */
     private static final int MOST_OWED = 128;
@@ -96,22 +97,57 @@
         var platform = config.platform();
         var controller = platform.controller();
         long byHeap = Runtime.getRuntime().maxMemory() / BYTES_PER_SESSION;
-        int most = (int) Math.max(1, Math.min(platform.mostHeld() > 0 ? platform.mostHeld() : Integer.MAX_VALUE,
-                Math.min(byHeap, (long) SESSIONS_PER_MB * config.memoryMb())));
+        int most = (int) Math.max(
+                1,
+                Math.min(
+                        platform.mostHeld() > 0 ? platform.mostHeld() : Integer.MAX_VALUE,
+                        Math.min(byHeap, (long) SESSIONS_PER_MB * config.memoryMb())));
         table = new SessionTable(most);
-        longestMs = Math.min(MOST_ANSWER_MS, controller.classes().stream().mapToDouble(c -> c.deadlineMs()).max().orElse(0));
+        longestMs = Math.min(
+                MOST_ANSWER_MS,
+                controller.classes().stream()
+                        .mapToDouble(c -> c.deadlineMs())
+                        .max()
+                        .orElse(0));
         int descriptors = Math.max(8, config.sockets() - OWN_DESCRIPTORS);
         int links = (int) (SERVERS_PART * descriptors);
         double told = controller.media().noteEveryMs();
-        double quiet = told > 0 ? Math.min(MOST_QUIET_MS, 2 * told + controller.media().noteDelayMs()) : QUIET_MS;
-        servers = new ServerPool(loop, new SplittableRandom(config.seed()), new ServerSettings(links, platform.connectTimeoutMs() > 0 ? platform.connectTimeoutMs() : 250,
-                platform.connIdleMs() > 0 ? IDLE_PART * platform.connIdleMs() : Double.MAX_VALUE, quiet), platform, table, log,
+        double quiet =
+                told > 0 ? Math.min(MOST_QUIET_MS, 2 * told + controller.media().noteDelayMs()) : QUIET_MS;
+        servers = new ServerPool(
+                loop,
+                new SplittableRandom(config.seed()),
+                new ServerSettings(
+                        links,
+                        platform.connectTimeoutMs() > 0 ? platform.connectTimeoutMs() : 250,
+                        platform.connIdleMs() > 0 ? IDLE_PART * platform.connIdleMs() : Double.MAX_VALUE,
+                        quiet),
+                platform,
+                table,
+                log,
                 new FromServers());
-        viewers = new ViewerDesk(loop, new ViewerSettings(descriptors - links, MOST_OWED, controller.limits().retryAfterMs(),
-                SPEAK_MS, platform.classes(),
-                controller.classes().stream().map(c -> WAIT_OVER * c.deadlineMs()).toList(), controller.media().cells(),
-                controller.media().rungKb().size()), table, log, new FromViewers());
-        host = new ControllerHost(loop.clock()::millis, loop.clock()::nanos, loop::schedule, controller, config.seed(),
+        viewers = new ViewerDesk(
+                loop,
+                new ViewerSettings(
+                        descriptors - links,
+                        MOST_OWED,
+                        controller.limits().retryAfterMs(),
+                        SPEAK_MS,
+                        platform.classes(),
+                        controller.classes().stream()
+                                .map(c -> WAIT_OVER * c.deadlineMs())
+                                .toList(),
+                        controller.media().cells(),
+                        controller.media().rungKb().size()),
+                table,
+                log,
+                new FromViewers());
+        host = new ControllerHost(
+                loop.clock()::millis,
+                loop.clock()::nanos,
+                loop::schedule,
+                controller,
+                config.seed(),
                 new FromController());
         known(config);
     }
@@ -127,8 +163,8 @@
             event.entries().forEach(entry -> entries.put(entry.id(), entry));
             generation = event.generation();
         }
-        host.raise(servers.apply(new BusEvent(config.knownOffset(), generation, true, List.copyOf(entries.values())),
-                ListScope.SAVED));
+        host.raise(servers.apply(
+                new BusEvent(config.knownOffset(), generation, true, List.copyOf(entries.values())), ListScope.SAVED));
     }
 
     /** A log that counts with this manager's counters. */
@@ -145,7 +181,7 @@
     public void onBus(BusEvent event) {
         ServerList list = servers.apply(event, event.whole() ? ListScope.COMPLETE : ListScope.CHANGES);
         host.raise(list);
-        for (var waiting = unlisted.entrySet().iterator(); waiting.hasNext();) {
+        for (var waiting = unlisted.entrySet().iterator(); waiting.hasNext(); ) {
             var next = waiting.next();
             if (next.getKey().state() == State.OVER) {
                 waiting.remove();
@@ -196,11 +232,24 @@
     }
 
     private calicovale.ControllerApi.Request request(String id, ViewerDesk.Request r, double giveUpMs) {
-        return new calicovale.ControllerApi.Request(id, r.classIndex(), 0, r.viewer(), r.title(), giveUpMs, 0, r.home(),
-                r.copies(), r.top(), r.retry(), false, r.again());
+        return new calicovale.ControllerApi.Request(
+                id,
+                r.classIndex(),
+                0,
+                r.viewer(),
+                r.title(),
+                giveUpMs,
+                0,
+                r.home(),
+                r.copies(),
+                r.top(),
+                r.retry(),
+                false,
+                r.again());
     }
 
-    private void attemptEnded(Session s, long server, Outcome outcome, double elapsedMs, boolean closed, Map<String, Double> load) {
+    private void attemptEnded(
+            Session s, long server, Outcome outcome, double elapsedMs, boolean closed, Map<String, Double> load) {
         counters.count("outcome." + outcome);
         host.raise(new AttemptEnded(s.name(), s.attempt(), server, outcome, elapsedMs, closed, load));
     }
@@ -232,7 +281,8 @@
             }
             counters.count("handed-over");
             long number = servers.number(server);
-            Session s = table.takeOver(id, origin, "", r.title(), number, loop.clock().millis());
+            Session s = table.takeOver(
+                    id, origin, "", r.title(), number, loop.clock().millis());
             Takeover takeover = new Takeover(request(s.name(), r, Double.MAX_VALUE), number);
             Boolean endedByServer = endedUnheld.remove(id);
             if (endedByServer != null) {
@@ -286,8 +336,9 @@
         public void started(Session s, double elapsedMs, byte[] description) {
             counters.count("started");
             host.raise(new Started(s.name(), s.attempt(), s.server(), elapsedMs));
-            if (s.state() == State.STANDING && !viewers.answer(s, Message.of(MessageType.ANM, s.id())
-                    .with(Parameter.DESCRIPTION, description))) {
+            if (s.state() == State.STANDING
+                    && !viewers.answer(
+                            s, Message.of(MessageType.ANM, s.id()).with(Parameter.DESCRIPTION, description))) {
                 // its viewer is gone: nobody would ever end it
                 cut(s);
             }
@@ -304,11 +355,12 @@
 
         @Override
         public void ended(Session s, long server, Outcome outcome, Map<String, Double> load) {
-            int cause = switch (outcome) {
-                case OK -> Cause.NORMAL;
-                case CANCELLED -> Cause.CANCELLED;
-                default -> Cause.TEMPORARY_FAILURE;
-            };
+            int cause =
+                    switch (outcome) {
+                        case OK -> Cause.NORMAL;
+                        case CANCELLED -> Cause.CANCELLED;
+                        default -> Cause.TEMPORARY_FAILURE;
+                    };
             table.over(s);
             viewers.tell(s, Message.release(s.id(), cause));
             attemptEnded(s, server, outcome, loop.clock().millis() - s.sinceMs(), true, load);
--- a/manager/src/main/java/calicovale/manager/bus/Addresses.java
+++ b/manager/src/main/java/calicovale/manager/bus/Addresses.java
@@ -11,8 +11,7 @@
 public final class Addresses {
     private static final Pattern FORM = Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
 
-    private Addresses() {
-    }
+    private Addresses() {}
 
     /** Reads {@code a.b.c.d:port}. */
     public static InetSocketAddress read(String text) throws BadValueException {
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -20,16 +20,26 @@
 public record BusEvent(long offset, long generation, boolean whole, List<Entry> entries) {
 
     /** A video server's state. */
-    public enum Lifecycle { IN_SERVICE, TERMINATING, TERMINATED }
+    public enum Lifecycle {
+        IN_SERVICE,
+        TERMINATING,
+        TERMINATED
+    }
 
     /**
      * One video server.
      *
      * @param startedAtMs when it started, where that was late; else 0
      */
-    public record Entry(String id, InetSocketAddress address, String zone, String kind, int cell, Lifecycle lifecycle,
-            double weight, double startedAtMs) {
-    }
+    public record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            Lifecycle lifecycle,
+            double weight,
+            double startedAtMs) {}
 
     /** Reads one from its line; null: the line holds the last number alone. */
     public static BusEvent readLine(String line) throws BadValueException {
@@ -66,8 +76,11 @@
         for (JsonNode entry : list) {
             entries.add(entry(entry));
         }
-        return new BusEvent(node.path("offset").asLong(), topology.path("generation").asLong(),
-                topology.path("reset").asBoolean(), List.copyOf(entries));
+        return new BusEvent(
+                node.path("offset").asLong(),
+                topology.path("generation").asLong(),
+                topology.path("reset").asBoolean(),
+                List.copyOf(entries));
     }
 
     private static Entry entry(JsonNode node) throws BadValueException {
@@ -85,8 +98,14 @@
         if (at.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
             throw new BadValueException("instance " + id + ": no 'hostPort'");
         }
-        return new Entry(id, at.isEmpty() ? null : Addresses.read(at), node.path("zone").asText(""),
-                node.path("machineType").asText(""), Math.max(0, node.path("cell").asInt()), lifecycle,
-                node.path("weight").asDouble(1), node.path("startedAtMs").asDouble());
+        return new Entry(
+                id,
+                at.isEmpty() ? null : Addresses.read(at),
+                node.path("zone").asText(""),
+                node.path("machineType").asText(""),
+                Math.max(0, node.path("cell").asInt()),
+                lifecycle,
+                node.path("weight").asDouble(1),
+                node.path("startedAtMs").asDouble());
     }
 }
--- a/manager/src/main/java/calicovale/manager/bus/EventBus.java
+++ b/manager/src/main/java/calicovale/manager/bus/EventBus.java
@@ -1,7 +1,7 @@
 package calicovale.manager.bus;
 
-import calicovale.host.BadValueException;
 import calicovale.host.Backoff;
+import calicovale.host.BadValueException;
 import calicovale.manager.LimitedLog;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.net.EventLoop;
@@ -27,6 +27,7 @@
     private static final double SILENT_SPREAD_MS = 400;
     /** Most ms for a connection to stand, between the first two tries, and between later ones. */
     private static final double CONNECT_MS = 400;
+
     private static final double FIRST_MS = 150;
     private static final double MOST_MS = 500;
     /**
@@ -34,6 +35,7 @@
      * just before and the wait for the next must leave time to heed it.
      */
     private static final double GRACE_PART = 0.25;
+
     private static final double LEAST_MS = 25;
     /** Ms in which the bus writes what came since, once asked: it does so at once. */
     private static final double SETTLE_MS = 250;
@@ -61,8 +63,15 @@
      * @param graceMs for how long a drain that was told need not be heeded
      * @param lost hears whenever the bus has to be asked again
      */
-    public EventBus(EventLoop loop, RandomGenerator random, LimitedLog log, InetSocketAddress address, long last,
-            double graceMs, Consumer<BusEvent> listener, Runnable lost) {
+    public EventBus(
+            EventLoop loop,
+            RandomGenerator random,
+            LimitedLog log,
+            InetSocketAddress address,
+            long last,
+            double graceMs,
+            Consumer<BusEvent> listener,
+            Runnable lost) {
         this.loop = loop;
         this.lost = lost;
         this.log = log;
@@ -137,6 +146,7 @@
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
         private Connection connection;
         private Timer silence;
+
         private void watch() {
             if (silence != null) {
                 silence.cancel();
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -31,8 +31,16 @@
  * @param knownOffset the number of the last of them
  * @param platform the platform's settings
  */
-public record ManagerConfig(String name, InetSocketAddress listen, InetSocketAddress bus, long seed, int memoryMb, int sockets,
-        List<BusEvent> known, long knownOffset, PlatformSettings platform) {
+public record ManagerConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress bus,
+        long seed,
+        int memoryMb,
+        int sockets,
+        List<BusEvent> known,
+        long knownOffset,
+        PlatformSettings platform) {
     private static final int HEX = 16;
 
     /** Reads a file; all its faults are told at once. */
@@ -54,7 +62,8 @@
             faults.add("JSON is expected (" + e.getOriginalMessage() + ")");
         }
         if (!faults.isEmpty()) {
-            throw new InvalidDocumentException(faults.stream().map(fault -> file + ": " + fault).toList());
+            throw new InvalidDocumentException(
+                    faults.stream().map(fault -> file + ": " + fault).toList());
         }
         return config;
     }
@@ -78,12 +87,20 @@
                 faults.add("'seed' must be up to 16 hex digits, not '" + hex + "'");
             }
             PlatformSettings platform = PlatformSettings.read(collecting("settings: ", settings, faults));
-            if (platform.classes().isEmpty() || platform.controller().media().rungKb().isEmpty()) {
+            if (platform.classes().isEmpty()
+                    || platform.controller().media().rungKb().isEmpty()) {
                 faults.add("settings: classes and a ladder are expected");
             }
-            return new ManagerConfig(values.text("name", ""), address(values, "listen", faults), address(values, "bus", faults),
-                    seed, values.integer("limits.memory_mb"), values.integer("limits.sockets"), known(node, faults),
-                    node.path("known").path("offset").asLong(), platform);
+            return new ManagerConfig(
+                    values.text("name", ""),
+                    address(values, "listen", faults),
+                    address(values, "bus", faults),
+                    seed,
+                    values.integer("limits.memory_mb"),
+                    values.integer("limits.sockets"),
+                    known(node, faults),
+                    node.path("known").path("offset").asLong(),
+                    platform);
         } catch (BadValueException e) {
             throw new IllegalStateException("faults are collected here", e);
         }
@@ -123,8 +140,9 @@
     /** The form of the simulator's wire: paths of names, lists set apart by commas, lists of objects by number. */
     private static void flatten(String path, JsonNode node, Map<String, String> into) {
         if (node.isObject()) {
-            node.properties().forEach(field -> flatten(path.isEmpty() ? field.getKey() : path + "." + field.getKey(),
-                    field.getValue(), into));
+            node.properties()
+                    .forEach(field -> flatten(
+                            path.isEmpty() ? field.getKey() : path + "." + field.getKey(), field.getValue(), into));
         } else if (node.isArray() && node.size() > 0 && node.get(0).isObject()) {
             into.put(path + ".count", String.valueOf(node.size()));
             for (int i = 0; i < node.size(); i++) {
--- a/manager/src/main/java/calicovale/manager/servers/Figures.java
+++ b/manager/src/main/java/calicovale/manager/servers/Figures.java
@@ -7,8 +7,7 @@
 final class Figures {
     private static final int MOST = 16;
 
-    private Figures() {
-    }
+    private Figures() {}
 
     /** A finite number from 0; NaN: it is none. */
     static double number(String text) {
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -22,11 +22,13 @@
     boolean open;
     /** Whether nothing more is to be sent or heard on it: what it brought cannot be read, or it goes to an old process. */
     boolean useless;
+
     final double openedAtMs;
     double usedAtMs;
     double heardAtMs;
     /** When the message that has not ended yet began; 0: none. */
     double partialSinceMs;
+
     private final ServerPool pool;
     private final SignalParser parser = new SignalParser();
     private final List<Message> waiting = new ArrayList<>();
@@ -130,9 +132,11 @@
     @Override
     public void onClosed(Connection c, IOException cause) {
         open = false;
-        List<Message> releases = waiting.stream().filter(m -> m.type() == MessageType.REL).toList();
+        List<Message> releases =
+                waiting.stream().filter(m -> m.type() == MessageType.REL).toList();
         waiting.clear();
         pool.dropped(this);
-        pool.decide(() -> pool.closed(this, stood, cause instanceof ConnectFailedException failed ? failed : null, releases));
+        pool.decide(() ->
+                pool.closed(this, stood, cause instanceof ConnectFailedException failed ? failed : null, releases));
     }
 }
