--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -45,9 +45,11 @@
     private static final double SPARE_IDLE_MS = 3000;
     /** Refusals one after the other, over so many ms, that show that the process is gone. */
     private static final int REFUSALS = 3;
+
     private static final double REFUSED_MS = 300;
     /** Ms between the first tries to reach a server where sessions stand, and most between later ones. */
     private static final double AGAIN_MS = 150;
+
     private static final double MOST_AGAIN_MS = 1000;
     /** Links one after the other that releases are tried on, where none comes up. */
     private static final int RESENDS = 3;
@@ -89,8 +91,14 @@
     private int links;
 
     /** Starts with no server. */
-    public ServerPool(EventLoop loop, RandomGenerator random, ServerSettings settings, PlatformSettings platform, SessionTable table,
-            LimitedLog log, Listener listener) {
+    public ServerPool(
+            EventLoop loop,
+            RandomGenerator random,
+            ServerSettings settings,
+            PlatformSettings platform,
+            SessionTable table,
+            LimitedLog log,
+            Listener listener) {
         this.loop = loop;
         this.random = random;
         this.settings = settings;
@@ -135,13 +143,20 @@
             server.listed = true;
             named.add(server);
             take(server, entry);
-            ServerState state = switch (entry.lifecycle()) {
-                case IN_SERVICE -> ServerState.READY;
-                case TERMINATING -> ServerState.DRAINING;
-                case TERMINATED -> ServerState.GONE;
-            };
-            entries.add(new ServerEntry(server.number, state, Math.max(0, platform.kinds().indexOf(entry.kind())),
-                    Math.max(0, platform.zones().indexOf(entry.zone())), entry.cell(), entry.startedAtMs(), entry.weight()));
+            ServerState state =
+                    switch (entry.lifecycle()) {
+                        case IN_SERVICE -> ServerState.READY;
+                        case TERMINATING -> ServerState.DRAINING;
+                        case TERMINATED -> ServerState.GONE;
+                    };
+            entries.add(new ServerEntry(
+                    server.number,
+                    state,
+                    Math.max(0, platform.kinds().indexOf(entry.kind())),
+                    Math.max(0, platform.zones().indexOf(entry.zone())),
+                    entry.cell(),
+                    entry.startedAtMs(),
+                    entry.weight()));
         }
         if (event.whole()) {
             for (VideoServer server : servers.values()) {
@@ -154,7 +169,8 @@
     private void take(VideoServer server, BusEvent.Entry entry) {
         server.gone = entry.lifecycle() == BusEvent.Lifecycle.TERMINATED;
         InetSocketAddress was = server.address;
-        boolean moved = entry.address() != null && was != null && !entry.address().equals(was);
+        boolean moved =
+                entry.address() != null && was != null && !entry.address().equals(was);
         if (entry.address() != null) {
             server.address = entry.address();
         }
@@ -196,7 +212,8 @@
     }
 
     private VideoServer server(String name) {
-        return servers.computeIfAbsent(numbers.of(name), n -> new VideoServer(n, name, nowMs(), SPREAD * random.nextDouble()));
+        return servers.computeIfAbsent(
+                numbers.of(name), n -> new VideoServer(n, name, nowMs(), SPREAD * random.nextDouble()));
     }
 
     /** The number of the server of this name, whether or not the list has named it yet. */
@@ -230,7 +247,8 @@
         }
         link.attempts.put(s.id(), attempt);
         attempt.overdue = loop.schedule(timeoutMs, () -> overdue(attempt));
-        Message setUp = Message.of(MessageType.IAM, s.id()).with(Parameter.CLASS, s.sessionClass())
+        Message setUp = Message.of(MessageType.IAM, s.id())
+                .with(Parameter.CLASS, s.sessionClass())
                 .with(Parameter.WAIT, String.valueOf(Math.max(1, (long) Math.ceil(timeoutMs))))
                 .with(Parameter.TITLE, s.title());
         if (s.rung() >= 0) {
@@ -252,7 +270,9 @@
             }
             if (link.open && link.attempts.isEmpty() && now - link.usedAtMs > settings.idleMs()) {
                 link.connection.close();
-            } else if (best == null || rank(link) < rank(best) || rank(link) == rank(best) && link.usedAtMs > best.usedAtMs) {
+            } else if (best == null
+                    || rank(link) < rank(best)
+                    || rank(link) == rank(best) && link.usedAtMs > best.usedAtMs) {
                 best = link;
             }
         }
@@ -385,7 +405,9 @@
     /** Opens a link to a server where sessions stand, unless one is being opened. */
     private void reach(VideoServer server) {
         boolean connecting = server.links.stream().anyMatch(link -> !link.open);
-        if (!connecting && server.address != null && table.standingAt(server.number) > 0
+        if (!connecting
+                && server.address != null
+                && table.standingAt(server.number) > 0
                 && (links < settings.mostLinks() || freeOne())) {
             connect(server);
         }
@@ -460,32 +482,35 @@
 
     private void refused(Session s, Message m) {
         Attempt attempt = out.get(s.id());
-        Outcome outcome = switch (m.cause()) {
-            case Cause.NO_CIRCUIT -> Outcome.FULL;
-            case Cause.UNAVAILABLE -> Outcome.ERROR;
-            case Cause.TIMER_EXPIRY -> Outcome.MOOT;
-            default -> Outcome.RESET;
-        };
+        Outcome outcome =
+                switch (m.cause()) {
+                    case Cause.NO_CIRCUIT -> Outcome.FULL;
+                    case Cause.UNAVAILABLE -> Outcome.ERROR;
+                    case Cause.TIMER_EXPIRY -> Outcome.MOOT;
+                    default -> Outcome.RESET;
+                };
         end(attempt, outcome, load(m));
     }
 
     private void released(Session s, Message m) {
-        Outcome outcome = switch (m.cause()) {
-            case Cause.NORMAL -> Outcome.OK;
-            case Cause.CANCELLED -> Outcome.CANCELLED;
-            default -> Outcome.RESET;
-        };
+        Outcome outcome =
+                switch (m.cause()) {
+                    case Cause.NORMAL -> Outcome.OK;
+                    case Cause.CANCELLED -> Outcome.CANCELLED;
+                    default -> Outcome.RESET;
+                };
         listener.ended(s, s.server(), outcome, load(m));
     }
 
     private void note(Session s, Message m) {
-        NoteKind kind = switch (String.valueOf(m.text(Parameter.NOTE))) {
-            case "quality" -> NoteKind.DELIVERED_SHARE;
-            case "profile" -> NoteKind.RUNG;
-            case "nic" -> NoteKind.LINK_USE;
-            case "tor" -> NoteKind.UPLINK_USE;
-            default -> null;
-        };
+        NoteKind kind =
+                switch (String.valueOf(m.text(Parameter.NOTE))) {
+                    case "quality" -> NoteKind.DELIVERED_SHARE;
+                    case "profile" -> NoteKind.RUNG;
+                    case "nic" -> NoteKind.LINK_USE;
+                    case "tor" -> NoteKind.UPLINK_USE;
+                    default -> null;
+                };
         double value = Figures.number(m.text(Parameter.VALUE));
         if (kind == null || Double.isNaN(value)) {
             log.count("server.note-unknown");
@@ -529,13 +554,17 @@
             log.say("server.not-tried", failed.getMessage());
         } else if (failed.timedOut()) {
             log.count("server.unreachable");
-            server.unreachableSinceMs = server.unreachableSinceMs > 0 ? server.unreachableSinceMs : now - settings.connectMs();
+            server.unreachableSinceMs =
+                    server.unreachableSinceMs > 0 ? server.unreachableSinceMs : now - settings.connectMs();
         } else {
             log.count("server.refused");
             server.refusedSinceMs = server.refusals++ == 0 ? now : server.refusedSinceMs;
         }
         for (Attempt attempt : List.copyOf(link.attempts.values())) {
-            end(attempt, stood ? Outcome.RESET : failed != null && failed.local() ? Outcome.MOOT : Outcome.CONNECT_FAILED, Map.of());
+            end(
+                    attempt,
+                    stood ? Outcome.RESET : failed != null && failed.local() ? Outcome.MOOT : Outcome.CONNECT_FAILED,
+                    Map.of());
         }
         if (!releases.isEmpty() && !server.gone && server.resends++ < RESENDS) {
             // what its viewer has ended would play on for nobody
@@ -549,7 +578,8 @@
         boolean lost = !alive || now - server.heardAtMs > settings.quietMs();
         if (lost && server.refusals >= REFUSALS && now - server.refusedSinceMs >= REFUSED_MS) {
             died(server, "its process is gone");
-        } else if (server.unreachableSinceMs > 0 && now - server.unreachableSinceMs > UNREACHABLE_MS
+        } else if (server.unreachableSinceMs > 0
+                && now - server.unreachableSinceMs > UNREACHABLE_MS
                 && now - server.heardAtMs > VANISHED_MS) {
             died(server, "it cannot be reached");
         } else if (lost && server.again == null) {
@@ -588,8 +618,8 @@
             for (ServerLink link : List.copyOf(server.links)) {
                 if (link.partialSinceMs > 0 && now - link.partialSinceMs > PARTIAL_MS) {
                     link.spoilt("half a message for " + (long) PARTIAL_MS + " ms");
-                } else if (link.attempts.isEmpty() && (link.useless
-                        || link.open && now - link.usedAtMs > SPARE_IDLE_MS && ++idle > KEPT_IDLE)) {
+                } else if (link.attempts.isEmpty()
+                        && (link.useless || link.open && now - link.usedAtMs > SPARE_IDLE_MS && ++idle > KEPT_IDLE)) {
                     link.connection.close();
                 }
             }
@@ -604,7 +634,9 @@
             } else if (stands && server.links.isEmpty() && server.again == null) {
                 reach(server);
             }
-            if ((server.gone || !server.listed) && !stands && server.links.stream().allMatch(link -> link.attempts.isEmpty())) {
+            if ((server.gone || !server.listed)
+                    && !stands
+                    && server.links.stream().allMatch(link -> link.attempts.isEmpty())) {
                 forget(server);
             }
         }
--- a/manager/src/main/java/calicovale/manager/servers/ServerSettings.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerSettings.java
@@ -8,5 +8,4 @@
  * @param idleMs idle links are closed here, before the servers close them
  * @param quietMs a server where sessions stand and that says nothing for so long is looked at: it tells of its link at times
  */
-public record ServerSettings(int mostLinks, double connectMs, double idleMs, double quietMs) {
-}
+public record ServerSettings(int mostLinks, double connectMs, double idleMs, double quietMs) {}
--- a/manager/src/main/java/calicovale/manager/servers/VideoServer.java
+++ b/manager/src/main/java/calicovale/manager/servers/VideoServer.java
@@ -12,6 +12,7 @@
     InetSocketAddress address;
     /** Whether the list has named it; else sessions that were handed over did. */
     boolean listed;
+
     boolean gone;
     double startedAtMs;
     final Set<ServerLink> links = new LinkedHashSet<>();
@@ -22,9 +23,11 @@
     final double spread;
     /** Connections refused one after the other, and since when. */
     int refusals;
+
     double refusedSinceMs;
     /** Since when connections do not come up; 0: they do, or none was tried. */
     double unreachableSinceMs;
+
     Timer again;
     /** Tries to reach it since it was last heard. */
     int tries;
--- a/manager/src/main/java/calicovale/manager/sessions/Session.java
+++ b/manager/src/main/java/calicovale/manager/sessions/Session.java
@@ -18,8 +18,7 @@
     }
 
     /** Where a set-up came from and its answer goes. */
-    public interface Origin {
-    }
+    public interface Origin {}
 
     private final long id;
     private final String name;
--- a/manager/src/main/java/calicovale/manager/viewers/SetUp.java
+++ b/manager/src/main/java/calicovale/manager/viewers/SetUp.java
@@ -14,8 +14,20 @@
  * @param classIndex the class's place in the settings
  * @param at the server where it plays already; null: it is to be set up
  */
-record SetUp(int fault, String why, int classIndex, String title, byte[] description, double waitMs, boolean retry, boolean again,
-        int home, int copies, int top, String viewer, String at) {
+record SetUp(
+        int fault,
+        String why,
+        int classIndex,
+        String title,
+        byte[] description,
+        double waitMs,
+        boolean retry,
+        boolean again,
+        int home,
+        int copies,
+        int top,
+        String viewer,
+        String at) {
     private static final int MOST_TEXT = 256;
     private static final int MOST_EXTRAS = 16;
     private static final int DIGITS = 9;
@@ -68,15 +80,31 @@
         int home = whole(extras.getOrDefault("home", "0"));
         int copies = whole(extras.getOrDefault("copies", String.valueOf(Integer.MAX_VALUE / 2)));
         int top = whole(extras.getOrDefault("top", String.valueOf(settings.rungs() - 1)));
-        if (home < 0 || settings.cells() > 0 && home >= settings.cells() || copies < 1 || top < 0 || top >= settings.rungs()) {
+        if (home < 0
+                || settings.cells() > 0 && home >= settings.cells()
+                || copies < 1
+                || top < 0
+                || top >= settings.rungs()) {
             return bad(Cause.INVALID_CONTENTS, "figures out of range: '" + shown(text) + "'");
         }
         String viewer = extras.getOrDefault("viewer", "");
         if (viewer.length() > MOST_TEXT) {
             return bad(Cause.INVALID_CONTENTS, "a viewer of " + viewer.length() + " characters");
         }
-        return new SetUp(0, null, index, title, m.value(Parameter.DESCRIPTION), waitMs, m.has(Parameter.RETRY),
-                "1".equals(extras.get("again")), home, copies, top, viewer, at);
+        return new SetUp(
+                0,
+                null,
+                index,
+                title,
+                m.value(Parameter.DESCRIPTION),
+                waitMs,
+                m.has(Parameter.RETRY),
+                "1".equals(extras.get("again")),
+                home,
+                copies,
+                top,
+                viewer,
+                at);
     }
 
     private static boolean name(String text) {
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerDesk.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerDesk.java
@@ -59,12 +59,18 @@
      *
      * @param classIndex the class's place in the settings
      */
-    public record Request(int classIndex, String title, String viewer, double giveUpMs, int home, int copies, int top,
-            boolean retry, boolean again) {
-    }
-
-    private record Waiting(Message message, double untilMs) {
-    }
+    public record Request(
+            int classIndex,
+            String title,
+            String viewer,
+            double giveUpMs,
+            int home,
+            int copies,
+            int top,
+            boolean retry,
+            boolean again) {}
+
+    private record Waiting(Message message, double untilMs) {}
 
     private final EventLoop loop;
     private final ViewerSettings settings;
@@ -102,8 +108,11 @@
      */
     public boolean quiet() {
         double now = nowMs();
-        return socket.caughtUp() && releases.isEmpty() && links.stream().allMatch(link -> link.connection.pendingBytes() == 0
-                && (link.partialSinceMs == 0 || now - link.partialSinceMs > settings.speakMs()));
+        return socket.caughtUp()
+                && releases.isEmpty()
+                && links.stream()
+                        .allMatch(link -> link.connection.pendingBytes() == 0
+                                && (link.partialSinceMs == 0 || now - link.partialSinceMs > settings.speakMs()));
     }
 
     /** All set-ups that come from now on are to be answered by then. */
@@ -138,7 +147,8 @@
     private boolean freeOne() {
         ViewerLink least = null;
         for (ViewerLink link : links) {
-            boolean less = least == null || link.worth() < least.worth()
+            boolean less = least == null
+                    || link.worth() < least.worth()
                     || link.worth() == least.worth() && link.usedAtMs < least.usedAtMs;
             least = link.owed.isEmpty() && less ? link : least;
         }
@@ -183,8 +193,16 @@
         }
         Session held = table.get(m.session());
         double now = nowMs();
-        Request request = new Request(setUp.classIndex(), setUp.title(), setUp.viewer(), Math.min(now + setUp.waitMs(), answerByMs), setUp.home(),
-                setUp.copies(), setUp.top(), setUp.retry(), setUp.again());
+        Request request = new Request(
+                setUp.classIndex(),
+                setUp.title(),
+                setUp.viewer(),
+                Math.min(now + setUp.waitMs(), answerByMs),
+                setUp.home(),
+                setUp.copies(),
+                setUp.top(),
+                setUp.retry(),
+                setUp.again());
         if (setUp.at() != null) {
             useful(link);
             if (held == null && !table.full()) {
@@ -209,10 +227,16 @@
             link.send(refusal);
             return;
         }
-        Session s = table.ask(m.session(), link, settings.classes().get(setUp.classIndex()), setUp.title(), setUp.description(),
+        Session s = table.ask(
+                m.session(),
+                link,
+                settings.classes().get(setUp.classIndex()),
+                setUp.title(),
+                setUp.description(),
                 request.giveUpMs());
         link.owed.add(s);
-        // decided once all that is ready has been read: its own cancel or the close of its connection may lie right behind
+        // decided once all that is ready has been read: its own cancel or the close of its connection may lie right
+        // behind
         loop.defer(EventLoop.Phase.DECISIONS, () -> {
             if (s.state() == State.ASKED && !s.departed()) {
                 listener.asked(s, request);
@@ -324,7 +348,8 @@
         double now = nowMs();
         for (ViewerLink link : new ArrayList<>(links)) {
             boolean mute = !link.useful && now - link.openedAtMs > settings.speakMs();
-            boolean half = link.partialSinceMs > 0 && now - link.partialSinceMs > settings.speakMs() && link.owed.isEmpty();
+            boolean half =
+                    link.partialSinceMs > 0 && now - link.partialSinceMs > settings.speakMs() && link.owed.isEmpty();
             if (mute || half) {
                 log.count(mute ? "viewer.mute" : "viewer.half");
                 link.connection.close();
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
@@ -20,9 +20,11 @@
     boolean useful;
     /** Messages of use, and faults of the protocol. */
     int good;
+
     int faults;
     /** Sessions that stood by this connection. */
     int carried;
+
     double usedAtMs;
     double partialSinceMs;
     private final ViewerDesk desk;
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
@@ -14,6 +14,12 @@
  * @param cells cells that a title's first may be one of; 0: not checked
  * @param rungs rungs of the ladder
  */
-public record ViewerSettings(int mostLinks, int mostOwed, double retryAfterMs, double speakMs, List<String> classes, List<Double> mostWaitMs,
-        int cells, int rungs) {
-}
+public record ViewerSettings(
+        int mostLinks,
+        int mostOwed,
+        double retryAfterMs,
+        double speakMs,
+        List<String> classes,
+        List<Double> mostWaitMs,
+        int cells,
+        int rungs) {}
--- a/protocols/src/main/java/calicovale/protocols/hls/Attributes.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Attributes.java
@@ -80,7 +80,8 @@
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder();
-        values.forEach((name, value) -> out.append(out.length() > 0 ? "," : "").append(name).append('=').append(value));
+        values.forEach((name, value) ->
+                out.append(out.length() > 0 ? "," : "").append(name).append('=').append(value));
         return out.toString();
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
@@ -159,8 +159,8 @@
             return new Line(false, text, null);
         }
         int colon = text.indexOf(':');
-        Line line = Line.tag(text.substring(1, colon < 0 ? text.length() : colon),
-                colon < 0 ? null : text.substring(colon + 1));
+        Line line = Line.tag(
+                text.substring(1, colon < 0 ? text.length() : colon), colon < 0 ? null : text.substring(colon + 1));
         String value = line.value();
         switch (line.name()) {
             case "EXTM3U" -> throw new HlsException(number, "a second #EXTM3U");
@@ -177,19 +177,29 @@
                 }
             }
             case "EXT-X-STREAM-INF", "EXT-X-MAP", "EXT-X-KEY", "EXT-X-MEDIA", "EXT-X-DATERANGE", "EXT-X-START" ->
-                    Attributes.parse(value == null ? "" : value, number);
-            default -> { }
+                Attributes.parse(value == null ? "" : value, number);
+            default -> {}
         }
         return line;
     }
 
     private static boolean ofSegment(Line line) {
-        return line.tag() && switch (line.name()) {
-            case "EXTINF", "EXT-X-BYTERANGE", "EXT-X-DISCONTINUITY", "EXT-X-KEY", "EXT-X-MAP", "EXT-X-PROGRAM-DATE-TIME",
-                    "EXT-X-DATERANGE", "EXT-X-GAP", "EXT-X-BITRATE", "EXT-X-PART", "EXT-X-STREAM-INF", "EXT-X-ENDLIST" ->
-                    true;
-            default -> false;
-        };
+        return line.tag()
+                && switch (line.name()) {
+                    case "EXTINF",
+                            "EXT-X-BYTERANGE",
+                            "EXT-X-DISCONTINUITY",
+                            "EXT-X-KEY",
+                            "EXT-X-MAP",
+                            "EXT-X-PROGRAM-DATE-TIME",
+                            "EXT-X-DATERANGE",
+                            "EXT-X-GAP",
+                            "EXT-X-BITRATE",
+                            "EXT-X-PART",
+                            "EXT-X-STREAM-INF",
+                            "EXT-X-ENDLIST" -> true;
+                    default -> false;
+                };
     }
 
     /** The playlist's text, lines ended by LF. */
--- a/protocols/src/main/java/calicovale/protocols/http/BodyStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/BodyStream.java
@@ -22,8 +22,7 @@
         if (ended || exchange.gone()) {
             return false;
         }
-        return part.length == 0
-                || peer.connection().write(chunked ? HttpWriter.chunk(part) : ByteBuffer.wrap(part));
+        return part.length == 0 || peer.connection().write(chunked ? HttpWriter.chunk(part) : ByteBuffer.wrap(part));
     }
 
     /** Ends the body; the connection may then carry another exchange. */
--- a/protocols/src/main/java/calicovale/protocols/http/Cmcd.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Cmcd.java
@@ -12,8 +12,7 @@
     /** Most characters that are read of one field. */
     private static final int MOST = 2000;
 
-    private Cmcd() {
-    }
+    private Cmcd() {}
 
     /** All keys with their values; strings without quotes, a key without a value as {@code true}. */
     public static Map<String, String> of(HttpHead head) {
--- a/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
+++ b/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
@@ -30,7 +30,12 @@
      * @param requested headers that a page may send
      * @param methods that a page may use
      */
-    public CrossOrigin(Set<String> origins, boolean credentials, int maxAgeS, List<String> exposed, List<String> requested,
+    public CrossOrigin(
+            Set<String> origins,
+            boolean credentials,
+            int maxAgeS,
+            List<String> exposed,
+            List<String> requested,
             List<String> methods) {
         if (origins.contains(ANY) && (credentials || origins.size() > 1)) {
             throw new IllegalArgumentException("* stands alone and without credentials");
@@ -71,7 +76,8 @@
         if (origin == null) {
             return;
         }
-        headers.add("Access-Control-Allow-Origin", origin).add("Timing-Allow-Origin", origin)
+        headers.add("Access-Control-Allow-Origin", origin)
+                .add("Timing-Allow-Origin", origin)
                 .add("Access-Control-Expose-Headers", exposed);
         if (credentials) {
             headers.add("Access-Control-Allow-Credentials", "true");
@@ -80,7 +86,9 @@
 
     /** Whether a request is a preflight that is answered here. */
     boolean preflight(HttpHead head) {
-        return on() && head.method().equals("OPTIONS") && head.headers().get("Origin") != null
+        return on()
+                && head.method().equals("OPTIONS")
+                && head.headers().get("Origin") != null
                 && head.headers().get("Access-Control-Request-Method") != null;
     }
 
@@ -88,7 +96,8 @@
     Headers preflightHeaders(HttpHead head) {
         Headers result = new Headers().add("Vary", "Access-Control-Request-Method, Access-Control-Request-Headers");
         if (granted(head) != null) {
-            result.add("Access-Control-Allow-Methods", methods).add("Access-Control-Allow-Headers", requested)
+            result.add("Access-Control-Allow-Methods", methods)
+                    .add("Access-Control-Allow-Headers", requested)
                     .add("Access-Control-Max-Age", maxAgeS);
         }
         return result;
--- a/protocols/src/main/java/calicovale/protocols/http/EventStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/EventStream.java
@@ -12,8 +12,7 @@
         void event(String type, String data);
 
         /** A comment, which peers send to show that they are there. */
-        default void comment() {
-        }
+        default void comment() {}
     }
 
     private final int mostBytes;
--- a/protocols/src/main/java/calicovale/protocols/http/Exchange.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Exchange.java
@@ -85,8 +85,8 @@
     public boolean problem(int status, Headers headers, String title, String detail, String more) {
         String json = "{\"title\":" + quote(title) + ",\"status\":" + status
                 + (detail == null ? "" : ",\"detail\":" + quote(detail)) + more + "}";
-        return respond(status, headers.add("Content-Type", "application/problem+json"),
-                json.getBytes(StandardCharsets.UTF_8));
+        return respond(
+                status, headers.add("Content-Type", "application/problem+json"), json.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Answers with problem details. */
--- a/protocols/src/main/java/calicovale/protocols/http/HttpLimits.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpLimits.java
@@ -13,8 +13,16 @@
  * @param idleMs time without a request after which a connection is closed
  * @param connections most connections of a server; further ones get 503 and are closed
  */
-public record HttpLimits(int lineBytes, int headerCount, int headerBytes, int bodyBytes, int pipelinedBytes,
-        double headMs, double bodyMs, double idleMs, int connections) {
+public record HttpLimits(
+        int lineBytes,
+        int headerCount,
+        int headerBytes,
+        int bodyBytes,
+        int pipelinedBytes,
+        double headMs,
+        double bodyMs,
+        double idleMs,
+        int connections) {
 
     /** Bounds that suit playlists and small JSON bodies. */
     public static final HttpLimits DEFAULT =
--- a/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
@@ -23,10 +23,21 @@
         void end();
     }
 
-    private enum State { START, FIELDS, FIXED, UNTIL_CLOSE, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS, BROKEN }
+    private enum State {
+        START,
+        FIELDS,
+        FIXED,
+        UNTIL_CLOSE,
+        CHUNK_SIZE,
+        CHUNK_DATA,
+        CHUNK_END,
+        TRAILERS,
+        BROKEN
+    }
 
     /** Hex digits of a chunk's size: 7 stay well inside an int. */
     private static final int CHUNK_DIGITS = 7;
+
     private static final boolean[] TOKEN = new boolean[128];
 
     static {
@@ -269,8 +280,11 @@
     }
 
     private int version(int from, int to, int malformed, int unsupported) throws HttpException {
-        boolean formed = to - from == 8 && text(from, from + 5).equals("HTTP/") && digit(line[from + 5])
-                && line[from + 6] == '.' && digit(line[from + 7]);
+        boolean formed = to - from == 8
+                && text(from, from + 5).equals("HTTP/")
+                && digit(line[from + 5])
+                && line[from + 6] == '.'
+                && digit(line[from + 7]);
         if (!formed) {
             throw new HttpException(malformed, "the version is malformed");
         }
@@ -357,7 +371,8 @@
         length = 0;
         sink.head(start);
         int status = start.status();
-        boolean bodiless = !requests && (expectsNoBody && status >= 200 || status < 200 || status == 204 || status == 304);
+        boolean bodiless =
+                !requests && (expectsNoBody && status >= 200 || status < 200 || status == 204 || status == 304);
         if (bodiless || !chunked && remaining == 0) {
             finish();
             return true;
--- a/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
@@ -25,8 +25,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
     private static final Set<String> METHODS =
             Set.of("GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT");
-    private static final DateTimeFormatter DATE =
-            DateTimeFormatter.ofPattern("EEE, dd MMM yyyy HH:mm:ss 'GMT'", Locale.ROOT).withZone(ZoneOffset.UTC);
+    private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern(
+                    "EEE, dd MMM yyyy HH:mm:ss 'GMT'", Locale.ROOT)
+            .withZone(ZoneOffset.UTC);
     private static final byte[] NONE = new byte[0];
 
     private final EventLoop loop;
@@ -139,7 +140,8 @@
                 return;
             }
             double age = loop.clock().millis() - since;
-            double bound = current != null ? Double.MAX_VALUE
+            double bound = current != null
+                    ? Double.MAX_VALUE
                     : parser.inHead() ? limits.headMs() : parser.inMessage() ? limits.bodyMs() : limits.idleMs();
             if (age >= bound || draining && current == null && !parser.inMessage()) {
                 counters.timedOut++;
@@ -211,7 +213,8 @@
 
         private void handle(Exchange exchange) {
             if (!METHODS.contains(exchange.head().method())) {
-                exchange.problem(501, "Not Implemented", "method " + exchange.head().method());
+                exchange.problem(
+                        501, "Not Implemented", "method " + exchange.head().method());
                 return;
             }
             if (crossOrigin.preflight(exchange.head())) {
@@ -224,7 +227,12 @@
             } catch (RuntimeException e) {
                 // a fault of ours: the peer hears of it once, and nobody else does
                 counters.handlerErrors++;
-                LOG.error("{}: the handler of {} {} failed", name, exchange.head().method(), exchange.head().path(), e);
+                LOG.error(
+                        "{}: the handler of {} {} failed",
+                        name,
+                        exchange.head().method(),
+                        exchange.head().path(),
+                        e);
                 if (!exchange.answered()) {
                     exchange.problem(500, "Internal Server Error", "the request could not be handled");
                 } else if (stream != null) {
@@ -276,7 +284,9 @@
         public void head(HttpHead h) {
             head = h;
             String expect = h.headers().get("Expect");
-            if (expect != null && expect.equalsIgnoreCase("100-continue") && h.minor() >= 1
+            if (expect != null
+                    && expect.equalsIgnoreCase("100-continue")
+                    && h.minor() >= 1
                     && (h.headers().get("Content-Length") != null || h.headers().get("Transfer-Encoding") != null)) {
                 connection.write(HttpWriter.response(100, date(), new Headers(), -1, false, NONE));
             }
@@ -299,8 +309,8 @@
                 return false;
             }
             crossOrigin.addTo(headers, current.head());
-            boolean ok = connection.write(HttpWriter.response(status, date(), headers, content.length, closeAfter,
-                    headOnly ? NONE : content));
+            boolean ok = connection.write(HttpWriter.response(
+                    status, date(), headers, content.length, closeAfter, headOnly ? NONE : content));
             counters.responses++;
             answered();
             return ok;
--- a/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
@@ -10,20 +10,45 @@
     private static final Map<Integer, String> REASONS = new HashMap<>();
 
     static {
-        String[] all = {"100 Continue", "200 OK", "201 Created", "202 Accepted", "204 No Content", "301 Moved Permanently",
-            "302 Found", "304 Not Modified", "307 Temporary Redirect", "400 Bad Request", "401 Unauthorized",
-            "403 Forbidden", "404 Not Found", "405 Method Not Allowed", "408 Request Timeout", "409 Conflict", "410 Gone",
-            "411 Length Required", "413 Content Too Large", "414 URI Too Long", "415 Unsupported Media Type",
-            "417 Expectation Failed", "422 Unprocessable Content", "429 Too Many Requests",
-            "431 Request Header Fields Too Large", "500 Internal Server Error", "501 Not Implemented", "502 Bad Gateway",
-            "503 Service Unavailable", "504 Gateway Timeout", "505 HTTP Version Not Supported"};
+        String[] all = {
+            "100 Continue",
+            "200 OK",
+            "201 Created",
+            "202 Accepted",
+            "204 No Content",
+            "301 Moved Permanently",
+            "302 Found",
+            "304 Not Modified",
+            "307 Temporary Redirect",
+            "400 Bad Request",
+            "401 Unauthorized",
+            "403 Forbidden",
+            "404 Not Found",
+            "405 Method Not Allowed",
+            "408 Request Timeout",
+            "409 Conflict",
+            "410 Gone",
+            "411 Length Required",
+            "413 Content Too Large",
+            "414 URI Too Long",
+            "415 Unsupported Media Type",
+            "417 Expectation Failed",
+            "422 Unprocessable Content",
+            "429 Too Many Requests",
+            "431 Request Header Fields Too Large",
+            "500 Internal Server Error",
+            "501 Not Implemented",
+            "502 Bad Gateway",
+            "503 Service Unavailable",
+            "504 Gateway Timeout",
+            "505 HTTP Version Not Supported"
+        };
         for (String line : all) {
             REASONS.put(Integer.parseInt(line.substring(0, 3)), line.substring(4));
         }
     }
 
-    private HttpWriter() {
-    }
+    private HttpWriter() {}
 
     /** The usual reason phrase. */
     public static String reason(int status) {
@@ -33,7 +58,12 @@
     /** A request's head and body in one buffer; Host and Content-Length are added. */
     public static ByteBuffer request(String method, String target, String host, Headers headers, byte[] body) {
         StringBuilder out = new StringBuilder(256);
-        out.append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
+        out.append(method)
+                .append(' ')
+                .append(target)
+                .append(" HTTP/1.1\r\nHost: ")
+                .append(host)
+                .append("\r\n");
         fields(out, headers);
         if (body.length > 0 || method.equals("POST") || method.equals("PUT")) {
             out.append("Content-Length: ").append(body.length).append("\r\n");
@@ -42,9 +72,15 @@
     }
 
     /** A response's head and body in one buffer; {@code length} goes into Content-Length unless it is negative. */
-    public static ByteBuffer response(int status, String date, Headers headers, long length, boolean close, byte[] body) {
+    public static ByteBuffer response(
+            int status, String date, Headers headers, long length, boolean close, byte[] body) {
         StringBuilder out = new StringBuilder(256);
-        out.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\nDate: ").append(date)
+        out.append("HTTP/1.1 ")
+                .append(status)
+                .append(' ')
+                .append(reason(status))
+                .append("\r\nDate: ")
+                .append(date)
                 .append("\r\n");
         fields(out, headers);
         if (length >= 0 && status != 204 && status >= 200) {
@@ -80,7 +116,11 @@
             return ByteBuffer.allocate(0);
         }
         byte[] size = (Integer.toHexString(data.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        return ByteBuffer.allocate(size.length + data.length + 2).put(size).put(data).put((byte) '\r').put((byte) '\n')
+        return ByteBuffer.allocate(size.length + data.length + 2)
+                .put(size)
+                .put(data)
+                .put((byte) '\r')
+                .put((byte) '\n')
                 .flip();
     }
 
--- a/protocols/src/main/java/calicovale/protocols/http/Percent.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Percent.java
@@ -6,8 +6,7 @@
 public final class Percent {
     private static final String PLAIN = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~";
 
-    private Percent() {
-    }
+    private Percent() {}
 
     /** Decodes; a malformed escape is kept as it stands, so that nothing is made up. */
     public static String decode(String text) {
@@ -37,7 +36,8 @@
             if (PLAIN.indexOf(b) >= 0) {
                 out.append((char) b);
             } else {
-                out.append('%').append(Character.toUpperCase(Character.forDigit(b >> 4 & 15, 16)))
+                out.append('%')
+                        .append(Character.toUpperCase(Character.forDigit(b >> 4 & 15, 16)))
                         .append(Character.toUpperCase(Character.forDigit(b & 15, 16)));
             }
         }
--- a/protocols/src/main/java/calicovale/protocols/json/Documents.java
+++ b/protocols/src/main/java/calicovale/protocols/json/Documents.java
@@ -24,11 +24,12 @@
     /** The one mapper: a key that stands twice is a fault, not a choice. */
     public static final JsonMapper MAPPER = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+            .build();
+
     private static final Map<String, Schema> SCHEMAS = new ConcurrentHashMap<>();
 
-    private Documents() {
-    }
+    private Documents() {}
 
     /**
      * Reads a file and checks it whole.
@@ -47,7 +48,8 @@
     }
 
     /** Checks a text whole; {@code name} leads each fault. */
-    public static JsonNode check(String name, String text, Class<?> owner, String schema) throws InvalidDocumentException {
+    public static JsonNode check(String name, String text, Class<?> owner, String schema)
+            throws InvalidDocumentException {
         JsonNode node;
         try {
             node = MAPPER.readTree(text);
--- a/protocols/src/main/java/calicovale/protocols/keys/Ed25519.java
+++ b/protocols/src/main/java/calicovale/protocols/keys/Ed25519.java
@@ -22,10 +22,10 @@
     public static final int SIGNATURE_BYTES = 64;
     /** What leads the 32 bytes of a public key in X.509 (RFC 8410, 4). */
     private static final byte[] X509_HEAD = {0x30, 0x2a, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x03, 0x21, 0x00};
+
     private static final Base64.Encoder ENCODER = Base64.getUrlEncoder().withoutPadding();
 
-    private Ed25519() {
-    }
+    private Ed25519() {}
 
     /** A new pair: the public key in base64url, and the private key (PKCS #8) in base64url. */
     public record Pair(String publicKey, String privateKey) {
@@ -78,7 +78,9 @@
      */
     public static PrivateKey privateKey(String text) {
         try {
-            return KeyFactory.getInstance("Ed25519").generatePrivate(new PKCS8EncodedKeySpec(Base64.getUrlDecoder().decode(text)));
+            return KeyFactory.getInstance("Ed25519")
+                    .generatePrivate(
+                            new PKCS8EncodedKeySpec(Base64.getUrlDecoder().decode(text)));
         } catch (GeneralSecurityException e) {
             throw new IllegalArgumentException("an Ed25519 private key (PKCS #8) in base64url is expected", e);
         }
--- a/protocols/src/main/java/calicovale/protocols/net/Connection.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Connection.java
@@ -17,8 +17,7 @@
     /** What a connection tells its owner, on the loop's thread. */
     public interface Handler {
         /** The connection stands. */
-        default void onOpen(Connection c) {
-        }
+        default void onOpen(Connection c) {}
 
         /** Bytes came; the buffer is the loop's and must be consumed or copied. */
         void onBytes(Connection c, ByteBuffer bytes);
@@ -29,17 +28,16 @@
         }
 
         /** All that waited has been written. */
-        default void onDrained(Connection c) {
-        }
+        default void onDrained(Connection c) {}
 
         /** It is over; {@code cause} is null when it was closed in order or from here. Called once. */
-        default void onClosed(Connection c, IOException cause) {
-        }
+        default void onClosed(Connection c, IOException cause) {}
     }
 
     private final EventLoop loop;
     /** Null where no descriptor was left for it: it then fails, and nothing else becomes of it. */
     private final SocketChannel channel;
+
     private final String name;
     private final boolean accepted;
     private final ArrayDeque<ByteBuffer> pending = new ArrayDeque<>();
--- a/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
+++ b/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
@@ -173,7 +173,9 @@
             }
         });
         try {
-            return CompletableFuture.anyOf(result, ended).thenApply(x -> result.getNow(null)).join();
+            return CompletableFuture.anyOf(result, ended)
+                    .thenApply(x -> result.getNow(null))
+                    .join();
         } catch (java.util.concurrent.CompletionException e) {
             throw new IllegalStateException(name + ": " + e.getCause().getMessage(), e.getCause());
         }
@@ -181,7 +183,8 @@
 
     /** Calls {@code body} after {@code delayMs}, on the loop; to be called on the loop. */
     public Timer schedule(double delayMs, Runnable body) {
-        Scheduled timer = new Scheduled(clock.nanos() - originNanos + Math.max(0, (long) (delayMs * 1e6)), timerNumber++, body);
+        Scheduled timer =
+                new Scheduled(clock.nanos() - originNanos + Math.max(0, (long) (delayMs * 1e6)), timerNumber++, body);
         timers.add(timer);
         return timer;
     }
@@ -544,7 +547,8 @@
 
     /** Closes all connections whose name is {@code what}, each with a reset. To be called on the loop. */
     public void resetAll(String what) {
-        List<Connection> all = connections.stream().filter(c -> c.name().equals(what)).toList();
+        List<Connection> all =
+                connections.stream().filter(c -> c.name().equals(what)).toList();
         for (Connection c : all) {
             c.reset(new IOException("reset from here"));
         }
@@ -586,7 +590,9 @@
 
         @Override
         public int compareTo(Scheduled other) {
-            return dueNanos != other.dueNanos ? Long.compare(dueNanos, other.dueNanos) : Long.compare(number, other.number);
+            return dueNanos != other.dueNanos
+                    ? Long.compare(dueNanos, other.dueNanos)
+                    : Long.compare(number, other.number);
         }
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/net/LoopLimits.java
+++ b/protocols/src/main/java/calicovale/protocols/net/LoopLimits.java
@@ -10,7 +10,8 @@
  * @param acceptsPerTurn connections accepted in one turn of the loop
  * @param datagramsPerTurn datagrams taken of one socket in one turn of the loop
  */
-public record LoopLimits(int mailbox, int readBytes, int pendingBytes, int backlog, int acceptsPerTurn, int datagramsPerTurn) {
+public record LoopLimits(
+        int mailbox, int readBytes, int pendingBytes, int backlog, int acceptsPerTurn, int datagramsPerTurn) {
 
     /** Bounds that suit a process with some thousands of peers. */
     public static final LoopLimits DEFAULT = new LoopLimits(1 << 14, 1 << 16, 1 << 20, 1024, 64, 64);
--- a/protocols/src/main/java/calicovale/protocols/net/Tap.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Tap.java
@@ -9,25 +9,20 @@
 public interface Tap {
 
     /** Sees nothing. */
-    Tap NONE = new Tap() { };
+    Tap NONE = new Tap() {};
 
     /** A connection was accepted or established. */
-    default void opened(Connection c) {
-    }
+    default void opened(Connection c) {}
 
     /** Bytes were read. */
-    default void read(Connection c, ByteBuffer bytes) {
-    }
+    default void read(Connection c, ByteBuffer bytes) {}
 
     /** Bytes were written. */
-    default void wrote(Connection c, ByteBuffer bytes) {
-    }
+    default void wrote(Connection c, ByteBuffer bytes) {}
 
     /** The peer will send no more. */
-    default void ended(Connection c) {
-    }
+    default void ended(Connection c) {}
 
     /** The connection is closed here, whoever closed it. */
-    default void closed(Connection c) {
-    }
+    default void closed(Connection c) {}
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/Cause.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/Cause.java
@@ -32,6 +32,5 @@
     /** Protocol error, unspecified. */
     public static final int PROTOCOL_ERROR = 111;
 
-    private Cause() {
-    }
+    private Cause() {}
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/Message.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/Message.java
@@ -15,6 +15,7 @@
     public static final int HEAD = 9;
     /** Most bytes of a whole message. */
     public static final int MOST = 16 * 1024;
+
     private static final int LENGTH = 2;
     private static final int PARAMETER_HEAD = 3;
 
@@ -129,7 +130,10 @@
             return null;
         }
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(value)).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(value))
+                    .toString();
         } catch (CharacterCodingException e) {
             return null;
         }
--- a/protocols/src/main/java/calicovale/protocols/signal/MessageType.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/MessageType.java
@@ -23,6 +23,5 @@
     /** A new rung; the platform's own. */
     public static final int RUNG = 60;
 
-    private MessageType() {
-    }
+    private MessageType() {}
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/Parameter.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/Parameter.java
@@ -27,6 +27,5 @@
     /** The description, any bytes. */
     public static final int DESCRIPTION = 31;
 
-    private Parameter() {
-    }
+    private Parameter() {}
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/BareLoop.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/BareLoop.java
@@ -58,7 +58,9 @@
                         continue;
                     }
                     // a request ends with an empty line; the client sends each whole
-                    boolean ended = in.position() >= 2 && in.get(in.position() - 1) == '\n' && in.get(in.position() - 2) == '\r';
+                    boolean ended = in.position() >= 2
+                            && in.get(in.position() - 1) == '\n'
+                            && in.get(in.position() - 2) == '\r';
                     if (ended) {
                         out.clear().put(answer).flip();
                         while (out.hasRemaining()) {
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/LoadClient.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/LoadClient.java
@@ -24,13 +24,15 @@
     /** {@code target} gives the path of request number n; {@code most}: requests in all. */
     LoadClient(InetSocketAddress to, int threadCount, int connections, long most, LongFunction<String> target) {
         for (int t = 0; t < threadCount; t++) {
-            Thread thread = new Thread(() -> {
-                try {
-                    run(to, connections / threadCount, most, target);
-                } catch (IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-            }, "load-" + t);
+            Thread thread = new Thread(
+                    () -> {
+                        try {
+                            run(to, connections / threadCount, most, target);
+                        } catch (IOException e) {
+                            throw new java.io.UncheckedIOException(e);
+                        }
+                    },
+                    "load-" + t);
             thread.setDaemon(true);
             threads.add(thread);
         }
@@ -75,8 +77,8 @@
         if (n >= most) {
             return false;
         }
-        ByteBuffer out = ByteBuffer.wrap(("GET " + target.apply(n) + " HTTP/1.1\r\nHost: h\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+        ByteBuffer out = ByteBuffer.wrap(
+                ("GET " + target.apply(n) + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         while (out.hasRemaining()) {
             wire.channel.write(out);
         }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
@@ -28,9 +28,15 @@
      * @param keys the EXT-X-KEY lines in force
      * @param dateMs its date, told or reckoned from the segment before; NaN: none is known
      */
-    public record Segment(long sequence, String uri, double seconds, boolean discontinuity, long number, String map, String keys,
-            double dateMs) {
-    }
+    public record Segment(
+            long sequence,
+            String uri,
+            double seconds,
+            boolean discontinuity,
+            long number,
+            String map,
+            String keys,
+            double dateMs) {}
 
     /** One EXT-X-DATERANGE; {@code seconds} as told, or as planned while it is not over. */
     public record Range(String id, String kind, double startMs, double seconds, Attributes told) {
@@ -139,14 +145,17 @@
         if (before == null) {
             return;
         }
-        boolean same = before.uri().equals(now.uri()) && before.seconds() == now.seconds()
-                && before.discontinuity() == now.discontinuity() && Objects.equals(before.map(), now.map())
+        boolean same = before.uri().equals(now.uri())
+                && before.seconds() == now.seconds()
+                && before.discontinuity() == now.discontinuity()
+                && Objects.equals(before.map(), now.map())
                 && before.keys().equals(now.keys());
         if (!same) {
             fault("segment " + now.sequence() + " was " + before + " and is " + now);
         }
         if (before.number() != now.number()) {
-            fault("the discontinuity number of segment " + now.sequence() + " was " + before.number() + " and is " + now.number());
+            fault("the discontinuity number of segment " + now.sequence() + " was " + before.number() + " and is "
+                    + now.number());
         }
         if (Math.abs(before.dateMs() - now.dateMs()) > DATE_SLACK_MS) {
             fault("the date of segment " + now.sequence() + " was " + before.dateMs() + " and is " + now.dateMs());
@@ -183,10 +192,16 @@
                         }
                         String length = a.get("DURATION") == null ? a.get("PLANNED-DURATION") : a.get("DURATION");
                         double seconds = length == null ? 0 : Double.parseDouble(length);
-                        dated.put(a.get("ID"), new Range(a.get("ID"), a.get("CLASS"),
-                                Instant.parse(a.get("START-DATE")).toEpochMilli(), seconds, a));
+                        dated.put(
+                                a.get("ID"),
+                                new Range(
+                                        a.get("ID"),
+                                        a.get("CLASS"),
+                                        Instant.parse(a.get("START-DATE")).toEpochMilli(),
+                                        seconds,
+                                        a));
                     }
-                    default -> { }
+                    default -> {}
                 }
             }
             keys = told.length() == 0 ? keys : told.toString().contains("METHOD=NONE") ? "" : told.toString();
