--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Verdict.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/Verdict.java
@@ -8,8 +8,8 @@
 /** Owns what was found of one run: for each rule how often it was tried and broken, and the first breaks in words. */
 public final class Verdict {
     /** The rules, by the names of the report. */
-    public static final List<String> RULES = List.of("no-session-lost", "no-setup-twice", "drains-kept", "cold-paced",
-            "terms-kept", "attempts-rationed");
+    public static final List<String> RULES = List.of(
+            "no-session-lost", "no-setup-twice", "drains-kept", "cold-paced", "terms-kept", "attempts-rationed");
     /** Breaks told in words; all are counted. */
     private static final int MOST_TOLD = 20;
 
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Ports.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Ports.java
@@ -16,13 +16,13 @@
 final class Ports {
     private static final int FIRST = 20_000;
     private static final int COUNT = 12_000;
-    private static final AtomicInteger NEXT = new AtomicInteger((int) (ProcessHandle.current().pid() * 601 % COUNT));
+    private static final AtomicInteger NEXT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 601 % COUNT));
 
     /** A datagram socket of the same number claims each port given for the life of this process: others pass it over. */
     private static final List<DatagramSocket> CLAIMS = new CopyOnWriteArrayList<>();
 
-    private Ports() {
-    }
+    private Ports() {}
 
     /** A loopback address whose port is free now. */
     static InetSocketAddress free() {
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
@@ -16,8 +16,18 @@
  * @param body of requests, events and playlists, null where it was not kept; of a head: the session that it names
  * @param bytes length of the body
  */
-public record Entry(double atMs, String end, String peer, long conn, int exchange, Kind kind, String method, String target,
-        int status, String body, long bytes) {
+public record Entry(
+        double atMs,
+        String end,
+        String peer,
+        long conn,
+        int exchange,
+        Kind kind,
+        String method,
+        String target,
+        int status,
+        String body,
+        long bytes) {
 
     /** What an entry is. */
     public enum Kind {
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
@@ -89,8 +89,7 @@
         }
     }
 
-    private record Asked(int exchange, String method, String target) {
-    }
+    private record Asked(int exchange, String method, String target) {}
 
     private final class Wire {
         private final long conn = CONNECTIONS.incrementAndGet();
@@ -154,12 +153,25 @@
                     return;
                 }
                 Asked asked = open.peekFirst();
-                add(Entry.Kind.HEAD, asked == null ? null : asked.method(), asked == null ? null : asked.target(),
-                        h.status(), h.headers().get("Calicovale-Session"), 0, asked == null ? -1 : asked.exchange());
+                add(
+                        Entry.Kind.HEAD,
+                        asked == null ? null : asked.method(),
+                        asked == null ? null : asked.target(),
+                        h.status(),
+                        h.headers().get("Calicovale-Session"),
+                        0,
+                        asked == null ? -1 : asked.exchange());
                 if ("text/event-stream".equals(type)) {
-                    events = new EventStream(1 << 24, (kind, data) -> add(Entry.Kind.EVENT, kind,
-                            asked == null ? null : asked.target(), h.status(), data, data.length(),
-                            asked == null ? -1 : asked.exchange()));
+                    events = new EventStream(
+                            1 << 24,
+                            (kind, data) -> add(
+                                    Entry.Kind.EVENT,
+                                    kind,
+                                    asked == null ? null : asked.target(),
+                                    h.status(),
+                                    data,
+                                    data.length(),
+                                    asked == null ? -1 : asked.exchange()));
                 }
             }
 
@@ -192,7 +204,14 @@
                         add(Entry.Kind.MALFORMED, null, null, head.status(), "a response without a request", bytes, -1);
                         return;
                     }
-                    add(Entry.Kind.RESPONSE, asked.method(), asked.target(), head.status(), text, bytes, asked.exchange());
+                    add(
+                            Entry.Kind.RESPONSE,
+                            asked.method(),
+                            asked.target(),
+                            head.status(),
+                            text,
+                            bytes,
+                            asked.exchange());
                 }
             }
         }
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Tape.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/Tape.java
@@ -14,6 +14,7 @@
 public final class Tape {
     /** Most entries kept: a bound against a day that is larger than memory. */
     private static final int MOST = 20_000_000;
+
     private final Clock clock;
     private final List<Entry> entries = new ArrayList<>();
     private boolean overrun;
--- a/standin/src/main/java/calicovale/standin/Lectures.java
+++ b/standin/src/main/java/calicovale/standin/Lectures.java
@@ -14,7 +14,9 @@
 
     /** Whether the box holds a title: what exists decides, or for made-up content what it was told that it lacks. */
     boolean holds(String title) {
-        return settings.content() != null ? Files.isDirectory(settings.content().resolve(title)) : !settings.absent().contains(title);
+        return settings.content() != null
+                ? Files.isDirectory(settings.content().resolve(title))
+                : !settings.absent().contains(title);
     }
 
     /** A lecture's media playlist at a rung, or null. */
@@ -23,13 +25,19 @@
             return null;
         }
         if (settings.content() != null) {
-            Path file = settings.content().resolve(title).resolve(rung + ".m3u8").normalize();
+            Path file =
+                    settings.content().resolve(title).resolve(rung + ".m3u8").normalize();
             return file.startsWith(settings.content()) && Files.isRegularFile(file) ? Files.readString(file) : null;
         }
         StringBuilder out = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-TARGETDURATION:")
-                .append((long) Math.ceil(settings.segmentS())).append("\n#EXT-X-PLAYLIST-TYPE:VOD\n#EXT-X-MAP:URI=\"init.mp4\"\n");
+                .append((long) Math.ceil(settings.segmentS()))
+                .append("\n#EXT-X-PLAYLIST-TYPE:VOD\n#EXT-X-MAP:URI=\"init.mp4\"\n");
         for (int i = 0; i < segments(title); i++) {
-            out.append("#EXTINF:").append(settings.segmentS()).append(",\n").append(i).append(".m4s\n");
+            out.append("#EXTINF:")
+                    .append(settings.segmentS())
+                    .append(",\n")
+                    .append(i)
+                    .append(".m4s\n");
         }
         return out.append("#EXT-X-ENDLIST\n").toString();
     }
@@ -56,7 +64,11 @@
             return null;
         }
         if (settings.content() != null) {
-            Path path = settings.content().resolve(title).resolve(Integer.toString(rung)).resolve(file).normalize();
+            Path path = settings.content()
+                    .resolve(title)
+                    .resolve(Integer.toString(rung))
+                    .resolve(file)
+                    .normalize();
             return path.startsWith(settings.content()) && Files.isRegularFile(path) ? Files.readAllBytes(path) : null;
         }
         int n = segment(title, file);
--- a/stitch/src/main/java/calicovale/stitch/Change.java
+++ b/stitch/src/main/java/calicovale/stitch/Change.java
@@ -25,8 +25,20 @@
  * @param oncePerViewer shown once a viewer, over all sessions; else once a session
  * @param json the document as it was told, in canonical form (RFC 8785), its signature included
  */
-public record Change(String id, String title, List<Rendition> renditions, Audience audience, double atMs, double lectureS,
-        double validUntilMs, double replaceS, int homeCell, int span, int priority, boolean oncePerViewer, String json) {
+public record Change(
+        String id,
+        String title,
+        List<Rendition> renditions,
+        Audience audience,
+        double atMs,
+        double lectureS,
+        double validUntilMs,
+        double replaceS,
+        int homeCell,
+        int span,
+        int priority,
+        boolean oncePerViewer,
+        String json) {
 
     /**
      * One rendition of a piece.
@@ -35,15 +47,16 @@
      * @param rateKb its rate, kB a second
      * @param durationsS its segments' lengths
      */
-    public record Rendition(int rung, double rateKb, List<Double> durationsS) {
-    }
+    public record Rendition(int rung, double rateKb, List<Double> durationsS) {}
 
     /** Whom a change is for; an empty set is all. */
     public record Audience(Set<String> titles, Set<String> classes, Set<String> tenants, Set<String> sessions) {
         /** Whether a session is among them. */
         public boolean has(String title, String sessionClass, String tenant, String session) {
-            return (titles.isEmpty() || titles.contains(title)) && (classes.isEmpty() || classes.contains(sessionClass))
-                    && (tenants.isEmpty() || tenants.contains(tenant)) && (sessions.isEmpty() || sessions.contains(session));
+            return (titles.isEmpty() || titles.contains(title))
+                    && (classes.isEmpty() || classes.contains(sessionClass))
+                    && (tenants.isEmpty() || tenants.contains(tenant))
+                    && (sessions.isEmpty() || sessions.contains(session));
         }
     }
 
@@ -66,7 +79,8 @@
         for (int i = 0; i < list.size(); i++) {
             List<Double> durations = new ArrayList<>();
             list.get(i).get("durationsS").forEach(s -> durations.add(s.asDouble()));
-            Rendition r = new Rendition(list.get(i).get("rung").asInt(), list.get(i).get("rateKb").asDouble(), durations);
+            Rendition r = new Rendition(
+                    list.get(i).get("rung").asInt(), list.get(i).get("rateKb").asDouble(), durations);
             String at = name + ": /piece/renditions/" + i;
             if (i > 0 && r.rung() <= renditions.get(i - 1).rung()) {
                 faults.add(at + "/rung: a rung above the one before is expected");
@@ -87,19 +101,31 @@
         }
         boolean replaces = n.path("mode").asText("insert").equals("replace");
         if (replaces != n.has("replaceS")) {
-            faults.add(name + ": /replaceS: " + (replaces ? "seconds are expected with mode replace"
-                    : "nothing is expected but with mode replace"));
+            faults.add(name + ": /replaceS: "
+                    + (replaces
+                            ? "seconds are expected with mode replace"
+                            : "nothing is expected but with mode replace"));
         }
         if (!faults.isEmpty()) {
             throw new InvalidDocumentException(faults);
         }
         JsonNode whom = n.path("for");
         JsonNode piece = n.get("piece");
-        return new Change(n.get("id").asText(), n.get("piece").get("title").asText(), List.copyOf(renditions),
-                new Audience(names(whom, "titles"), names(whom, "classes"), names(whom, "tenants"), names(whom, "sessions")),
-                atMs, start.path("lectureS").asDouble(-1), until, n.path("replaceS").asDouble(), piece.path("homeCell").asInt(-1),
-                piece.path("span").asInt(1), n.path("priority").asInt(),
-                n.path("once").asText("session").equals("viewer"), ChangeKeys.canonical(n));
+        return new Change(
+                n.get("id").asText(),
+                n.get("piece").get("title").asText(),
+                List.copyOf(renditions),
+                new Audience(
+                        names(whom, "titles"), names(whom, "classes"), names(whom, "tenants"), names(whom, "sessions")),
+                atMs,
+                start.path("lectureS").asDouble(-1),
+                until,
+                n.path("replaceS").asDouble(),
+                piece.path("homeCell").asInt(-1),
+                piece.path("span").asInt(1),
+                n.path("priority").asInt(),
+                n.path("once").asText("session").equals("viewer"),
+                ChangeKeys.canonical(n));
     }
 
     private static Set<String> names(JsonNode n, String key) {
--- a/stitch/src/main/java/calicovale/stitch/ChangeBook.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeBook.java
@@ -27,13 +27,19 @@
      * @param scale the class's rates over the ladder's: the piece's rates are scaled alike
      * @param returning its viewer went on here with a lecture that it had begun: what that session was shown counts
      */
-    public record Facts(String session, String viewer, String title, String sessionClass, String tenant, int lowestRung,
-            double rateKb, double scale, boolean returning) {
-    }
+    public record Facts(
+            String session,
+            String viewer,
+            String title,
+            String sessionClass,
+            String tenant,
+            int lowestRung,
+            double rateKb,
+            double scale,
+            boolean returning) {}
 
     /** A change to be shown now, at a rendition of its ladder. */
-    public record Choice(Change change, Change.Rendition rendition) {
-    }
+    public record Choice(Change change, Change.Rendition rendition) {}
 
     /** What a session's boundary leads to: a choice or none, and the changes that no rendition could show. */
     public record Decision(Choice choice, List<String> withoutRendition) {
@@ -41,7 +47,8 @@
     }
 
     private static final Comparator<Change> ORDER = Comparator.comparingInt((Change c) -> -c.priority())
-            .thenComparingDouble(c -> Math.max(c.atMs(), c.lectureS())).thenComparing(Change::id);
+            .thenComparingDouble(c -> Math.max(c.atMs(), c.lectureS()))
+            .thenComparing(Change::id);
 
     private final int most;
     private final int mostShown;
@@ -113,7 +120,8 @@
         if (s.viewer().isEmpty()) {
             return List.of("s " + s.session());
         }
-        return change.oncePerViewer() ? List.of("v " + s.viewer())
+        return change.oncePerViewer()
+                ? List.of("v " + s.viewer())
                 : List.of("s " + s.session(), "r " + s.title() + " " + s.viewer());
     }
 
--- a/stitch/src/main/java/calicovale/stitch/ChangeKeys.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeKeys.java
@@ -40,7 +40,8 @@
             try {
                 keys.put(name, Ed25519.publicKey(text));
             } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException(name + ": an Ed25519 public key of 32 bytes in base64url is expected", e);
+                throw new IllegalArgumentException(
+                        name + ": an Ed25519 public key of 32 bytes in base64url is expected", e);
             }
         });
         return new ChangeKeys(keys);
@@ -68,7 +69,8 @@
         }
         JsonNode signature = document.path("signature");
         if (signature.isMissingNode()) {
-            return List.of(name + ": /signature: a signature by one of " + new TreeSet<>(keys.keySet()) + " is expected");
+            return List.of(
+                    name + ": /signature: a signature by one of " + new TreeSet<>(keys.keySet()) + " is expected");
         }
         PublicKey key = keys.get(signature.get("key").asText());
         if (key == null) {
@@ -76,7 +78,8 @@
         }
         try {
             byte[] value = Base64.getUrlDecoder().decode(signature.get("value").asText());
-            return Ed25519.verify(key, value, signed(document)) ? List.of()
+            return Ed25519.verify(key, value, signed(document))
+                    ? List.of()
                     : List.of(name + ": /signature/value: the key's signature of this document is expected");
         } catch (IllegalArgumentException e) {
             return List.of(name + ": /signature/value: an Ed25519 signature is expected");
--- a/stitch/src/main/java/calicovale/stitch/ChangeStore.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeStore.java
@@ -33,7 +33,10 @@
                 documents.remove(n.get("withdraw").asText());
                 files.remove(n.get("withdraw").asText());
             } else {
-                took(n.path("add").path("id").asText(), ChangeKeys.canonical(n.path("add")), n.path("file").asText(null));
+                took(
+                        n.path("add").path("id").asText(),
+                        ChangeKeys.canonical(n.path("add")),
+                        n.path("file").asText(null));
             }
         }
     }
@@ -78,7 +81,10 @@
     }
 
     private static String adding(String json, String file) {
-        return "{\"add\":" + json + (file == null ? "" : ",\"file\":" + Documents.MAPPER.getNodeFactory().textNode(file)) + "}";
+        return "{\"add\":" + json
+                + (file == null
+                        ? ""
+                        : ",\"file\":" + Documents.MAPPER.getNodeFactory().textNode(file)) + "}";
     }
 
     private void shrink() throws IOException {
--- a/stitch/src/main/java/calicovale/stitch/RecordLog.java
+++ b/stitch/src/main/java/calicovale/stitch/RecordLog.java
@@ -26,8 +26,7 @@
     private static final int MOST_BYTES = 1 << 20;
 
     /** What opening found. */
-    public record Recovery(List<String> records, int ofSnapshot, long bytesCut) {
-    }
+    public record Recovery(List<String> records, int ofSnapshot, long bytesCut) {}
 
     private final Path log;
     private final Path snapshot;
@@ -52,7 +51,8 @@
             }
         }
         int ofSnapshot = records.size();
-        result.channel = FileChannel.open(result.log, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        result.channel = FileChannel.open(
+                result.log, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         byte[] bytes = Files.readAllBytes(result.log);
         int good = read(bytes, records);
         if (good < bytes.length && whole(bytes, good)) {
@@ -67,8 +67,7 @@
     }
 
     /** A log and what it held. */
-    public record Opened(RecordLog log, Recovery recovery) {
-    }
+    public record Opened(RecordLog log, Recovery recovery) {}
 
     /** Reads whole records and gives the place after the last of them. */
     private static int read(byte[] bytes, List<String> into) {
@@ -87,7 +86,10 @@
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int size = in.getInt(at);
-        if (size <= 0 || size > MOST_BYTES || size > bytes.length - at - HEAD || in.getInt(at + 4) != sum(bytes, at + HEAD, size)) {
+        if (size <= 0
+                || size > MOST_BYTES
+                || size > bytes.length - at - HEAD
+                || in.getInt(at + 4) != sum(bytes, at + HEAD, size)) {
             return null;
         }
         return new String(bytes, at + HEAD, size, StandardCharsets.UTF_8);
@@ -114,7 +116,11 @@
         if (text.length == 0 || text.length > MOST_BYTES) {
             throw new IllegalArgumentException("a record has 1 to " + MOST_BYTES + " bytes, not " + text.length);
         }
-        return ByteBuffer.allocate(HEAD + text.length).putInt(text.length).putInt(sum(text, 0, text.length)).put(text).flip();
+        return ByteBuffer.allocate(HEAD + text.length)
+                .putInt(text.length)
+                .putInt(sum(text, 0, text.length))
+                .put(text)
+                .flip();
     }
 
     /** Appends a record; it is on disk when this returns. */
@@ -168,8 +174,8 @@
      */
     public void snapshot(List<String> records) throws IOException {
         Path next = snapshot.resolveSibling(snapshot.getFileName() + ".next");
-        try (FileChannel out = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE)) {
+        try (FileChannel out = FileChannel.open(
+                next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = frames(records);
             while (bytes.hasRemaining()) {
                 out.write(bytes);
--- a/stitch/src/main/java/calicovale/stitch/SessionLedger.java
+++ b/stitch/src/main/java/calicovale/stitch/SessionLedger.java
@@ -32,17 +32,27 @@
      * @param dateMs the programme's date that the playlist had reached at {@code atMs}
      * @param atMs common time
      */
-    public record Entry(String token, String sessionClass, String tenant, String viewer, String title, int top, double waitMs,
-            long sequence, int number, int segment, long targetS, double dateMs, double atMs) {
-    }
+    public record Entry(
+            String token,
+            String sessionClass,
+            String tenant,
+            String viewer,
+            String title,
+            int top,
+            double waitMs,
+            long sequence,
+            int number,
+            int segment,
+            long targetS,
+            double dateMs,
+            double atMs) {}
 
     /** That a change was shown, under a name that {@link ChangeBook#shown} gave. */
-    public record Showing(String change, String name) {
-    }
+    public record Showing(String change, String name) {}
 
     /** Steps that are written together: entries that replace those of the same token, tokens that are over, showings. */
-    public record Steps(Collection<Entry> entries, Collection<String> over, Collection<Showing> showings, double aliveMs) {
-    }
+    public record Steps(
+            Collection<Entry> entries, Collection<String> over, Collection<Showing> showings, double aliveMs) {}
 
     private final RecordLog log;
     private final RecordLog.Recovery recovery;
@@ -64,11 +74,26 @@
 
     private void read(JsonNode n) {
         aliveMs = Math.max(aliveMs, n.path("alive").asDouble());
-        n.path("s").forEach(e -> entries.put(e.get(0).asText(), new Entry(e.get(0).asText(), e.get(1).asText(), e.get(2).asText(),
-                e.get(3).asText(), e.get(4).asText(), e.get(5).asInt(), e.get(6).asDouble(), e.get(7).asLong(), e.get(8).asInt(),
-                e.get(9).asInt(), e.get(10).asLong(), e.get(11).asDouble(), e.get(12).asDouble())));
+        n.path("s")
+                .forEach(e -> entries.put(
+                        e.get(0).asText(),
+                        new Entry(
+                                e.get(0).asText(),
+                                e.get(1).asText(),
+                                e.get(2).asText(),
+                                e.get(3).asText(),
+                                e.get(4).asText(),
+                                e.get(5).asInt(),
+                                e.get(6).asDouble(),
+                                e.get(7).asLong(),
+                                e.get(8).asInt(),
+                                e.get(9).asInt(),
+                                e.get(10).asLong(),
+                                e.get(11).asDouble(),
+                                e.get(12).asDouble())));
         n.path("over").forEach(token -> entries.remove(token.asText()));
-        n.path("shown").forEach(x -> show(new Showing(x.get(0).asText(), x.get(1).asText())));
+        n.path("shown")
+                .forEach(x -> show(new Showing(x.get(0).asText(), x.get(1).asText())));
     }
 
     private void show(Showing s) {
@@ -118,9 +143,21 @@
         ObjectNode n = Documents.MAPPER.createObjectNode().put("alive", steps.aliveMs());
         int count = 0;
         for (Entry e : steps.entries()) {
-            n.withArray("/s").addArray().add(e.token()).add(e.sessionClass()).add(e.tenant()).add(e.viewer()).add(e.title())
-                    .add(e.top()).add(e.waitMs()).add(e.sequence()).add(e.number()).add(e.segment()).add(e.targetS())
-                    .add(e.dateMs()).add(e.atMs());
+            n.withArray("/s")
+                    .addArray()
+                    .add(e.token())
+                    .add(e.sessionClass())
+                    .add(e.tenant())
+                    .add(e.viewer())
+                    .add(e.title())
+                    .add(e.top())
+                    .add(e.waitMs())
+                    .add(e.sequence())
+                    .add(e.number())
+                    .add(e.segment())
+                    .add(e.targetS())
+                    .add(e.dateMs())
+                    .add(e.atMs());
             n = ++count % MOST_IN_RECORD == 0 ? next(result, n) : n;
         }
         for (String token : steps.over()) {
