--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -459,7 +459,8 @@
 
     @Test
     void aSessionThatMovesWithinAPieceHasItWhole() throws Exception {
-        try (Stage stage = stage()) {
+        // With segments of 0.5 s a slow first reload lets the piece's first segments leave the window before the move.
+        try (Stage stage = stage("/boxes/segmentS", "2")) {
             URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
             told(stage, 0, now("storm-1", ""));
             until(stage, media, "the piece is listed", StitchTest::storm);
