--- a/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
@@ -29,35 +29,41 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Turns the wire's text into events of the controllers and their actions into text; decides nothing. */
+/**
+ * Translates the bench's messages to events of the session controllers, and the controllers' actions to messages. Each
+ * controller is one instance, named by its number in the {@code who} part of a message.
+ */
 final class WireAdapter {
     private final BufferedReader in;
     private final Appendable out;
-    private final PrintStream complaints;
+    private final PrintStream errors;
     private final StringBuilder reply = new StringBuilder();
-    private final TreeMap<Long, List<ServerEntry>> pages = new TreeMap<>();
+    private final TreeMap<Long, List<ServerEntry>> serverListPages = new TreeMap<>();
     private final TreeMap<Integer, SessionController> controllers = new TreeMap<>();
     private double nowMs;
 
-    WireAdapter(BufferedReader in, Appendable out, PrintStream complaints) {
+    WireAdapter(BufferedReader in, Appendable out, PrintStream errors) {
         this.in = in;
         this.out = out;
-        this.complaints = complaints;
+        this.errors = errors;
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Reads batches of lines, each ended by {@code GO}, and writes one reply to each, until the input ends. A line that is
+     * not accepted is skipped after a message on the error stream.
+     */
     void run() throws IOException {
         String line;
         while ((line = in.readLine()) != null) {
             try {
-                handle(line);
+                handleLine(line);
             } catch (BadValueException e) {
-                complaints.println("calicovale adapter: " + e.getMessage());
+                errors.println("calicovale adapter: " + e.getMessage());
             }
         }
     }
 
-    private void handle(String line) throws IOException, BadValueException {
+    private void handleLine(String line) throws IOException, BadValueException {
         if (line.equals("GO")) {
             reply.append("EOR\n");
             out.append(reply);
@@ -70,21 +76,22 @@
         if (line.isBlank()) {
             return;
         }
-        Fields f = Fields.parse(line);
-        switch (f.name()) {
-            case "ROUND" -> nowMs = f.number("tMs");
-            case "INVENTORY" -> pages.put(f.whole("page"), rows(f.integer("nodesList")));
+        WireLine message = WireLine.parse(line);
+        switch (message.messageName()) {
+            case "ROUND" -> nowMs = message.number("tMs");
+            case "INVENTORY" ->
+                serverListPages.put(message.nonNegativeLong("page"), readServerRows(message.integer("nodesList")));
             case "NEW_INSTANCE" -> {
-                int who = f.integer("who");
-                long seed = f.whole("rngSeed");
-                Settings settings = PlatformSettings.controller(f);
+                int instance = message.integer("who");
+                long seed = message.nonNegativeLong("rngSeed");
+                Settings settings = PlatformSettings.readController(message);
                 try {
-                    controllers.put(who, new SessionController(settings, seed, nowMs, new Sink(who)));
+                    controllers.put(instance, new SessionController(settings, seed, nowMs, new ActionWriter(instance)));
                 } catch (IllegalArgumentException e) {
-                    throw new WireException(e.getMessage(), line);
+                    throw new InvalidWireLineException(e.getMessage(), line);
                 }
             }
-            case "TEARDOWN" -> controllers.remove(f.integer("who"));
+            case "TEARDOWN" -> controllers.remove(message.integer("who"));
             case "DEMAND",
                     "RESUMED",
                     "ACCEPTED",
@@ -94,142 +101,162 @@
                     "PEERS_KNOWN",
                     "SAMPLED",
                     "WHISPER",
-                    "WAKE" -> dispatch(f);
-            default -> throw new WireException("unknown message '" + f.name() + "'", line);
+                    "WAKE" -> dispatch(message);
+            default -> throw new InvalidWireLineException("unknown message '" + message.messageName() + "'", line);
         }
     }
 
-    private void dispatch(Fields f) throws BadValueException {
-        int who = f.integer("who");
-        SessionController controller = controllers.get(who);
+    private void dispatch(WireLine message) throws BadValueException {
+        int instance = message.integer("who");
+        SessionController controller = controllers.get(instance);
         if (controller == null) {
-            throw new WireException("instance " + who + " is not running", f.line());
+            throw new InvalidWireLineException("instance " + instance + " is not running", message.rawLine());
         }
-        Event event = event(f);
+        Event event = toEvent(message);
         if (event == null) {
             return;
         }
         try {
             controller.handle(nowMs, event);
         } catch (IllegalArgumentException e) {
-            throw new WireException(e.getMessage(), f.line());
+            throw new InvalidWireLineException(e.getMessage(), message.rawLine());
         }
     }
 
-    private Event event(Fields f) throws BadValueException {
-        return switch (f.name()) {
-            case "DEMAND" -> request(f);
-            case "RESUMED" -> new Takeover(request(f), f.whole("server"));
+    private Event toEvent(WireLine message) throws BadValueException {
+        return switch (message.messageName()) {
+            case "DEMAND" -> toRequest(message);
+            case "RESUMED" -> new Takeover(toRequest(message), message.nonNegativeLong("server"));
             case "ACCEPTED" ->
-                new Started(f.text("tid"), f.integer("hop"), f.whole("server"), f.number("elapsedMs", 0));
+                new Started(
+                        message.text("tid"),
+                        message.integer("hop"),
+                        message.nonNegativeLong("server"),
+                        message.number("elapsedMs", 0));
             case "SETTLED" ->
                 new AttemptEnded(
-                        f.text("tid"),
-                        f.integer("hop"),
-                        f.whole("server"),
-                        outcome(f),
-                        f.number("elapsedMs", 0),
-                        f.flag("settled"),
-                        f.load("usage"));
+                        message.text("tid"),
+                        message.integer("hop"),
+                        message.nonNegativeLong("server"),
+                        toOutcome(message),
+                        message.number("elapsedMs", 0),
+                        message.flag("settled"),
+                        message.loadReport("usage"));
             case "CHANGE" -> {
-                int what = f.integer("what");
+                int kindNumber = message.integer("what");
                 NoteKind[] kinds = NoteKind.values();
-                // a kind of note that is not known yet is passed over
-                yield what < 1 || what > kinds.length
+                // ignore kinds of note that this version does not know
+                yield kindNumber < 1 || kindNumber > kinds.length
                         ? null
                         : new Note(
-                                f.text("tid"), f.integer("hop", 0), f.whole("server"), kinds[what - 1], f.number("x"));
+                                message.text("tid"),
+                                message.integer("hop", 0),
+                                message.nonNegativeLong("server"),
+                                kinds[kindNumber - 1],
+                                message.number("x"));
             }
-            case "TIMED_OUT_CLIENT" -> new Departed(f.text("tid"));
-            case "PEERS_KNOWN" -> list(f);
-            case "SAMPLED" -> new ProbeEnded(f.whole("server"), outcome(f), f.number("elapsedMs", 0), f.load("usage"));
-            case "WHISPER" -> new PeerMessage(f.integer("src"), bytes(f));
-            default -> new TimerFired(f.text("name"));
+            case "TIMED_OUT_CLIENT" -> new Departed(message.text("tid"));
+            case "PEERS_KNOWN" -> toServerList(message);
+            case "SAMPLED" ->
+                new ProbeEnded(
+                        message.nonNegativeLong("server"),
+                        toOutcome(message),
+                        message.number("elapsedMs", 0),
+                        message.loadReport("usage"));
+            case "WHISPER" -> new PeerMessage(message.integer("src"), messageBody(message));
+            default -> new TimerFired(message.text("name"));
         };
     }
 
-    private static Request request(Fields f) throws BadValueException {
+    private static Request toRequest(WireLine message) throws BadValueException {
         return new Request(
-                f.text("tid"),
-                f.integer("band"),
-                f.integer("realm", 0),
-                f.text("object", ""),
-                f.text("item", ""),
-                f.number("dropDeadMs", Double.MAX_VALUE),
-                f.number("workMs", 0),
-                f.integer("fromCell", 0),
-                f.integer("span", Integer.MAX_VALUE),
-                f.integer("top", Integer.MAX_VALUE),
-                f.flag("isRetry"),
-                f.flag("moved"),
-                f.flag("reconnect"));
+                message.text("tid"),
+                message.integer("band"),
+                message.integer("realm", 0),
+                message.text("object", ""),
+                message.text("item", ""),
+                message.number("dropDeadMs", Double.MAX_VALUE),
+                message.number("workMs", 0),
+                message.integer("fromCell", 0),
+                message.integer("span", Integer.MAX_VALUE),
+                message.integer("top", Integer.MAX_VALUE),
+                message.flag("isRetry"),
+                message.flag("moved"),
+                message.flag("reconnect"));
     }
 
-    private ServerList list(Fields f) throws BadValueException {
-        String scope = f.text("scope");
-        ListScope kind =
-                switch (scope) {
+    private ServerList toServerList(WireLine message) throws BadValueException {
+        String scopeName = message.text("scope");
+        ListScope scope =
+                switch (scopeName) {
                     case "INCREMENTAL" -> ListScope.CHANGES;
                     case "FULL" -> ListScope.COMPLETE;
                     case "SAVED" -> ListScope.SAVED;
                     case "FAILED" -> ListScope.FAILED;
-                    default -> throw new WireException("unknown scope '" + scope + "'", f.line());
+                    default ->
+                        throw new InvalidWireLineException(
+                                "'scope' must be one of INCREMENTAL, FULL, SAVED, FAILED, not '" + scopeName + "'",
+                                message.rawLine());
                 };
-        if (kind == ListScope.FAILED) {
-            return new ServerList(kind, 0, List.of());
+        if (scope == ListScope.FAILED) {
+            return new ServerList(scope, 0, List.of());
         }
-        List<ServerEntry> entries = pages.get(f.whole("page"));
+        List<ServerEntry> entries = serverListPages.get(message.nonNegativeLong("page"));
         if (entries == null) {
-            throw new WireException("no INVENTORY of page " + f.text("page"), f.line());
+            throw new InvalidWireLineException(
+                    "no INVENTORY message was received for page " + message.text("page"), message.rawLine());
         }
-        return new ServerList(kind, f.has("generation") ? f.whole("generation") : 0, entries);
+        return new ServerList(scope, message.has("generation") ? message.nonNegativeLong("generation") : 0, entries);
     }
 
-    private List<ServerEntry> rows(int count) throws IOException, BadValueException {
+    private List<ServerEntry> readServerRows(int count) throws IOException, BadValueException {
         List<ServerEntry> result = new ArrayList<>();
-        BadValueException wrong = null;
+        BadValueException lastFault = null;
         for (int i = 0; i < count; i++) {
             String line = in.readLine();
             if (line == null) {
-                throw new WireException("the input ends after " + i + " of " + count + " rows", "");
+                throw new InvalidWireLineException("the input ended after " + i + " of " + count + " ROW lines", "");
             }
             try {
-                result.add(row(line));
+                result.add(parseServerRow(line));
             } catch (BadValueException e) {
-                wrong = e;
+                lastFault = e;
             }
         }
-        if (wrong != null) {
-            throw wrong;
+        if (lastFault != null) {
+            throw lastFault;
         }
         return List.copyOf(result);
     }
 
-    private static ServerEntry row(String line) throws BadValueException {
-        Fields f = Fields.parse(line);
-        if (!f.name().equals("ROW")) {
-            throw new WireException("a ROW is due here", line);
+    private static ServerEntry parseServerRow(String line) throws BadValueException {
+        WireLine row = WireLine.parse(line);
+        if (!row.messageName().equals("ROW")) {
+            throw new InvalidWireLineException("a ROW line is expected here", line);
         }
-        String availability = f.text("availability");
+        String availability = row.text("availability");
         ServerState state =
                 switch (availability) {
                     case "Ready" -> ServerState.READY;
                     case "Terminating" -> ServerState.DRAINING;
                     case "Gone" -> ServerState.GONE;
-                    default -> throw new WireException("unknown availability '" + availability + "'", line);
+                    default ->
+                        throw new InvalidWireLineException(
+                                "'availability' must be one of Ready, Terminating, Gone, not '" + availability + "'",
+                                line);
                 };
         return new ServerEntry(
-                f.whole("server"),
+                row.nonNegativeLong("server"),
                 state,
-                f.integer("hw", 0),
-                f.integer("regionPart", 0),
-                f.integer("place", 0),
-                f.number("lastStartMs", 0),
-                f.number("share", 1));
+                row.integer("hw", 0),
+                row.integer("regionPart", 0),
+                row.integer("place", 0),
+                row.number("lastStartMs", 0),
+                row.number("share", 1));
     }
 
-    private static Outcome outcome(Fields f) throws BadValueException {
-        String code = f.text("result");
+    private static Outcome toOutcome(WireLine message) throws BadValueException {
+        String code = message.text("result");
         return switch (code) {
             case "200" -> Outcome.OK;
             case "502" -> Outcome.ERROR;
@@ -239,81 +266,85 @@
             case "520" -> Outcome.RESET;
             case "444" -> Outcome.CANCELLED;
             case "409" -> Outcome.MOOT;
-            default -> throw new WireException("unknown result '" + code + "'", f.line());
+            default ->
+                throw new InvalidWireLineException(
+                        "'result' must be one of 200, 408, 409, 429, 444, 502, 520, 521, not '" + code + "'",
+                        message.rawLine());
         };
     }
 
-    private static byte[] bytes(Fields f) throws BadValueException {
-        String raw = f.text("raw", "-");
+    private static byte[] messageBody(WireLine message) throws BadValueException {
+        String hex = message.text("raw", "-");
         try {
-            return raw.equals("-") ? new byte[0] : HexFormat.of().parseHex(raw);
+            return hex.equals("-") ? new byte[0] : HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw new WireException("'raw' must be hex digits, not '" + raw + "'", f.line());
+            throw new InvalidWireLineException(
+                    "'raw' must be an even number of hex digits, not '" + hex + "'", message.rawLine());
         }
     }
 
-    /** Writes one instance's actions. */
-    private final class Sink implements Actions {
-        private final String who;
+    /** Appends the actions of one controller to the reply. */
+    private final class ActionWriter implements Actions {
+        private final String instanceField;
 
-        Sink(int who) {
-            this.who = " who=" + who;
+        ActionWriter(int instance) {
+            this.instanceField = " who=" + instance;
         }
 
-        private StringBuilder line(String name) {
-            return reply.append(name).append(who);
+        private StringBuilder beginLine(String messageName) {
+            return reply.append(messageName).append(instanceField);
         }
 
-        private StringBuilder line(String name, String id) {
-            return line(name).append(" tid=").append(id);
+        private StringBuilder beginLine(String messageName, String sessionId) {
+            return beginLine(messageName).append(" tid=").append(sessionId);
         }
 
         @Override
         public void attempt(String id, long server, double timeoutMs) {
-            line("HAND_OFF", id)
+            beginLine("HAND_OFF", id)
                     .append(" server=")
                     .append(server)
                     .append(" allowForMs=")
-                    .append(number(timeoutMs))
+                    .append(formatMs(timeoutMs))
                     .append('\n');
         }
 
         @Override
         public void cancel(String id, int attempt) {
-            line("STOP_ATTEMPT", id).append(" hop=").append(attempt).append('\n');
+            beginLine("STOP_ATTEMPT", id).append(" hop=").append(attempt).append('\n');
         }
 
         @Override
         public void rung(String id, int rung) {
-            line("SET_RUNG", id).append(" grade=").append(rung).append('\n');
+            beginLine("SET_RUNG", id).append(" grade=").append(rung).append('\n');
         }
 
         @Override
         public void move(String id) {
-            line("RELOCATE", id).append('\n');
+            beginLine("RELOCATE", id).append('\n');
         }
 
         @Override
         public void refuse(String id, double retryAfterMs) {
-            line("DECLINE", id)
+            beginLine("DECLINE", id)
                     .append(" backoffMs=")
-                    .append(number(retryAfterMs))
+                    .append(formatMs(retryAfterMs))
                     .append('\n');
         }
 
         @Override
         public void fail(String id) {
-            line("FAIL", id).append('\n');
+            beginLine("FAIL", id).append('\n');
         }
 
         @Override
         public void probe(long server) {
-            line("PING").append(" server=").append(server).append('\n');
+            beginLine("PING").append(" server=").append(server).append('\n');
         }
 
         @Override
         public void tellPeers(byte[] body) {
-            line("TELL")
+            beginLine("TELL")
                     .append(" neighbourId=all raw=")
                     .append(body.length == 0 ? "-" : HexFormat.of().formatHex(body))
                     .append('\n');
@@ -321,14 +352,14 @@
 
         @Override
         public void subscribe() {
-            line("TAIL").append(" want=1\n");
+            beginLine("TAIL").append(" want=1\n");
         }
 
         @Override
         public void timer(double delayMs, String name) {
-            line("TIMER")
+            beginLine("TIMER")
                     .append(" waitMs=")
-                    .append(number(delayMs))
+                    .append(formatMs(delayMs))
                     .append(" name=")
                     .append(name)
                     .append('\n');
@@ -336,12 +367,12 @@
 
         @Override
         public void log(String text) {
-            line("RECORD").append(" what=").append(text.replace('\n', ' ')).append('\n');
+            beginLine("RECORD").append(" what=").append(text.replace('\n', ' ')).append('\n');
         }
 
-        /** Three decimals, the wire's resolution, without an exponent. */
-        private static String number(double value) {
-            long micros = Math.round(value * 1000);
+        /** Formats a time with three decimals, the resolution of the wire, and without an exponent. */
+        private static String formatMs(double valueMs) {
+            long micros = Math.round(valueMs * 1000);
             return (micros < 0 ? "-" : "") + Math.abs(micros) / 1000 + "."
                     + Long.toString(1000 + Math.abs(micros) % 1000).substring(1);
         }
--- a/bench-adapter/src/main/java/calicovale/adapter/package-info.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/package-info.java
@@ -1,2 +1,5 @@
-/** The bench's wire: text in, events; actions, text out. It decides nothing. */
+/**
+ * Connects session controllers to the bench: translates the bench's lines of text to events and the controllers' actions to
+ * lines of text. All decisions are the controllers'.
+ */
 package calicovale.adapter;
--- a/bench-adapter/src/test/java/calicovale/adapter/WireAdapterTest.java
+++ b/bench-adapter/src/test/java/calicovale/adapter/WireAdapterTest.java
@@ -12,9 +12,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The wire in both directions, and what malformed lines get. */
+/** Tests the translation in both directions and the messages for malformed lines. */
 class WireAdapterTest {
-    private static final String START = "ROUND tMs=1000.5\n"
+    private static final String STARTED_INSTANCE = "ROUND tMs=1000.5\n"
             + "NEW_INSTANCE who=3 rngSeed=5 az=0 profiles.count=1 profiles.0.aimMs=800 profiles.0.deadlineMs=4000"
             + " profiles.0.effect=pure profiles.0.gain=2 limits.cancelling=true limits.retryAfter=true"
             + " limits.maxRetryAfterMs=900 limits.sendCap=3 me=0 replicasOfMe=1 something.new=7"
@@ -27,39 +27,39 @@
     private static final String DEMAND =
             "DEMAND who=3 tid=r1 band=0 object=v item=t dropDeadMs=5000.5 fromCell=0" + " span=3 top=1 mood=fine\n";
 
-    private final ByteArrayOutputStream complaints = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
-    private String answer(String input) throws IOException {
+    private String reply(String input) throws IOException {
         StringBuilder out = new StringBuilder();
         new WireAdapter(
                         new BufferedReader(new StringReader(input)),
                         out,
-                        new PrintStream(complaints, true, StandardCharsets.UTF_8))
+                        new PrintStream(errors, true, StandardCharsets.UTF_8))
                 .run();
         return out.toString();
     }
 
-    private String complained() {
-        return complaints.toString(StandardCharsets.UTF_8);
+    private String errorText() {
+        return errors.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
-        assertEquals("EOR\n", answer("ROUND tMs=1.0\nGO\n"));
+    void answersAnEmptyBatchWithAnEmptyReply() throws IOException {
+        assertEquals("EOR\n", reply("ROUND tMs=1.0\nGO\n"));
     }
 
     @Test
-    void aSessionIsSetUpWithItsRungBeforeTheHandOff() throws IOException {
-        String out = answer(START + DEMAND + "GO\n");
+    void setsTheRungBeforeHandingOffASession() throws IOException {
+        String out = reply(STARTED_INSTANCE + DEMAND + "GO\n");
         int rung = out.indexOf("SET_RUNG who=3 tid=r1 grade=1\n");
         int send = out.indexOf("HAND_OFF who=3 tid=r1 server=4294967295 allowForMs=");
         assertTrue(rung >= 0 && send > rung && out.endsWith("EOR\n"), out);
-        assertEquals("", complained());
+        assertEquals("", errorText());
     }
 
     @Test
-    void everyEventIsUnderstood() throws IOException {
-        answer(START + DEMAND
+    void acceptsEveryEvent() throws IOException {
+        reply(STARTED_INSTANCE + DEMAND
                 + "ACCEPTED who=3 tid=r1 hop=0 server=4294967295 elapsedMs=20\n"
                 + "CHANGE who=3 tid=r1 hop=0 server=4294967295 what=1 x=0.9\n"
                 + "CHANGE who=3 tid=r1 hop=0 server=4294967295 what=9 x=0.9\n"
@@ -69,12 +69,12 @@
                 + "TIMED_OUT_CLIENT who=3 tid=r1\n"
                 + "RESUMED who=3 tid=r2 band=0 object=v item=t dropDeadMs=9 fromCell=0 span=3 top=1 server=4294967295\n"
                 + "PEERS_KNOWN who=3 scope=FAILED\nTEARDOWN who=3\nGO\n");
-        assertEquals("", complained());
+        assertEquals("", errorText());
     }
 
     @Test
-    void malformedLinesGetOnePlainMessageAndNoAction() throws IOException {
-        String[] wrong = {
+    void reportsEachMalformedLineOnceAndTakesNoAction() throws IOException {
+        String[] malformedLines = {
             "DEMAND who=3 band=0",
             "DEMAND who=3 tid=x band=minus dropDeadMs=1",
             "HELLO who=3",
@@ -86,19 +86,20 @@
             "WHISPER who=3 src=0 raw=zz",
             "CHANGE who=3 tid=x server=1 what=1 x=NaN"
         };
-        String quiet = answer(START + "GO\n");
-        for (String line : wrong) {
-            complaints.reset();
-            assertEquals(quiet, answer(START + line + "\nGO\n"), line);
-            assertEquals(1, complained().lines().count(), line);
-            assertTrue(complained().contains('"' + line + '"'), complained());
+        String replyWithoutTheLine = reply(STARTED_INSTANCE + "GO\n");
+        for (String line : malformedLines) {
+            errors.reset();
+            assertEquals(replyWithoutTheLine, reply(STARTED_INSTANCE + line + "\nGO\n"), line);
+            assertEquals(1, errorText().lines().count(), line);
+            assertTrue(errorText().contains('"' + line + '"'), errorText());
         }
     }
 
     @Test
-    void aKilledInstanceIsForgotten() throws IOException {
-        String out = answer(START + DEMAND + "TEARDOWN who=3\nGO\nROUND tMs=1010\nWAKE who=3 name=tick\nGO\n");
-        assertTrue(complained().contains("instance 3 is not running"), complained());
+    void removesAnInstanceOnTeardown() throws IOException {
+        String out =
+                reply(STARTED_INSTANCE + DEMAND + "TEARDOWN who=3\nGO\nROUND tMs=1010\nWAKE who=3 name=tick\nGO\n");
+        assertTrue(errorText().contains("instance 3 is not running"), errorText());
         assertFalse(out.substring(out.indexOf("EOR")).contains("who=3"));
     }
 }
--- a/host/src/main/java/calicovale/host/Backoff.java
+++ b/host/src/main/java/calicovale/host/Backoff.java
@@ -2,33 +2,47 @@
 
 import java.util.random.RandomGenerator;
 
-/** Owns the waits between tries to reach one peer: doubling up to a bound, each spread over its whole length. */
+/**
+ * Computes the delays between attempts to reach one peer. The delay doubles with each failed attempt up to an upper bound
+ * and is reduced by random jitter of up to one half.
+ */
 public final class Backoff {
-    private final double firstMs;
-    private final double mostMs;
+    private final double initialDelayMs;
+    private final double maxDelayMs;
     private final RandomGenerator random;
     private int failures;
 
-    /** The first wait is up to {@code firstMs}, the longest up to {@code mostMs}. */
-    public Backoff(double firstMs, double mostMs, RandomGenerator random) {
-        this.firstMs = firstMs;
-        this.mostMs = mostMs;
+    /**
+     * Creates a backoff without failed attempts.
+     *
+     * @param initialDelayMs upper bound of the first delay, in ms
+     * @param maxDelayMs upper bound of every delay, in ms
+     * @param random source of the jitter
+     */
+    public Backoff(double initialDelayMs, double maxDelayMs, RandomGenerator random) {
+        this.initialDelayMs = initialDelayMs;
+        this.maxDelayMs = maxDelayMs;
         this.random = random;
     }
 
-    /** The next wait in ms: between half of and the whole present length, so that peers that failed together spread. */
+    /**
+     * Returns the delay before the next attempt, in ms, and counts one more failed attempt. The delay lies between one half
+     * and the whole of the current upper bound, so that callers whose attempts failed at the same time do not retry at the
+     * same time.
+     */
     public double nextMs() {
-        double length = Math.min(mostMs, firstMs * Math.pow(2, Math.min(30, failures)));
+        // caps the exponent, so that the power stays finite however many attempts have failed
+        double delayMs = Math.min(maxDelayMs, initialDelayMs * Math.pow(2, Math.min(30, failures)));
         failures++;
-        return length * (0.5 + 0.5 * random.nextDouble());
+        return delayMs * (0.5 + 0.5 * random.nextDouble());
     }
 
-    /** The peer was reached. */
+    /** Starts again from the initial delay, after the peer was reached. */
     public void reset() {
         failures = 0;
     }
 
-    /** Tries that failed since the peer was last reached. */
+    /** Returns the number of failed attempts since the peer was last reached. */
     public int failures() {
         return failures;
     }
--- a/host/src/main/java/calicovale/host/BadValueException.java
+++ b/host/src/main/java/calicovale/host/BadValueException.java
@@ -1,11 +1,11 @@
 package calicovale.host;
 
-/** A value that is not what was expected; the message says which and why. */
+/** Thrown for a value that is not accepted; the message names the value and what is accepted. */
 public class BadValueException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong. */
-    public BadValueException(String what) {
-        super(what);
+    /** Creates an exception whose message names the value and what is accepted. */
+    public BadValueException(String message) {
+        super(message);
     }
 }
--- a/host/src/main/java/calicovale/host/ControllerHost.java
+++ b/host/src/main/java/calicovale/host/ControllerHost.java
@@ -12,79 +12,84 @@
 import java.util.function.LongSupplier;
 
 /**
- * Owns the one controller of this process: it is given one event at a time, in order, each at the common time of its
- * handling; events raised while one is handled wait for its end.
+ * Runs one session controller. Events are handled one at a time, in the order in which they were raised, each with the common
+ * clock's time at the start of its handling. Events raised while another is handled are queued.
  */
 public final class ControllerHost {
-    private final DoubleSupplier now;
-    private final LongSupplier nanos;
-    private final ArrayDeque<Event> waiting = new ArrayDeque<>();
+    private final DoubleSupplier clockMs;
+    private final LongSupplier monotonicNanos;
+    private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
     private final SessionController controller;
-    private boolean handling;
-    private LongConsumer decisionNanos = nanos -> {};
-    private Consumer<Event> witness = event -> {};
+    private boolean handlingEvent;
+    private LongConsumer decisionTimeListener = durationNanos -> {};
+    private Consumer<Event> eventListener = event -> {};
 
     /**
-     * Starts the controller; {@code carrier} carries its actions out.
+     * Creates and starts the controller.
      *
-     * @param now the common time, in ms
-     * @param nanos a monotonic clock, by which decisions are timed
-     * @param scheduler calls back on the thread that owns this host
+     * @param clockMs the common clock, in ms
+     * @param monotonicNanos a monotonic clock in ns, used to measure how long decisions take
+     * @param scheduler runs the controller's timers, on the thread that owns this host
+     * @param settings the controller's settings
+     * @param seed seed of the controller's random numbers
+     * @param actionHandler carries out the controller's actions
      */
     public ControllerHost(
-            DoubleSupplier now,
-            LongSupplier nanos,
+            DoubleSupplier clockMs,
+            LongSupplier monotonicNanos,
             Scheduler scheduler,
             Settings settings,
             long seed,
-            Carrier carrier) {
-        this.now = now;
-        this.nanos = nanos;
-        handling = true;
+            Carrier actionHandler) {
+        this.clockMs = clockMs;
+        this.monotonicNanos = monotonicNanos;
+        handlingEvent = true;
         controller = new SessionController(settings, seed, nowMs(), new Actions() {
             @Override
             public void attempt(String id, long server, double timeoutMs) {
-                carrier.attempt(id, server, timeoutMs);
+                actionHandler.attempt(id, server, timeoutMs);
             }
 
             @Override
             public void cancel(String id, int attempt) {
-                carrier.cancel(id, attempt);
+                actionHandler.cancel(id, attempt);
             }
 
             @Override
             public void rung(String id, int rung) {
-                carrier.rung(id, rung);
+                actionHandler.rung(id, rung);
             }
 
             @Override
             public void move(String id) {
-                carrier.move(id);
+                actionHandler.move(id);
             }
 
             @Override
             public void refuse(String id, double retryAfterMs) {
-                carrier.refuse(id, retryAfterMs);
+                actionHandler.refuse(id, retryAfterMs);
             }
 
             @Override
             public void fail(String id) {
-                carrier.fail(id);
+                actionHandler.fail(id);
             }
 
             @Override
             public void probe(long server) {
-                throw new IllegalStateException("the settings permit no probes");
+                throw new IllegalStateException(
+                        "the controller probed a server although probes are not supported by this host");
             }
 
             @Override
             public void tellPeers(byte[] body) {
-                throw new IllegalStateException("the settings permit no messages");
+                throw new IllegalStateException(
+                        "the controller sent a message to peers although messages are not supported by this host");
             }
 
             @Override
             public void subscribe() {
-                // the list's stream is always held
+                // nothing to do: the stream of the server list is always open
             }
 
             @Override
@@ -94,80 +99,80 @@
 
             @Override
             public void log(String text) {
-                carrier.log(text);
+                actionHandler.log(text);
             }
         });
-        handling = false;
+        handlingEvent = false;
     }
 
-    /** Calls back after a time. */
+    /** Runs tasks after a delay. */
     @FunctionalInterface
     public interface Scheduler {
-        /** Calls {@code body} once, after {@code delayMs}. */
+        /** Runs {@code body} once, after {@code delayMs} ms. */
         void schedule(double delayMs, Runnable body);
     }
 
-    /** What carries the actions out; see {@link Actions}. None of these may wait. */
+    /** Carries out the controller's actions; see {@link Actions}. No method may block. */
     public interface Carrier {
-        /** Sets a session up. */
+        /** Sets up a session at a server; the attempt is cancelled after {@code timeoutMs} ms. */
         void attempt(String id, long server, double timeoutMs);
 
-        /** Calls an attempt off. */
+        /** Cancels an attempt, given by its number within the session. */
         void cancel(String id, int attempt);
 
         /** Sets the rung of a session. */
         void rung(String id, int rung);
 
-        /** Ends a playing session, whose viewer then comes as a moved request. */
+        /** Ends a playing session; the viewer's next request is marked as moved. */
         void move(String id);
 
-        /** Turns away. */
+        /** Refuses a request; the viewer may retry after {@code retryAfterMs} ms. */
         void refuse(String id, double retryAfterMs);
 
-        /** Answers with a failure. */
+        /** Answers a request with a failure. */
         void fail(String id);
 
-        /** Logs a line. */
+        /** Writes a line to the operators' log. */
         void log(String text);
     }
 
-    /** The common time now, in ms. */
+    /** Returns the common clock's time, in ms. */
     public double nowMs() {
-        return now.getAsDouble();
+        return clockMs.getAsDouble();
     }
 
-    /** How many servers the controller holds. */
+    /** Returns the number of servers in the controller's list. */
     public int serversHeld() {
         return controller.serversHeld();
     }
 
-    /** Hears how long each event took to decide, in ns. */
-    public void onDecision(LongConsumer listener) {
-        decisionNanos = listener;
+    /** Sets the listener that receives the time the controller took for each event, in ns. */
+    public void setDecisionTimeListener(LongConsumer listener) {
+        decisionTimeListener = listener;
     }
 
-    /** Hears of each event once the controller has handled it. */
+    /** Sets the listener that receives each event after the controller has handled it. */
     public void onEvent(Consumer<Event> listener) {
-        witness = listener;
+        eventListener = listener;
     }
 
-    /** Gives the controller an event, now or as soon as the one before it is handled. */
+    /** Passes an event to the controller, at once or after the events that were raised before it. */
     public void raise(Event event) {
-        waiting.addLast(event);
-        if (handling) {
+        pendingEvents.addLast(event);
+        if (handlingEvent) {
             return;
         }
-        handling = true;
+        handlingEvent = true;
         try {
-            Event next;
-            while ((next = waiting.pollFirst()) != null) {
-                long from = nanos.getAsLong();
-                controller.handle(nowMs(), next);
-                decisionNanos.accept(nanos.getAsLong() - from);
-                witness.accept(next);
+            Event nextEvent;
+            while ((nextEvent = pendingEvents.pollFirst()) != null) {
+                long startedNanos = monotonicNanos.getAsLong();
+                controller.handle(nowMs(), nextEvent);
+                decisionTimeListener.accept(monotonicNanos.getAsLong() - startedNanos);
+                eventListener.accept(nextEvent);
             }
         } finally {
-            handling = false;
+            handlingEvent = false;
         }
     }
 }
--- a/host/src/main/java/calicovale/host/Counters.java
+++ b/host/src/main/java/calicovale/host/Counters.java
@@ -3,22 +3,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What one session manager has counted since its start; written by its loop's thread only. */
+/** Named event counters of one session manager since its start. Only the thread of its event loop may change them. */
 public final class Counters {
     private final Map<String, long[]> counts = new LinkedHashMap<>();
 
-    /** Adds one. */
+    /** Adds one to a counter, which starts at 0. */
     public void count(String name) {
         counts.computeIfAbsent(name, n -> new long[1])[0]++;
     }
 
-    /** The count so far. */
+    /** Returns a counter's value, or 0 if nothing was counted under the name. */
     public long get(String name) {
         long[] count = counts.get(name);
         return count == null ? 0 : count[0];
     }
 
-    /** All counts, in the order of their first event. */
+    /** Returns a copy of all counters, in the order in which each was first incremented. */
     public Map<String, Long> all() {
         Map<String, Long> result = new LinkedHashMap<>();
         counts.forEach((name, count) -> result.put(name, count[0]));
--- a/host/src/main/java/calicovale/host/PlatformSettings.java
+++ b/host/src/main/java/calicovale/host/PlatformSettings.java
@@ -13,15 +13,15 @@
 import java.util.List;
 
 /**
- * The settings of a platform as it states them, by one table of names for the simulator's wire and for JSON files.
+ * The settings of a platform. The keys are the same on the simulator's wire and in JSON files.
  *
- * @param controller what the controller is told
- * @param classes names of the classes of session, in the settings' order
+ * @param controller settings of the session controller
+ * @param classes names of the session classes, in the order of the settings
  * @param zones names of the zones
  * @param kinds names of the kinds of server
- * @param connectTimeoutMs a connection that does not stand within this time has failed
- * @param connIdleMs servers close connections that were idle for so long
- * @param mostHeld sessions that one manager may hold
+ * @param connectTimeoutMs time after which an attempt to connect has failed, in ms
+ * @param connIdleMs time after which servers close an idle connection, in ms
+ * @param mostHeld upper bound of the sessions that one manager may hold
  */
 public record PlatformSettings(
         Settings controller,
@@ -32,115 +32,116 @@
         double connIdleMs,
         int mostHeld) {
 
-    /** Reads all of them; a fault is told to {@code f}. */
-    public static PlatformSettings read(Values f) throws BadValueException {
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < f.integer("profiles.count", 0); i++) {
-            names.add(f.text("profiles." + i + ".name", ""));
+    /** Reads all settings; {@code values} handles invalid values. */
+    public static PlatformSettings read(Values values) throws BadValueException {
+        List<String> classNames = new ArrayList<>();
+        for (int i = 0; i < values.integer("profiles.count", 0); i++) {
+            classNames.add(values.text("profiles." + i + ".name", ""));
         }
         return new PlatformSettings(
-                controller(f),
-                List.copyOf(names),
-                List.of(f.list("dcs")),
-                List.of(f.list("kinds")),
-                f.number("limits.connectTimeoutMs", 0),
-                f.number("limits.connIdleMs", 0),
-                f.integer("limits.mostHeld", 0));
+                readController(values),
+                List.copyOf(classNames),
+                List.of(values.list("dcs")),
+                List.of(values.list("kinds")),
+                values.number("limits.connectTimeoutMs", 0),
+                values.number("limits.connIdleMs", 0),
+                values.integer("limits.mostHeld", 0));
     }
 
-    /** What the controller is told. */
-    public static Settings controller(Values f) throws BadValueException {
-        List<SessionClass> classes = classes(f);
+    /** Reads the settings of the session controller; {@code values} handles invalid values. */
+    public static Settings readController(Values values) throws BadValueException {
+        List<SessionClass> classes = readClasses(values);
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < f.integer("parties.count", 0); i++) {
-            tenants.add(new Tenant(f.number("parties." + i + ".quotaRps", 0)));
+        for (int i = 0; i < values.integer("parties.count", 0); i++) {
+            tenants.add(new Tenant(values.number("parties." + i + ".quotaRps", 0)));
         }
         Limits limits = new Limits(
-                f.integer("limits.sendCap", 0),
-                f.flag("limits.retryAfter") ? f.number("limits.maxRetryAfterMs", 0) : 0,
-                f.flag("limits.probes"),
-                f.flag("limits.mayTell"),
-                f.flag("limits.cancelling"));
-        boolean budget = f.has("rules.extraFree") || f.has("rules.repeatRatio");
+                values.integer("limits.sendCap", 0),
+                values.flag("limits.retryAfter") ? values.number("limits.maxRetryAfterMs", 0) : 0,
+                values.flag("limits.probes"),
+                values.flag("limits.mayTell"),
+                values.flag("limits.cancelling"));
+        boolean hasAttemptBudget = values.has("rules.extraFree") || values.has("rules.repeatRatio");
         Rules rules = new Rules(
-                f.number("rules.coldFrom", 1),
-                f.number("rules.warmAfterMs", 0),
-                f.number("rules.tipMultiple", 1),
-                f.number("rules.fallMs", 0),
-                f.number("rules.drainGraceMs", 0),
-                budget ? f.number("rules.extraFree", 0) : -1,
-                f.number("rules.repeatRatio", 0),
-                f.number("rules.countedOverMs", 0),
-                f.number("rules.askEveryMs", 0));
+                values.number("rules.coldFrom", 1),
+                values.number("rules.warmAfterMs", 0),
+                values.number("rules.tipMultiple", 1),
+                values.number("rules.fallMs", 0),
+                values.number("rules.drainGraceMs", 0),
+                hasAttemptBudget ? values.number("rules.extraFree", 0) : -1,
+                values.number("rules.repeatRatio", 0),
+                values.number("rules.countedOverMs", 0),
+                values.number("rules.askEveryMs", 0));
         Media media = new Media(
-                boxed(f.numbers("specifics.levelKb")),
-                boxed(f.numbers("specifics.ladderWorth")),
-                f.integer("specifics.positions", 0),
-                f.integer("specifics.racks", 0),
-                f.number("specifics.linkUnitKb", 0),
-                f.number("specifics.rackLinkKb", 0),
-                boxed(f.numbers("specifics.kindStreams")),
-                f.number("specifics.join", 1),
-                f.number("specifics.fullFrom", 0),
-                f.number("specifics.shortfallCost", 0),
-                f.number("specifics.switchS", 0),
-                f.number("specifics.seeMs", 0),
-                f.number("specifics.tellMs", 0));
+                toList(values.numbers("specifics.levelKb")),
+                toList(values.numbers("specifics.ladderWorth")),
+                values.integer("specifics.positions", 0),
+                values.integer("specifics.racks", 0),
+                values.number("specifics.linkUnitKb", 0),
+                values.number("specifics.rackLinkKb", 0),
+                toList(values.numbers("specifics.kindStreams")),
+                values.number("specifics.join", 1),
+                values.number("specifics.fullFrom", 0),
+                values.number("specifics.shortfallCost", 0),
+                values.number("specifics.switchS", 0),
+                values.number("specifics.seeMs", 0),
+                values.number("specifics.tellMs", 0));
         return new Settings(
-                f.integer("me", 0),
-                f.integer("replicasOfMe", 1),
-                f.integer("az", 0),
+                values.integer("me", 0),
+                values.integer("replicasOfMe", 1),
+                values.integer("az", 0),
                 classes,
                 tenants,
-                f.number("overShareWorth", 1),
+                values.number("overShareWorth", 1),
                 limits,
                 rules,
                 media,
-                reports(f),
-                choice(f, "discovery", "push", "push", "ask") == 1,
-                f.number("scoringMix.worstClass", 0),
-                f.number("costs.moves", 0),
-                f.number("costs.crossZone", 0),
-                f.number("costs.probe", 0));
+                readReportMode(values),
+                indexOfChoice(values, "discovery", "push", "push", "ask") == 1,
+                values.number("scoringMix.worstClass", 0),
+                values.number("costs.moves", 0),
+                values.number("costs.crossZone", 0),
+                values.number("costs.probe", 0));
     }
 
-    private static List<SessionClass> classes(Values f) throws BadValueException {
-        double[] lowest = f.numbers("specifics.lowestRung");
-        double[] highest = f.numbers("specifics.highestRung");
-        double[] scale = f.numbers("specifics.scaleByClass");
-        double[] seats = f.numbers("specifics.seats");
-        String[] live = f.list("specifics.classLive");
-        int rungs = f.numbers("specifics.levelKb").length;
+    private static List<SessionClass> readClasses(Values values) throws BadValueException {
+        double[] lowestRungs = values.numbers("specifics.lowestRung");
+        double[] highestRungs = values.numbers("specifics.highestRung");
+        double[] scales = values.numbers("specifics.scaleByClass");
+        double[] seats = values.numbers("specifics.seats");
+        String[] liveFlags = values.list("specifics.classLive");
+        int rungCount = values.numbers("specifics.levelKb").length;
         List<SessionClass> result = new ArrayList<>();
-        for (int i = 0; i < f.integer("profiles.count", 0); i++) {
-            String at = "profiles." + i + ".";
-            Effect effect = Effect.values()[choice(f, at + "effect", "pure", "pure", "token", "side_effect")];
-            Group group = Group.values()[choice(f, at + "group", "all", "all", "zone", "cell")];
+        for (int i = 0; i < values.integer("profiles.count", 0); i++) {
+            String keyPrefix = "profiles." + i + ".";
+            Effect effect = Effect.values()[
+                    indexOfChoice(values, keyPrefix + "effect", "pure", "pure", "token", "side_effect")];
+            Group group = Group.values()[indexOfChoice(values, keyPrefix + "group", "all", "all", "zone", "cell")];
             result.add(new SessionClass(
-                    f.number(at + "gain", 1),
-                    f.number(at + "aimMs", 0),
-                    f.number(at + "deadlineMs", 0),
+                    values.number(keyPrefix + "gain", 1),
+                    values.number(keyPrefix + "aimMs", 0),
+                    values.number(keyPrefix + "deadlineMs", 0),
                     effect,
                     group,
-                    f.number(at + "keyTtlMs", 0),
-                    (int) at(lowest, i, 0),
-                    (int) at(highest, i, rungs - 1),
-                    at(scale, i, 1),
-                    i < live.length && live[i].equals("true"),
-                    (int) at(seats, i, 0)));
+                    values.number(keyPrefix + "keyTtlMs", 0),
+                    (int) elementOrDefault(lowestRungs, i, 0),
+                    (int) elementOrDefault(highestRungs, i, rungCount - 1),
+                    elementOrDefault(scales, i, 1),
+                    i < liveFlags.length && liveFlags[i].equals("true"),
+                    (int) elementOrDefault(seats, i, 0)));
         }
         return result;
     }
 
-    private static ReportMode reports(Values f) throws BadValueException {
-        return ReportMode.values()[choice(f, "report.how", "silent", "piggyback", "pull", "silent")];
+    private static ReportMode readReportMode(Values values) throws BadValueException {
+        return ReportMode.values()[indexOfChoice(values, "report.how", "silent", "piggyback", "pull", "silent")];
     }
 
-    private static double at(double[] values, int i, double absent) {
-        return i < values.length ? values[i] : absent;
+    private static double elementOrDefault(double[] values, int index, double defaultValue) {
+        return index < values.length ? values[index] : defaultValue;
     }
 
-    private static List<Double> boxed(double[] values) {
+    private static List<Double> toList(double[] values) {
         List<Double> result = new ArrayList<>();
         for (double value : values) {
             result.add(value);
@@ -148,14 +149,16 @@
         return List.copyOf(result);
     }
 
-    private static int choice(Values f, String key, String absent, String... words) throws BadValueException {
-        String value = f.text(key, absent);
-        for (int i = 0; i < words.length; i++) {
-            if (words[i].equals(value)) {
+    /** Returns the position of a value among {@code choices}, or 0 after reporting that it is none of them. */
+    private static int indexOfChoice(Values values, String key, String defaultChoice, String... choices)
+            throws BadValueException {
+        String value = values.text(key, defaultChoice);
+        for (int i = 0; i < choices.length; i++) {
+            if (choices[i].equals(value)) {
                 return i;
             }
         }
-        f.fault("'" + key + "' is '" + value + "', not one of " + String.join(", ", words));
+        values.fault("'" + key + "' is '" + value + "'; accepted values: " + String.join(", ", choices));
         return 0;
     }
 }
--- a/host/src/main/java/calicovale/host/Values.java
+++ b/host/src/main/java/calicovale/host/Values.java
@@ -2,27 +2,30 @@
 
 import java.util.Map;
 
-/** Values by name, as text; what is unknown is never asked for. A fault is thrown, unless a subclass collects them. */
+/**
+ * Typed access to text values by key. Keys that are never read are ignored. An invalid value is reported to
+ * {@link #fault(String)}, which throws unless a subclass collects the messages.
+ */
 public class Values {
     private final Map<String, String> values;
 
-    /** Reads from {@code values}, which stays the caller's. */
+    /** Reads from {@code values}, which is not copied. */
     public Values(Map<String, String> values) {
         this.values = values;
     }
 
-    /** Hears of a fault; where this returns, the value counts as absent or 0. */
-    protected void fault(String what) throws BadValueException {
-        throw new BadValueException(what);
+    /** Reports an invalid value. If this returns normally, the value is read as empty, false or 0. */
+    protected void fault(String message) throws BadValueException {
+        throw new BadValueException(message);
     }
 
-    /** Whether there is a value. */
+    /** Returns whether the key has a value that is not empty. */
     public boolean has(String key) {
         String value = values.get(key);
         return value != null && !value.isEmpty();
     }
 
-    /** A text that must be there. */
+    /** Returns a required text; empty after a reported fault. */
     public String text(String key) throws BadValueException {
         if (!has(key)) {
             fault("'" + key + "' is missing");
@@ -30,34 +33,34 @@
         return values.getOrDefault(key, "");
     }
 
-    /** A text. */
-    public String text(String key, String absent) {
-        return has(key) ? values.get(key) : absent;
+    /** Returns a text, or {@code defaultValue} if it is missing. */
+    public String text(String key, String defaultValue) {
+        return has(key) ? values.get(key) : defaultValue;
     }
 
-    /** A finite number that must be there. */
+    /** Returns a required finite number. */
     public double number(String key) throws BadValueException {
         String value = text(key);
-        return value.isEmpty() ? 0 : toNumber(key, value);
+        return value.isEmpty() ? 0 : parseNumber(key, value);
     }
 
-    /** A finite number. */
-    public double number(String key, double absent) throws BadValueException {
-        return has(key) ? toNumber(key, values.get(key)) : absent;
+    /** Returns a finite number, or {@code defaultValue} if it is missing. */
+    public double number(String key, double defaultValue) throws BadValueException {
+        return has(key) ? parseNumber(key, values.get(key)) : defaultValue;
     }
 
-    /** A whole number from 0 that must be there. */
+    /** Returns a required whole number from 0. */
     public int integer(String key) throws BadValueException {
-        return toInt(key, number(key));
+        return toNonNegativeInt(key, number(key));
     }
 
-    /** A whole number from 0. */
-    public int integer(String key, int absent) throws BadValueException {
-        return has(key) ? toInt(key, number(key)) : absent;
+    /** Returns a whole number from 0, or {@code defaultValue} if it is missing. */
+    public int integer(String key, int defaultValue) throws BadValueException {
+        return has(key) ? toNonNegativeInt(key, number(key)) : defaultValue;
     }
 
-    /** A whole number from 0 that must be there, as long. */
-    public long whole(String key) throws BadValueException {
+    /** Returns a required whole number from 0 that may exceed the range of an int. */
+    public long nonNegativeLong(String key) throws BadValueException {
         String value = text(key);
         if (value.isEmpty()) {
             return 0;
@@ -68,13 +71,13 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        fault("'" + key + "' must be a whole number from 0, not '" + value + "'");
+        fault("'" + key + "' must be a whole number from 0 to 9223372036854775807, not '" + value + "'");
         return 0;
     }
 
-    /** Whether a flag is set; absent means no. */
+    /** Returns whether a flag is set: 1 or true; a missing value means false. */
     public boolean flag(String key) throws BadValueException {
         String value = values.get(key);
         if (value == null || value.isEmpty() || value.equals("0") || value.equals("false")) {
@@ -83,42 +86,42 @@
         if (value.equals("1") || value.equals("true")) {
             return true;
         }
-        fault("'" + key + "' must be 1 or 0, not '" + value + "'");
+        fault("'" + key + "' must be 1, true, 0 or false, not '" + value + "'");
         return false;
     }
 
-    /** A list of texts, set apart by commas. */
+    /** Returns a list of texts separated by commas; empty if it is missing. */
     public String[] list(String key) {
         return has(key) ? values.get(key).split(",") : new String[0];
     }
 
-    /** A list of numbers. */
+    /** Returns a list of finite numbers separated by commas; empty if it is missing. */
     public double[] numbers(String key) throws BadValueException {
         String[] parts = list(key);
         double[] result = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            result[i] = toNumber(key, parts[i]);
+            result[i] = parseNumber(key, parts[i]);
         }
         return result;
     }
 
-    /** Reads one number of a value. */
-    protected final double toNumber(String key, String value) throws BadValueException {
+    /** Parses a finite number; {@code key} names it in the message. */
+    protected final double parseNumber(String key, String value) throws BadValueException {
         try {
             double parsed = Double.parseDouble(value);
             if (Double.isFinite(parsed)) {
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        fault("'" + key + "' must be a number, not '" + value + "'");
+        fault("'" + key + "' must be a finite number, not '" + value + "'");
         return 0;
     }
 
-    private int toInt(String key, double value) throws BadValueException {
+    private int toNonNegativeInt(String key, double value) throws BadValueException {
         if (value != Math.rint(value) || value < 0 || value > Integer.MAX_VALUE) {
-            fault("'" + key + "' must be a whole number from 0, not '" + values.get(key) + "'");
+            fault("'" + key + "' must be a whole number from 0 to 2147483647, not '" + values.get(key) + "'");
             return 0;
         }
         return (int) value;
--- a/host/src/main/java/calicovale/host/package-info.java
+++ b/host/src/main/java/calicovale/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the hosting of the controller: events in, actions out, one at a time, and the reading of a platform's settings. It knows
- * the controller alone: no sockets, no files, no form of text.
+ * Runs the session controller, one event at a time, and reads a platform's settings. The package depends on the controller
+ * only; sockets, files and text formats belong to its callers.
  */
 package calicovale.host;
