--- a/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Reads batches of lines, each ended by {@code GO}, and writes one reply to each, until the input ends. A line that is
-     * not accepted is skipped after a message on the error stream.
+     * Reads batches of lines, each ended by {@code GO}, and writes one reply to each, until the input ends. A line
+     * that is not accepted is skipped after a message on the error stream.
      */
     void run() throws IOException {
         String line;
--- a/host/src/main/java/calicovale/host/Backoff.java
+++ b/host/src/main/java/calicovale/host/Backoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Computes the delays between attempts to reach one peer. The delay doubles with each failed attempt up to an upper bound
- * and is reduced by random jitter of up to one half.
+ * Computes the delays between attempts to reach one peer. The delay doubles with each failed attempt up to an upper
+ * bound and is reduced by random jitter of up to one half.
  */
 public final class Backoff {
     private final double initialDelayMs;
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Returns the delay before the next attempt, in ms, and counts one more failed attempt. The delay lies between one half
-     * and the whole of the current upper bound, so that callers whose attempts failed at the same time do not retry at the
-     * same time.
+     * Returns the delay before the next attempt, in ms, and counts one more failed attempt. The delay lies between one
+     * half and the whole of the current upper bound, so that callers whose attempts failed at the same time do not
+     * retry at the same time.
      */
     public double nextMs() {
         // caps the exponent, so that the power stays finite however many attempts have failed
--- a/host/src/main/java/calicovale/host/ControllerHost.java
+++ b/host/src/main/java/calicovale/host/ControllerHost.java
@@ -12,8 +12,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs one session controller. Events are handled one at a time, in the order in which they were raised, each with the common
- * clock's time at the start of its handling. Events raised while another is handled are queued.
+ * Runs one session controller. Events are handled one at a time, in the order in which they were raised, each with the
+ * common clock's time at the start of its handling. Events raised while another is handled are queued.
  */
 public final class ControllerHost {
     private final DoubleSupplier clockMs;
--- a/protocols/src/main/java/calicovale/protocols/hls/HlsException.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/HlsException.java
@@ -1,11 +1,11 @@
 package calicovale.protocols.hls;
 
-/** A playlist that is refused, with the line that is wrong. */
+/** Thrown for a malformed playlist; the message names the line. */
 public final class HlsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** {@code line} counts from 1. */
-    public HlsException(int line, String message) {
-        super("line " + line + ": " + message);
+    /** Creates an exception; {@code lineNumber} counts from 1. */
+    public HlsException(int lineNumber, String message) {
+        super("line " + lineNumber + ": " + message);
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
@@ -4,18 +4,22 @@
 import java.util.List;
 
 /**
- * Owns one playlist's lines (RFC 8216): its head, its entries (each a URI with the lines before it) and its tail. Unknown
- * tags, attributes and comments stay where they stood; writing what was read gives the same lines.
+ * The lines of one playlist (RFC 8216): its head, its entries, each a URI with the lines before it, and its tail.
+ * Unknown tags, attributes and comments keep their places. A playlist that was parsed is written with the same lines.
  */
 public final class Playlist {
-    /** Bytes of the largest playlist read: a day of one-second segments with room to spare. */
-    public static final int MOST_CHARS = 16 << 20;
+    /** Upper bound of a playlist's length, in characters: more than enough for a day of one-second segments. */
+    public static final int MAX_CHARS = 16 << 20;
 
     /**
-     * One line: a tag with its value (null: none), or a comment or blank, kept as {@code name} with {@code tag} false.
+     * A line other than a URI.
+     *
+     * @param tag whether the line is a tag; otherwise it is a comment or blank
+     * @param name name of the tag, or the whole comment
+     * @param value value of the tag, or null if it has none
      */
     public record Line(boolean tag, String name, String value) {
-        /** A tag. */
+        /** Creates a tag; {@code value} is null if it has none. */
         public static Line tag(String name, String value) {
             return new Line(true, name, value);
         }
@@ -26,10 +30,10 @@
         }
     }
 
-    /** A URI and the lines that belong to it. */
+    /** A URI and the lines before it that belong to it. */
     public record Entry(List<Line> lines, String uri) {
 
-        /** The value of a tag of this entry: null if it is absent, "" if it has none. */
+        /** Returns the value of a tag of this entry: null if the tag is missing, "" if it has no value. */
         public String value(String tag) {
             for (Line line : lines) {
                 if (line.tag() && line.name().equals(tag)) {
@@ -39,12 +43,12 @@
             return null;
         }
 
-        /** Whether a tag is among the lines. */
+        /** Returns whether the entry has a tag. */
         public boolean has(String tag) {
             return value(tag) != null;
         }
 
-        /** EXTINF's duration in seconds, or 0 where there is none. */
+        /** Returns the duration from EXTINF in seconds, or 0 if the tag is missing. */
         public double duration() {
             String value = value("EXTINF");
             if (value == null) {
@@ -59,22 +63,22 @@
     private final List<Entry> entries = new ArrayList<>();
     private final List<Line> tail = new ArrayList<>();
 
-    /** Lines before the first that belongs to an entry. */
+    /** Returns the lines before the first line of an entry, without #EXTM3U; the list may be changed. */
     public List<Line> head() {
         return head;
     }
 
-    /** The entries. */
+    /** Returns the entries; the list may be changed. */
     public List<Entry> entries() {
         return entries;
     }
 
-    /** Lines after the last URI. */
+    /** Returns the lines after the last URI; the list may be changed. */
     public List<Line> tail() {
         return tail;
     }
 
-    /** The value of a tag of the head or tail: null if absent, "" if it has none. */
+    /** Returns the value of a tag of the head or tail: null if the tag is missing, "" if it has no value. */
     public String value(String tag) {
         for (List<Line> part : List.of(head, tail)) {
             for (Line line : part) {
@@ -86,75 +90,76 @@
         return null;
     }
 
-    /** A number of the head, such as EXT-X-MEDIA-SEQUENCE; {@code absent} where the tag is not there. */
-    public long number(String tag, long absent) {
+    /** Returns a tag's whole number, such as EXT-X-MEDIA-SEQUENCE, or {@code defaultValue} if the tag is missing. */
+    public long number(String tag, long defaultValue) {
         String value = value(tag);
-        return value == null ? absent : Long.parseLong(value);
+        return value == null ? defaultValue : Long.parseLong(value);
     }
 
-    /** Whether it names variants and not segments. */
+    /** Returns whether this is a multivariant playlist, whose entries are variants and not segments. */
     public boolean multivariant() {
         return entries.stream().anyMatch(e -> e.has("EXT-X-STREAM-INF"));
     }
 
-    /** Whether no segment will be added. */
+    /** Returns whether the playlist has EXT-X-ENDLIST: no segment will be added. */
     public boolean ended() {
         return value("EXT-X-ENDLIST") != null;
     }
 
-    /** Reads a playlist of either kind; lines may end with LF or CR LF. */
+    /** Parses a media or multivariant playlist; lines may end with LF or CR LF. */
     public static Playlist parse(String text) throws HlsException {
-        if (text.length() > MOST_CHARS) {
-            throw new HlsException(1, "more than " + MOST_CHARS + " characters");
+        if (text.length() > MAX_CHARS) {
+            throw new HlsException(1, "the playlist has more than " + MAX_CHARS + " characters");
         }
         Playlist result = new Playlist();
-        List<Line> own = new ArrayList<>();
+        List<Line> pendingLines = new ArrayList<>();
         boolean inHead = true;
-        int number = 0;
-        int at = 0;
-        while (at < text.length()) {
-            int lf = text.indexOf('\n', at);
-            int end = lf < 0 ? text.length() : lf;
-            String line = text.substring(at, end > at && text.charAt(end - 1) == '\r' ? end - 1 : end);
-            at = end + 1;
-            number++;
-            if (number == 1) {
+        int lineNumber = 0;
+        int lineStart = 0;
+        while (lineStart < text.length()) {
+            int lineFeed = text.indexOf('\n', lineStart);
+            int lineEnd = lineFeed < 0 ? text.length() : lineFeed;
+            String line = text.substring(
+                    lineStart, lineEnd > lineStart && text.charAt(lineEnd - 1) == '\r' ? lineEnd - 1 : lineEnd);
+            lineStart = lineEnd + 1;
+            lineNumber++;
+            if (lineNumber == 1) {
                 if (!line.equals("#EXTM3U")) {
-                    throw new HlsException(1, "#EXTM3U is due");
+                    throw new HlsException(1, "#EXTM3U is expected");
                 }
                 continue;
             }
             if (line.indexOf('\r') >= 0) {
-                throw new HlsException(number, "a CR inside a line");
+                throw new HlsException(lineNumber, "a carriage return inside a line");
             }
             if (line.isEmpty() || line.charAt(0) == '#') {
-                Line read = line(line, number);
-                inHead &= !ofSegment(read);
-                (inHead ? result.head : own).add(read);
+                Line parsedLine = parseLine(line, lineNumber);
+                inHead &= !endsHead(parsedLine);
+                (inHead ? result.head : pendingLines).add(parsedLine);
                 continue;
             }
             if (line.charAt(0) == ' ' || line.charAt(0) == '\t') {
-                throw new HlsException(number, "a URI with white space before it");
+                throw new HlsException(lineNumber, "white space before a URI");
             }
             inHead = false;
-            Entry entry = new Entry(List.copyOf(own), line);
-            own.clear();
+            Entry entry = new Entry(List.copyOf(pendingLines), line);
+            pendingLines.clear();
             if (entry.has("EXT-X-STREAM-INF") == entry.has("EXTINF")) {
-                throw new HlsException(number, "a URI needs EXTINF or EXT-X-STREAM-INF, and not both");
+                throw new HlsException(lineNumber, "a URI needs either EXTINF or EXT-X-STREAM-INF");
             }
             if (!result.entries.isEmpty() && result.entries.get(0).has("EXTINF") != entry.has("EXTINF")) {
-                throw new HlsException(number, "segments and variants in one playlist");
+                throw new HlsException(lineNumber, "a playlist must not contain both segments and variants");
             }
             result.entries.add(entry);
         }
-        if (number == 0) {
-            throw new HlsException(1, "#EXTM3U is due");
+        if (lineNumber == 0) {
+            throw new HlsException(1, "#EXTM3U is expected");
         }
-        result.tail.addAll(own);
+        result.tail.addAll(pendingLines);
         return result;
     }
 
-    private static Line line(String text, int number) throws HlsException {
+    private static Line parseLine(String text, int lineNumber) throws HlsException {
         if (!text.startsWith("#EXT")) {
             return new Line(false, text, null);
         }
@@ -163,27 +168,28 @@
                 text.substring(1, colon < 0 ? text.length() : colon), colon < 0 ? null : text.substring(colon + 1));
         String value = line.value();
         switch (line.name()) {
-            case "EXTM3U" -> throw new HlsException(number, "a second #EXTM3U");
+            case "EXTM3U" -> throw new HlsException(lineNumber, "a second #EXTM3U");
             case "EXTINF" -> {
                 int comma = value == null ? -1 : value.indexOf(',');
                 String seconds = value == null ? "" : comma < 0 ? value : value.substring(0, comma);
                 if (!seconds.matches("\\d{1,9}(\\.\\d{1,12})?")) {
-                    throw new HlsException(number, "EXTINF needs a duration in seconds");
+                    throw new HlsException(lineNumber, "EXTINF needs a duration in seconds, a number from 0");
                 }
             }
             case "EXT-X-TARGETDURATION", "EXT-X-MEDIA-SEQUENCE", "EXT-X-DISCONTINUITY-SEQUENCE", "EXT-X-VERSION" -> {
                 if (value == null || !value.matches("\\d{1,18}")) {
-                    throw new HlsException(number, line.name() + " needs a whole number");
+                    throw new HlsException(lineNumber, line.name() + " needs a whole number from 0");
                 }
             }
             case "EXT-X-STREAM-INF", "EXT-X-MAP", "EXT-X-KEY", "EXT-X-MEDIA", "EXT-X-DATERANGE", "EXT-X-START" ->
-                Attributes.parse(value == null ? "" : value, number);
+                Attributes.parse(value == null ? "" : value, lineNumber);
             default -> {}
         }
         return line;
     }
 
-    private static boolean ofSegment(Line line) {
+    /** Returns whether a line can't be part of the head, because it belongs to an entry or ends the playlist. */
+    private static boolean endsHead(Line line) {
         return line.tag()
                 && switch (line.name()) {
                     case "EXTINF",
@@ -202,7 +208,7 @@
                 };
     }
 
-    /** The playlist's text, lines ended by LF. */
+    /** Returns the playlist's text; each line ends with LF. */
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder("#EXTM3U\n");
--- a/protocols/src/main/java/calicovale/protocols/hls/package-info.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the text of HLS playlists (RFC 8216 and its successor draft): reading and writing them with all that is unknown kept
- * in its place. It must not know sessions, nor which segments a viewer should see.
+ * Parses and writes HLS playlists (RFC 8216 and its successor draft). Unknown tags and comments are kept in their
+ * places. The package does not depend on sessions or on the choice of the segments that a viewer receives.
  */
 package calicovale.protocols.hls;
--- a/protocols/src/main/java/calicovale/protocols/json/Documents.java
+++ b/protocols/src/main/java/calicovale/protocols/json/Documents.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.exc.MismatchedInputException;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.networknt.schema.Error;
 import com.networknt.schema.Schema;
@@ -12,16 +13,19 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
+import java.nio.charset.CharacterCodingException;
+import java.nio.file.AccessDeniedException;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Owns the checking of documents against schemas that lie beside the classes that use them. */
+/** Validates JSON documents against schemas, which are resources in the packages of the classes that use them. */
 public final class Documents {
-    /** The one mapper: a key that stands twice is a fault, not a choice. */
+    /** The shared mapper. It rejects repeated keys and text after the end of the document. */
     public static final JsonMapper MAPPER = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -32,31 +36,39 @@
     private Documents() {}
 
     /**
-     * Reads a file and checks it whole.
+     * Reads and validates a file.
      *
-     * @param owner a class in whose package the schema lies
-     * @throws InvalidDocumentException with every fault
+     * @param owner a class in the schema's package
+     * @param schema file name of the schema
+     * @throws InvalidDocumentException if the file cannot be read or is not valid; names all faults
      */
     public static JsonNode read(Path file, Class<?> owner, String schema) throws InvalidDocumentException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": : a readable file is expected (" + e + ")"));
+            throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected (" + reason(e) + ")"));
         }
         return check(file.toString(), text, owner, schema);
     }
 
-    /** Checks a text whole; {@code name} leads each fault. */
+    /**
+     * Parses and validates a text.
+     *
+     * @param name name of the document, with which each fault begins
+     * @param owner a class in the schema's package
+     * @param schema file name of the schema
+     * @throws InvalidDocumentException if the text is not valid; names all faults
+     */
     public static JsonNode check(String name, String text, Class<?> owner, String schema)
             throws InvalidDocumentException {
         JsonNode node;
         try {
             node = MAPPER.readTree(text);
         } catch (JsonProcessingException e) {
-            var at = e.getLocation();
-            throw new InvalidDocumentException(List.of(name + ": line " + (at == null ? "?" : at.getLineNr())
-                    + ": JSON is expected (" + e.getOriginalMessage() + ")"));
+            var location = e.getLocation();
+            throw new InvalidDocumentException(List.of(name + ": line "
+                    + (location == null ? "?" : location.getLineNr()) + ": JSON is expected (" + reason(e) + ")"));
         }
         List<String> faults = new ArrayList<>();
         for (Error error : schema(owner, schema).validate(node)) {
@@ -69,6 +81,25 @@
         return node;
     }
 
+    /** Returns why a file could not be read. The messages of the exceptions below name only the file or internals. */
+    private static String reason(IOException e) {
+        if (e instanceof NoSuchFileException) {
+            return "the file does not exist";
+        }
+        if (e instanceof AccessDeniedException) {
+            return "access is denied";
+        }
+        if (e instanceof CharacterCodingException) {
+            return "the text is not UTF-8";
+        }
+        return e.getMessage();
+    }
+
+    /** Says why a text is not JSON. A mismatch can only be text after the document; its own message names classes. */
+    private static String reason(JsonProcessingException e) {
+        return e instanceof MismatchedInputException ? "more text follows the document" : e.getOriginalMessage();
+    }
+
     private static Schema schema(Class<?> owner, String name) {
         return SCHEMAS.computeIfAbsent(owner.getName() + " " + name, key -> {
             try (InputStream in = owner.getResourceAsStream(name)) {
--- a/protocols/src/main/java/calicovale/protocols/json/package-info.java
+++ b/protocols/src/main/java/calicovale/protocols/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the reading of settings and documents: JSON checked whole against a JSON Schema (2020-12). It must not know what they
- * are for.
+ * Reads settings and other documents: JSON that is validated against a JSON Schema (2020-12). The package does not
+ * depend on the meaning of the documents.
  */
 package calicovale.protocols.json;
--- a/protocols/src/main/java/calicovale/protocols/keys/Ed25519.java
+++ b/protocols/src/main/java/calicovale/protocols/keys/Ed25519.java
@@ -14,47 +14,51 @@
 import java.util.Arrays;
 import java.util.Base64;
 
-/** Owns Ed25519 keys (RFC 8032, RFC 8410) as this program writes them: base64url of the 32 bytes, or of the PKCS #8 form. */
+/**
+ * Operations on Ed25519 keys (RFC 8032, RFC 8410). In text form, a public key is its 32 bytes in base64url and a
+ * private key its PKCS #8 encoding in base64url, both without padding.
+ */
 public final class Ed25519 {
-    /** Bytes of a public key. */
+    /** Size of a public key, in bytes. */
     public static final int KEY_BYTES = 32;
-    /** Bytes of a signature. */
+    /** Size of a signature, in bytes. */
     public static final int SIGNATURE_BYTES = 64;
-    /** What leads the 32 bytes of a public key in X.509 (RFC 8410, 4). */
-    private static final byte[] X509_HEAD = {0x30, 0x2a, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x03, 0x21, 0x00};
+    /** The bytes before the 32 bytes of a public key in its X.509 encoding (RFC 8410, 4). */
+    private static final byte[] X509_PREFIX = {0x30, 0x2a, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x03, 0x21, 0x00};
 
-    private static final Base64.Encoder ENCODER = Base64.getUrlEncoder().withoutPadding();
+    private static final Base64.Encoder BASE64_URL_ENCODER =
+            Base64.getUrlEncoder().withoutPadding();
 
     private Ed25519() {}
 
-    /** A new pair: the public key in base64url, and the private key (PKCS #8) in base64url. */
+    /** A key pair in text form: the public key and the private key (PKCS #8), both in base64url. */
     public record Pair(String publicKey, String privateKey) {
-        /** Makes a pair from the system's secure random source. */
+        /** Generates a pair from the system's secure random source. */
         public static Pair make() throws GeneralSecurityException {
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
             return new Pair(text(raw(pair.getPublic())), text(pair.getPrivate().getEncoded()));
         }
     }
 
-    /** Bytes as base64url without padding. */
+    /** Encodes bytes in base64url without padding. */
     public static String text(byte[] bytes) {
-        return ENCODER.encodeToString(bytes);
+        return BASE64_URL_ENCODER.encodeToString(bytes);
     }
 
-    /** The 32 bytes of a public key. */
+    /** Returns the 32 bytes of a public key. */
     public static byte[] raw(PublicKey key) {
         byte[] encoded = key.getEncoded();
-        return Arrays.copyOfRange(encoded, X509_HEAD.length, encoded.length);
+        return Arrays.copyOfRange(encoded, X509_PREFIX.length, encoded.length);
     }
 
     /**
-     * A public key of its 32 bytes.
+     * Returns the public key with the given 32 bytes.
      *
-     * @throws IllegalArgumentException if they are none
+     * @throws IllegalArgumentException if the bytes are not a public key
      */
     public static PublicKey publicKey(byte[] raw) {
-        byte[] encoded = Arrays.copyOf(X509_HEAD, X509_HEAD.length + raw.length);
-        System.arraycopy(raw, 0, encoded, X509_HEAD.length, raw.length);
+        byte[] encoded = Arrays.copyOf(X509_PREFIX, X509_PREFIX.length + raw.length);
+        System.arraycopy(raw, 0, encoded, X509_PREFIX.length, raw.length);
         try {
             return KeyFactory.getInstance("Ed25519").generatePublic(new X509EncodedKeySpec(encoded));
         } catch (GeneralSecurityException e) {
@@ -63,18 +67,18 @@
     }
 
     /**
-     * A public key of its text.
+     * Parses a public key in base64url.
      *
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text is not a public key
      */
     public static PublicKey publicKey(String text) {
         return publicKey(Base64.getUrlDecoder().decode(text));
     }
 
     /**
-     * A private key of its text.
+     * Parses a private key (PKCS #8) in base64url.
      *
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text is not a private key
      */
     public static PrivateKey privateKey(String text) {
         try {
@@ -86,7 +90,7 @@
         }
     }
 
-    /** The first 8 bytes of the SHA-256 of a public key: by it a key is named in messages. */
+    /** Returns the id by which messages name a public key: the first 8 bytes of its SHA-256, big-endian. */
     public static long id(byte[] raw) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(raw);
@@ -100,7 +104,7 @@
         }
     }
 
-    /** Signs what the parts make up together. */
+    /** Signs the concatenation of the parts. */
     public static byte[] sign(PrivateKey key, byte[]... parts) {
         try {
             Signature signer = Signature.getInstance("Ed25519");
@@ -114,7 +118,9 @@
         }
     }
 
-    /** Whether a signature is the key's for what the parts make up together; one that is malformed is not. */
+    /**
+     * Returns whether a signature by the key is valid for the concatenation of the parts; false if it is malformed.
+     */
     public static boolean verify(PublicKey key, byte[] signature, byte[]... parts) {
         try {
             Signature verifier = Signature.getInstance("Ed25519");
--- a/protocols/src/main/java/calicovale/protocols/keys/package-info.java
+++ b/protocols/src/main/java/calicovale/protocols/keys/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns keys and signatures as texts and bytes: Ed25519 (RFC 8032). It must not know what is signed or who may sign it.
+ * Generates and converts Ed25519 keys, signs and verifies (RFC 8032). What is signed, and who may sign it, is decided
+ * by the callers.
  */
 package calicovale.protocols.keys;
--- a/protocols/src/main/java/calicovale/protocols/signal/Message.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/Message.java
@@ -7,115 +7,127 @@
 import java.util.HexFormat;
 
 /**
- * One message: its type, the session it names and its parameters, in order. A message that was framed well and holds
- * parameters that do not fit is {@link #malformed()} and has none.
+ * A signalling message: its type, the id of its session and its parameters, in order. A message of valid length whose
+ * parameters cannot be parsed is {@link #malformed()} and has no parameters.
  */
 public final class Message {
-    /** Bytes of a message without parameters, after its length: type and session. */
-    public static final int HEAD = 9;
-    /** Most bytes of a whole message. */
-    public static final int MOST = 16 * 1024;
+    /** Size of the header after the length field, in bytes: type and session id. */
+    public static final int HEADER_BYTES = 9;
+    /** Upper bound of a whole message including its length field, in bytes. */
+    public static final int MAX_BYTES = 16 * 1024;
 
-    private static final int LENGTH = 2;
-    private static final int PARAMETER_HEAD = 3;
+    /** Size of the length field, in bytes. */
+    private static final int LENGTH_BYTES = 2;
+    /** Size of a parameter's header, in bytes: code and length of the value. */
+    private static final int PARAMETER_HEADER_BYTES = 3;
 
     private final int type;
-    private final long session;
+    private final long sessionId;
     private int[] codes = new int[4];
     private byte[][] values = new byte[4][];
-    private int count;
+    private int parameterCount;
     private int valueBytes;
     private boolean malformed;
 
-    private Message(int type, long session) {
+    private Message(int type, long sessionId) {
         this.type = type;
-        this.session = session;
+        this.sessionId = sessionId;
     }
 
-    /** A message without parameters. */
-    public static Message of(int type, long session) {
-        return new Message(type, session);
+    /** Creates a message without parameters. */
+    public static Message of(int type, long sessionId) {
+        return new Message(type, sessionId);
     }
 
-    /** A release. */
-    public static Message release(long session, int cause) {
-        return of(MessageType.REL, session).with(Parameter.CAUSE, new byte[] {(byte) cause});
+    /** Creates a release with a cause, see {@link Cause}. */
+    public static Message release(long sessionId, int cause) {
+        return of(MessageType.REL, sessionId).with(Parameter.CAUSE, new byte[] {(byte) cause});
     }
 
-    /** Adds a parameter; the bytes stay the caller's and must not change. */
+    /**
+     * Adds a parameter and returns this message. The bytes are not copied and must not change afterwards.
+     *
+     * @throws IllegalArgumentException if the message would exceed {@link #MAX_BYTES}
+     */
     public Message with(int code, byte[] value) {
-        if (LENGTH + HEAD + valueBytes + PARAMETER_HEAD * (count + 1) + value.length > MOST) {
-            throw new IllegalArgumentException("a message holds " + MOST + " bytes at most");
+        if (LENGTH_BYTES + HEADER_BYTES + valueBytes + PARAMETER_HEADER_BYTES * (parameterCount + 1) + value.length
+                > MAX_BYTES) {
+            throw new IllegalArgumentException("a message is limited to " + MAX_BYTES + " bytes");
         }
-        if (count == codes.length) {
-            codes = Arrays.copyOf(codes, 2 * count);
-            values = Arrays.copyOf(values, 2 * count);
+        if (parameterCount == codes.length) {
+            codes = Arrays.copyOf(codes, 2 * parameterCount);
+            values = Arrays.copyOf(values, 2 * parameterCount);
         }
-        codes[count] = code;
-        values[count++] = value;
+        codes[parameterCount] = code;
+        values[parameterCount++] = value;
         valueBytes += value.length;
         return this;
     }
 
-    /** Adds a text. */
+    /** Adds a parameter whose value is a text, in UTF-8. */
     public Message with(int code, String text) {
         return with(code, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads what follows the length of a message; {@code in} holds at least {@link #HEAD} bytes and is used up. */
+    /**
+     * Parses a message without its length field. All remaining bytes of {@code in}, at least {@link #HEADER_BYTES},
+     * are consumed.
+     */
     static Message read(ByteBuffer in) {
-        Message m = new Message(in.get() & 0xff, in.getLong());
+        Message message = new Message(in.get() & 0xff, in.getLong());
         while (in.hasRemaining()) {
-            int length = in.remaining() < PARAMETER_HEAD ? Integer.MAX_VALUE : in.getShort(in.position() + 1) & 0xffff;
+            int length = in.remaining() < PARAMETER_HEADER_BYTES
+                    ? Integer.MAX_VALUE
+                    : in.getShort(in.position() + 1) & 0xffff;
             int code = in.get() & 0xff;
-            if (length > in.remaining() - 2 || m.value(code) != null) {
+            if (length > in.remaining() - 2 || message.value(code) != null) {
                 in.position(in.limit());
-                m.count = 0;
-                m.malformed = true;
+                message.parameterCount = 0;
+                message.malformed = true;
                 break;
             }
             in.getShort();
             byte[] value = new byte[length];
             in.get(value);
-            m.with(code, value);
+            message.with(code, value);
         }
-        return m;
+        return message;
     }
 
-    /** The message as bytes, ready to be written. */
+    /** Returns the encoded message including its length field, ready to be written. */
     public ByteBuffer encode() {
-        int length = HEAD + valueBytes + PARAMETER_HEAD * count;
-        ByteBuffer out = ByteBuffer.allocate(LENGTH + length);
-        out.putShort((short) length).put((byte) type).putLong(session);
-        for (int i = 0; i < count; i++) {
+        int length = HEADER_BYTES + valueBytes + PARAMETER_HEADER_BYTES * parameterCount;
+        ByteBuffer out = ByteBuffer.allocate(LENGTH_BYTES + length);
+        out.putShort((short) length).put((byte) type).putLong(sessionId);
+        for (int i = 0; i < parameterCount; i++) {
             out.put((byte) codes[i]).putShort((short) values[i].length).put(values[i]);
         }
         return out.flip();
     }
 
-    /** Its type, see {@link MessageType}. */
+    /** Returns the type, see {@link MessageType}. */
     public int type() {
         return type;
     }
 
-    /** The session that it names. */
+    /** Returns the id of the session. */
     public long session() {
-        return session;
+        return sessionId;
     }
 
-    /** Whether its parameters cannot be read: lengths that do not fit, or one code twice. */
+    /** Returns whether the parameters are invalid: a length exceeds the message, or a code is repeated. */
     public boolean malformed() {
         return malformed;
     }
 
-    /** Whether it has a parameter. */
+    /** Returns whether the message has a parameter with the code. */
     public boolean has(int code) {
         return value(code) != null;
     }
 
-    /** A parameter's bytes, or null. */
+    /** Returns a parameter's bytes, or null if it is missing. */
     public byte[] value(int code) {
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < parameterCount; i++) {
             if (codes[i] == code) {
                 return values[i];
             }
@@ -123,7 +135,7 @@
         return null;
     }
 
-    /** A parameter as text; null where it is missing or no UTF-8. */
+    /** Returns a parameter as text, or null if it is missing or not valid UTF-8. */
     public String text(int code) {
         byte[] value = value(code);
         if (value == null) {
@@ -139,19 +151,19 @@
         }
     }
 
-    /** The cause; -1 where it is missing or not one byte. */
+    /** Returns the cause, or -1 if it is missing or not one byte long. */
     public int cause() {
         byte[] value = value(Parameter.CAUSE);
         return value == null || value.length != 1 ? -1 : value[0] & 0xff;
     }
 
-    /** A session's name as it is written: 16 hex digits. */
-    public static String name(long session) {
-        return HexFormat.of().toHexDigits(session);
+    /** Returns a session id in its text form: 16 hex digits. */
+    public static String name(long sessionId) {
+        return HexFormat.of().toHexDigits(sessionId);
     }
 
     @Override
     public String toString() {
-        return type + " " + name(session) + (malformed ? " malformed" : " " + count + " parameters");
+        return type + " " + name(sessionId) + (malformed ? " malformed" : " " + parameterCount + " parameters");
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/MessageType.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/MessageType.java
@@ -1,26 +1,26 @@
 package calicovale.protocols.signal;
 
-/** The types of message, by the terms of the ISDN user part where it has one. */
+/** Type codes of messages, named as in the ISDN user part where it has a counterpart. */
 public final class MessageType {
-    /** Initial address: a set-up. */
+    /** Initial address: requests the set-up of a session. */
     public static final int IAM = 1;
-    /** Address complete: progress, which means nothing here. */
+    /** Address complete: reports progress, which has no effect on the session. */
     public static final int ACM = 6;
-    /** Answer: the session stands. */
+    /** Answer: the session is established. */
     public static final int ANM = 9;
-    /** Release: refusal, giving up, or the end of a session, by its cause. */
+    /** Release: refuses or cancels a set-up or ends a session, depending on its cause. */
     public static final int REL = 12;
-    /** Release complete: the release was heard. */
+    /** Release complete: acknowledges a release. */
     public static final int RLC = 16;
-    /** Call progress: a note on a session that stands. */
+    /** Call progress: a note on an established session. */
     public static final int CPG = 44;
-    /** Facility: the session is moved. */
+    /** Facility: the session is moved to another server. */
     public static final int FAC = 51;
-    /** User part test. */
+    /** User part test: asks the receiver for a test result. */
     public static final int UPT = 52;
-    /** User part available: the test's result. */
+    /** User part available: the result of a user part test. */
     public static final int UPA = 53;
-    /** A new rung; the platform's own. */
+    /** Sets a new rung; has no counterpart in the ISDN user part. */
     public static final int RUNG = 60;
 
     private MessageType() {}
--- a/protocols/src/main/java/calicovale/protocols/signal/Parameter.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/Parameter.java
@@ -1,30 +1,30 @@
 package calicovale.protocols.signal;
 
-/** Codes of the parameters. */
+/** Codes of the parameters of a {@link Message}. */
 public final class Parameter {
-    /** The class of session. */
+    /** Name of the session class. */
     public static final int CLASS = 1;
-    /** How long the sender waits, in ms. */
+    /** Time for which the sender waits for an answer, in ms. */
     public static final int WAIT = 3;
-    /** Marks a viewer's retry. */
+    /** Marks a set-up as a viewer's retry. */
     public static final int RETRY = 7;
-    /** The title. */
+    /** Name of the title. */
     public static final int TITLE = 9;
-    /** Further figures, as {@code name:value} set apart by semicolons. */
+    /** Further values, as {@code name:value} separated by semicolons. */
     public static final int EXTRAS = 11;
-    /** How long to stay away, in ms. */
+    /** Time after which a refused set-up may be retried, in ms. */
     public static final int RETRY_AFTER = 13;
-    /** What a note tells. */
+    /** Kind of a note. */
     public static final int NOTE = 15;
-    /** A load report. */
+    /** Load report of a server. */
     public static final int LOAD = 19;
-    /** The rung, from 0. */
+    /** Rung of the session, from 0. */
     public static final int RUNG = 23;
-    /** A note's figure. */
+    /** Value of a note. */
     public static final int VALUE = 25;
-    /** The cause, one byte. */
+    /** Cause of a release or result of a test, one byte; see {@link Cause}. */
     public static final int CAUSE = 29;
-    /** The description, any bytes. */
+    /** Description of the session, as uninterpreted bytes. */
     public static final int DESCRIPTION = 31;
 
     private Parameter() {}
--- a/protocols/src/main/java/calicovale/protocols/signal/SignalException.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/SignalException.java
@@ -1,10 +1,10 @@
 package calicovale.protocols.signal;
 
-/** Bytes that are no message, after which the stream cannot be read on. */
+/** Thrown for bytes that are not a message; the rest of the stream cannot be parsed. */
 public final class SignalException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    SignalException(String what) {
-        super(what);
+    SignalException(String message) {
+        super(message);
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
@@ -3,70 +3,73 @@
 import java.nio.ByteBuffer;
 
 /**
- * Owns the part of a message that has come so far on one stream. The length is checked before anything is kept, so no peer can
- * make it hold more than one message of the largest size.
+ * Parses the messages of one stream incrementally. The length is checked before a message is buffered, so that a peer
+ * cannot make the parser hold more than one message of {@link Message#MAX_BYTES}.
  */
 public final class SignalParser {
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
-    /** Takes messages. */
-    public interface Sink {
-        /** Takes one; false if the rest of the stream is not to be read. */
-        boolean message(Message message);
+    /** Receives parsed messages. */
+    public interface MessageHandler {
+        /** Handles a message; returns false if the rest of the stream must not be parsed. */
+        boolean handle(Message message);
     }
 
-    private byte[] kept = NONE;
-    private int have;
-    private int lengthBytes;
-    private int length;
-    private boolean over;
+    private byte[] partialMessage = EMPTY;
+    private int partialMessageBytes;
+    private int lengthBytesRead;
+    private int messageLength;
+    private boolean finished;
 
     /**
-     * Takes what came, up to all of it; whole messages go to {@code sink}.
+     * Parses received bytes and passes each complete message to {@code handler}. All of {@code in} is consumed, unless
+     * an exception is thrown. After an exception, or after the handler returned false, further bytes are discarded.
      *
-     * @throws SignalException if a length is impossible; nothing can be read after that
+     * @throws SignalException if the length of a message is out of range
      */
-    public void feed(ByteBuffer in, Sink sink) throws SignalException {
-        while (in.hasRemaining() && !over) {
-            if (lengthBytes < 2) {
-                length = length << 8 | in.get() & 0xff;
-                if (++lengthBytes == 2 && (length < Message.HEAD || length > Message.MOST - 2)) {
-                    over = true;
-                    throw new SignalException("a message of " + length + " bytes");
+    public void feed(ByteBuffer in, MessageHandler handler) throws SignalException {
+        while (in.hasRemaining() && !finished) {
+            if (lengthBytesRead < 2) {
+                messageLength = messageLength << 8 | in.get() & 0xff;
+                if (++lengthBytesRead == 2
+                        && (messageLength < Message.HEADER_BYTES || messageLength > Message.MAX_BYTES - 2)) {
+                    finished = true;
+                    throw new SignalException(
+                            "message length " + messageLength + " is outside the accepted range of 9 to 16382 bytes");
                 }
                 continue;
             }
             Message message;
-            if (have == 0 && in.remaining() >= length) {
+            if (partialMessageBytes == 0 && in.remaining() >= messageLength) {
                 int limit = in.limit();
-                in.limit(in.position() + length);
+                in.limit(in.position() + messageLength);
                 message = Message.read(in);
                 in.limit(limit);
             } else {
-                if (have == 0) {
-                    kept = new byte[length];
+                if (partialMessageBytes == 0) {
+                    partialMessage = new byte[messageLength];
                 }
-                int n = Math.min(length - have, in.remaining());
-                in.get(kept, have, n);
-                have += n;
-                if (have < length) {
+                int copiedBytes = Math.min(messageLength - partialMessageBytes, in.remaining());
+                in.get(partialMessage, partialMessageBytes, copiedBytes);
+                partialMessageBytes += copiedBytes;
+                if (partialMessageBytes < messageLength) {
                     return;
                 }
-                message = Message.read(ByteBuffer.wrap(kept));
+                message = Message.read(ByteBuffer.wrap(partialMessage));
             }
-            kept = NONE;
-            have = 0;
-            lengthBytes = 0;
-            length = 0;
-            over = !sink.message(message);
+            partialMessage = EMPTY;
+            partialMessageBytes = 0;
+            lengthBytesRead = 0;
+            messageLength = 0;
+            finished = !handler.handle(message);
         }
-        if (over) {
+        if (finished) {
             in.position(in.limit());
         }
     }
 
-    /** Whether a message has begun and not ended. */
+    /** Returns whether a message was received in part. */
     public boolean midMessage() {
-        return lengthBytes > 0;
+        return lengthBytesRead > 0;
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/package-info.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns the signalling messages between viewers' fronts, session managers and video servers: their parser and writer, after the
- * shape of the ISDN user part (Q.763) with causes after Q.850. It holds no policy and knows no sockets.
+ * Parses and writes the signalling messages between viewers' fronts, session managers and video servers. The format
+ * follows the ISDN user part (Q.763), the cause codes follow Q.850. The package uses no sockets; what a message causes
+ * is decided by the callers.
  */
 package calicovale.protocols.signal;
--- a/protocols/src/test/java/calicovale/protocols/hls/PlaylistTest.java
+++ b/protocols/src/test/java/calicovale/protocols/hls/PlaylistTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests that parsed playlists are written unchanged and that malformed ones are rejected. */
 class PlaylistTest {
     private static final String MEDIA = """
             #EXTM3U
@@ -71,17 +72,17 @@
                 "#EXTM3U\n#EXTINF:1,\na\rb\n",
                 "#EXTM3U\n#EXTINF:1,\na\n#EXT-X-STREAM-INF:BANDWIDTH=1\nb\n"
             })
-    void refusesWhatIsMalformed(String text) {
+    void rejectsMalformedPlaylists(String text) {
         assertThrows(HlsException.class, () -> Playlist.parse(text));
     }
 
     @Property(tries = 300, seed = "1")
-    void whatIsReadIsWrittenAlike(@ForAll("playlists") String text) throws HlsException {
+    void writesTheTextThatWasRead(@ForAll("playlists") String text) throws HlsException {
         assertEquals(text, Playlist.parse(text).toString());
     }
 
     @Property(tries = 500, seed = "1")
-    void noTextBringsItDown(@ForAll("lines") List<String> lines) {
+    void parsesOrRejectsAnyText(@ForAll("lines") List<String> lines) {
         try {
             String text = "#EXTM3U\n" + String.join("\n", lines);
             assertEquals(
--- a/protocols/src/test/java/calicovale/protocols/signal/SignalParserTest.java
+++ b/protocols/src/test/java/calicovale/protocols/signal/SignalParserTest.java
@@ -17,12 +17,13 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests the encoding of messages, and parsing of whole, partial and malformed messages. */
 class SignalParserTest {
-    private final List<Message> got = new ArrayList<>();
+    private final List<Message> received = new ArrayList<>();
     private final SignalParser parser = new SignalParser();
 
     private void feed(String hex) throws SignalException {
-        parser.feed(ByteBuffer.wrap(HexFormat.of().parseHex(hex.replace(" ", ""))), got::add);
+        parser.feed(ByteBuffer.wrap(HexFormat.of().parseHex(hex.replace(" ", ""))), received::add);
     }
 
     @Test
@@ -37,26 +38,29 @@
     }
 
     @Property(tries = 200)
-    void readsWhatWasWrittenHoweverItIsCut(
+    void readsEncodedMessagesInChunksOfAnySize(
             @ForAll @Size(max = 6) List<@Size(max = 300) byte[]> values,
             @ForAll long session,
-            @ForAll @IntRange(min = 1, max = 40) int cut)
+            @ForAll @IntRange(min = 1, max = 40) int chunkBytes)
             throws SignalException {
-        Message m = Message.of(MessageType.IAM, session);
+        Message message = Message.of(MessageType.IAM, session);
         for (int i = 0; i < values.size(); i++) {
-            m.with(2 * i + 1, values.get(i));
+            message.with(2 * i + 1, values.get(i));
         }
-        byte[] one = m.encode().array();
-        ByteBuffer two = ByteBuffer.allocate(2 * one.length).put(one).put(one).flip();
-        SignalParser cutUp = new SignalParser();
+        byte[] encoded = message.encode().array();
+        ByteBuffer twice = ByteBuffer.allocate(2 * encoded.length)
+                .put(encoded)
+                .put(encoded)
+                .flip();
+        SignalParser chunkParser = new SignalParser();
         List<Message> read = new ArrayList<>();
-        while (two.hasRemaining()) {
-            ByteBuffer part = two.slice(two.position(), Math.min(cut, two.remaining()));
-            two.position(two.position() + part.remaining());
-            cutUp.feed(part, read::add);
+        while (twice.hasRemaining()) {
+            ByteBuffer chunk = twice.slice(twice.position(), Math.min(chunkBytes, twice.remaining()));
+            twice.position(twice.position() + chunk.remaining());
+            chunkParser.feed(chunk, read::add);
         }
         assertEquals(2, read.size());
-        assertFalse(cutUp.midMessage());
+        assertFalse(chunkParser.midMessage());
         assertEquals(session, read.get(1).session());
         for (int i = 0; i < values.size(); i++) {
             assertArrayEquals(values.get(i), read.get(1).value(2 * i + 1));
@@ -64,43 +68,44 @@
     }
 
     @Test
-    void refusesAnImpossibleLengthBeforeKeepingAnything() {
+    void rejectsAnImpossibleLengthBeforeBufferingAnything() {
         assertThrows(SignalException.class, () -> feed("0008 01"));
-        SignalParser other = new SignalParser();
-        ByteBuffer huge = ByteBuffer.wrap(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2});
-        assertThrows(SignalException.class, () -> other.feed(huge, got::add));
-        ByteBuffer more = ByteBuffer.wrap(new byte[100]);
-        org.junit.jupiter.api.Assertions.assertDoesNotThrow(() -> other.feed(more, got::add));
-        assertFalse(more.hasRemaining());
-        assertEquals(List.of(), got);
+        SignalParser otherParser = new SignalParser();
+        ByteBuffer tooLong = ByteBuffer.wrap(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2});
+        assertThrows(SignalException.class, () -> otherParser.feed(tooLong, received::add));
+        ByteBuffer following = ByteBuffer.wrap(new byte[100]);
+        org.junit.jupiter.api.Assertions.assertDoesNotThrow(() -> otherParser.feed(following, received::add));
+        assertFalse(following.hasRemaining());
+        assertEquals(List.of(), received);
     }
 
     @Test
-    void readsOnAfterParametersThatDoNotFit() throws SignalException {
+    void continuesAfterAMessageWithMalformedParameters() throws SignalException {
         feed("000e 01 0000000000000001 01 00ff 6161" + "0009 34 0000000000000002");
-        assertTrue(got.get(0).malformed());
-        assertNull(got.get(0).value(1));
-        assertEquals(MessageType.UPT, got.get(1).type());
+        assertTrue(received.get(0).malformed());
+        assertNull(received.get(0).value(1));
+        assertEquals(MessageType.UPT, received.get(1).type());
         feed("000b 01 0000000000000003 0100" + "0011 01 0000000000000003 010001 61 010001 62");
-        assertTrue(got.get(2).malformed());
-        assertTrue(got.get(3).malformed(), "a code twice");
+        assertTrue(received.get(2).malformed());
+        assertTrue(received.get(3).malformed(), "a repeated code");
     }
 
     @Test
-    void textThatIsNoUtf8AndCausesOfTwoBytesAreNotThere() throws SignalException {
+    void treatsInvalidUtf8AndTwoByteCausesAsMissing() throws SignalException {
         feed("0012 0c 0000000000000001 010001 ff 1d0002 0101");
-        assertNull(got.get(0).text(1));
-        assertEquals(-1, got.get(0).cause());
+        assertNull(received.get(0).text(1));
+        assertEquals(-1, received.get(0).cause());
     }
 
     @Test
-    void stopsWhereItsSinkStops() throws SignalException {
-        SignalParser once = new SignalParser();
-        ByteBuffer two = ByteBuffer.wrap(HexFormat.of().parseHex("000934000000000000000200093400000000000000" + "03"));
-        once.feed(two, m -> {
-            got.add(m);
+    void stopsReadingWhenTheHandlerReturnsFalse() throws SignalException {
+        SignalParser stoppedParser = new SignalParser();
+        ByteBuffer twoMessages =
+                ByteBuffer.wrap(HexFormat.of().parseHex("000934000000000000000200093400000000000000" + "03"));
+        stoppedParser.feed(twoMessages, message -> {
+            received.add(message);
             return false;
         });
-        assertEquals(1, got.size());
+        assertEquals(1, received.size());
     }
 }
