--- a/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
@@ -123,6 +123,7 @@
         }
     }
 
+    /** Translates a message to an event; null if the message is to be ignored. */
     private Event toEvent(WireLine message) throws BadValueException {
         return switch (message.messageName()) {
             case "DEMAND" -> toRequest(message);
@@ -209,6 +210,10 @@
         return new ServerList(scope, message.has("generation") ? message.nonNegativeLong("generation") : 0, entries);
     }
 
+    /**
+     * Reads the ROW lines after an INVENTORY line, all of them even if one is invalid, so that none is left in the
+     * input.
+     */
     private List<ServerEntry> readServerRows(int count) throws IOException, BadValueException {
         List<ServerEntry> result = new ArrayList<>();
         BadValueException lastFault = null;
--- a/host/src/main/java/calicovale/host/PlatformSettings.java
+++ b/host/src/main/java/calicovale/host/PlatformSettings.java
@@ -61,6 +61,7 @@
                 values.flag("limits.probes"),
                 values.flag("limits.mayTell"),
                 values.flag("limits.cancelling"));
+        // without either value, no budget for further attempts is set, which the controller expects as -1
         boolean hasAttemptBudget = values.has("rules.extraFree") || values.has("rules.repeatRatio");
         Rules rules = new Rules(
                 values.number("rules.coldFrom", 1),
--- a/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
@@ -15,10 +15,15 @@
         boolean handle(Message message);
     }
 
+    /** The current message without its length field; allocated only if the message arrives in parts. */
     private byte[] partialMessage = EMPTY;
+
     private int partialMessageBytes;
+    /** Bytes of the current message's length field that were read, 0 to 2. */
     private int lengthBytesRead;
+
     private int messageLength;
+    /** Set after an invalid length, or when the handler returned false; further bytes are discarded. */
     private boolean finished;
 
     /**
