--- a/protocols/src/main/java/calicovale/protocols/net/Clock.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Clock.java
@@ -1,15 +1,20 @@
 package calicovale.protocols.net;
 
-/** Owns a reading of time; all code takes its time from one of these, so that it also runs in virtual time. */
+/**
+ * Source of monotonic and wall-clock time. All code reads the time from a clock, so that it can run in virtual time.
+ */
 public interface Clock {
 
-    /** Monotonic nanoseconds from an origin of no meaning. */
+    /** Returns monotonic time in nanoseconds from an arbitrary origin. */
     long nanos();
 
-    /** Milliseconds since 1970, carried forward by the monotonic clock: it never steps by itself. */
+    /**
+     * Returns the wall-clock time in milliseconds since 1970-01-01 UTC. It advances with the monotonic clock, so it
+     * never steps when the system time is set.
+     */
     double millis();
 
-    /** The process's clock: wall time read once, then carried forward by the monotonic clock. */
+    /** Returns a clock that reads the system's wall time once and then advances it with the monotonic clock. */
     static Clock system() {
         return new Clock() {
             private final long originNanos = System.nanoTime();
--- a/protocols/src/main/java/calicovale/protocols/net/ConnectFailedException.java
+++ b/protocols/src/main/java/calicovale/protocols/net/ConnectFailedException.java
@@ -2,37 +2,40 @@
 
 import java.io.IOException;
 
-/** A connection that never stood: nothing that was to be sent on it can have been received. */
+/** Signals that a connection was never established, so that the peer cannot have received any data on it. */
 public final class ConnectFailedException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final boolean timedOut;
-    private final boolean local;
+    private final boolean notAttempted;
 
-    /** Wraps what the system said. */
+    /** Creates an exception for an error reported by the operating system. */
     public ConnectFailedException(IOException cause) {
         this(cause, false);
     }
 
-    ConnectFailedException(IOException cause, boolean local) {
+    ConnectFailedException(IOException cause, boolean notAttempted) {
         super("connect failed: " + cause.getMessage(), cause);
         timedOut = false;
-        this.local = local;
+        this.notAttempted = notAttempted;
     }
 
-    /** Nothing answered in time. */
+    /** Creates an exception for a connection attempt that timed out. */
     public ConnectFailedException(String message) {
         super(message);
         timedOut = true;
-        local = false;
+        notAttempted = false;
     }
 
-    /** Whether it was never tried, such as for lack of descriptors: that says nothing of the peer. */
+    /**
+     * Returns whether the attempt failed in this process before anything was sent, such as for lack of file
+     * descriptors. Such a failure says nothing about the state of the peer.
+     */
     public boolean local() {
-        return local;
+        return notAttempted;
     }
 
-    /** Whether nothing answered in time, as against a refusal that shows that nobody listens. */
+    /** Returns whether the attempt timed out; false for a refusal, which shows that no process listens on the port. */
     public boolean timedOut() {
         return timedOut;
     }
--- a/protocols/src/main/java/calicovale/protocols/net/Connection.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Connection.java
@@ -9,33 +9,40 @@
 import java.util.ArrayDeque;
 
 /**
- * Owns one TCP connection: what waits to be written, up to its loop's bound, and whether it reads. All calls are made on
- * the loop's thread.
+ * A TCP connection of an event loop, with a queue of bytes to be written that is bounded by
+ * {@link LoopLimits#pendingBytes()}. Reading can be paused to apply backpressure. All methods must be called on the
+ * loop's thread.
  */
 public final class Connection {
 
-    /** What a connection tells its owner, on the loop's thread. */
+    /** Receiver of a connection's events; called on the loop's thread. */
     public interface Handler {
-        /** The connection stands. */
-        default void onOpen(Connection c) {}
-
-        /** Bytes came; the buffer is the loop's and must be consumed or copied. */
-        void onBytes(Connection c, ByteBuffer bytes);
-
-        /** The peer sends no more (half-close); closing is the owner's to do. */
-        default void onEnd(Connection c) {
-            c.close();
+        /** Called when the connection is established. */
+        default void onOpen(Connection connection) {}
+
+        /** Called when bytes were read; the buffer belongs to the loop, so its content must be consumed or copied. */
+        void onBytes(Connection connection, ByteBuffer bytes);
+
+        /**
+         * Called when the peer has closed its sending side (half-close). The handler decides when to close the
+         * connection; the default closes it at once.
+         */
+        default void onEnd(Connection connection) {
+            connection.close();
         }
 
-        /** All that waited has been written. */
-        default void onDrained(Connection c) {}
+        /** Called when all queued bytes have been written. */
+        default void onDrained(Connection connection) {}
 
-        /** It is over; {@code cause} is null when it was closed in order or from here. Called once. */
-        default void onClosed(Connection c, IOException cause) {}
+        /**
+         * Called once when the connection is closed. {@code cause} is null when it was closed without an error or by
+         * a call of {@link Connection#close()}.
+         */
+        default void onClosed(Connection connection, IOException cause) {}
     }
 
     private final EventLoop loop;
-    /** Null where no descriptor was left for it: it then fails, and nothing else becomes of it. */
+    /** Null if no file descriptor was available for it; the connection then only fails. */
     private final SocketChannel channel;
 
     private final String name;
@@ -46,11 +53,11 @@
     private Handler handler;
     private Object tapState;
     private int pendingBytes;
-    private boolean open;
+    private boolean established;
     private boolean closed;
     private boolean reading = true;
     private boolean closeWhenDrained;
-    private boolean finWhenDrained;
+    private boolean shutdownOutputWhenDrained;
 
     Connection(EventLoop loop, SocketChannel channel, String name, boolean accepted, Handler handler) {
         this.loop = loop;
@@ -60,52 +67,52 @@
         this.handler = handler;
     }
 
-    /** What the owner called it when it listened or connected. */
+    /** Returns the name given to {@link EventLoop#listen} or {@link EventLoop#connect}. */
     public String name() {
         return name;
     }
 
-    /** Whether the peer opened it. */
+    /** Returns whether the connection was accepted, that is, opened by the peer. */
     public boolean accepted() {
         return accepted;
     }
 
-    /** The loop it belongs to. */
+    /** Returns the loop that the connection belongs to. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** Hands later events to another owner. */
+    /** Replaces the handler; later events go to {@code next}. */
     public void handler(Handler next) {
         handler = next;
     }
 
-    /** Anything that a tap wants to keep with this connection. */
+    /** Returns the object that a {@link Tap} has attached to this connection, or null. */
     public Object tapState() {
         return tapState;
     }
 
-    /** Sets what {@link #tapState()} returns. */
+    /** Attaches an object that {@link #tapState()} returns. */
     public void tapState(Object state) {
         tapState = state;
     }
 
-    /** Whether it has come to stand, and was not necessarily closed since. */
-    boolean isOpen() {
-        return open;
+    /** Returns whether the connection has been established at some time; it may have been closed since. */
+    boolean isEstablished() {
+        return established;
     }
 
-    /** Whether it is closed. */
+    /** Returns whether the connection is closed. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Bytes that wait to be written. */
+    /** Returns the number of bytes waiting to be written. */
     public int pendingBytes() {
         return pendingBytes;
     }
 
-    /** The peer's address, or null when it is not known any more. */
+    /** Returns the peer's address, or null if it is no longer known. */
     public InetSocketAddress remote() {
         if (channel == null) {
             return null;
@@ -117,7 +124,7 @@
         }
     }
 
-    /** The address here, or null when it is not known any more. */
+    /** Returns the local address, or null if it is no longer known. */
     public InetSocketAddress local() {
         if (channel == null) {
             return null;
@@ -130,15 +137,17 @@
     }
 
     /**
-     * Writes what the socket takes now and keeps the rest, of which it becomes the owner.
+     * Writes as many bytes as the socket accepts now and queues the rest. The connection takes ownership of the
+     * buffer.
      *
-     * @return false if the bound on waiting bytes was hit: the connection is then reset and the bytes dropped
+     * @return false if nothing can be written any more, or if the limit on waiting bytes was exceeded; the connection
+     *     is then reset and the bytes are dropped
      */
     public boolean write(ByteBuffer bytes) {
-        if (closed || closeWhenDrained || finWhenDrained) {
+        if (closed || closeWhenDrained || shutdownOutputWhenDrained) {
             return false;
         }
-        if (open && pending.isEmpty() && !push(bytes)) {
+        if (established && pending.isEmpty() && !writeToSocket(bytes)) {
             return false;
         }
         if (!bytes.hasRemaining()) {
@@ -146,53 +155,53 @@
         }
         if (pendingBytes + bytes.remaining() > loop.limits().pendingBytes()) {
             loop.counters().pendingOverflows++;
-            reset(new IOException("more than " + loop.limits().pendingBytes() + " bytes wait for a slow peer"));
+            reset(new IOException("more than " + loop.limits().pendingBytes() + " bytes are waiting for a slow peer"));
             return false;
         }
         pending.addLast(bytes);
         pendingBytes += bytes.remaining();
-        interest();
+        updateInterestOps();
         return true;
     }
 
-    private boolean push(ByteBuffer bytes) {
-        int from = bytes.position();
+    private boolean writeToSocket(ByteBuffer bytes) {
+        int start = bytes.position();
         try {
             channel.write(bytes);
         } catch (IOException e) {
             fail(e);
             return false;
         }
-        if (bytes.position() > from) {
-            ByteBuffer view = bytes.duplicate();
-            view.flip().position(from);
-            loop.counters().bytesWritten += view.remaining();
-            loop.tap().wrote(this, view);
+        if (bytes.position() > start) {
+            ByteBuffer written = bytes.duplicate();
+            written.flip().position(start);
+            loop.counters().bytesWritten += written.remaining();
+            loop.tap().wrote(this, written);
         }
         return true;
     }
 
-    /** Stops reading: the peer is held back by its own full window. */
+    /** Stops reading. TCP flow control then stops the peer once its send window is exhausted. */
     public void pause() {
         reading = false;
-        interest();
+        updateInterestOps();
     }
 
-    /** Reads again. */
+    /** Resumes reading. */
     public void resume() {
         reading = true;
-        interest();
+        updateInterestOps();
     }
 
-    /** Ends the sending side after all that waits has been written (half-close). */
+    /** Closes the sending side after all queued bytes have been written (half-close). */
     public void finish() {
-        finWhenDrained = true;
-        if (pending.isEmpty() && open) {
+        shutdownOutputWhenDrained = true;
+        if (pending.isEmpty() && established) {
             shutdownOutput();
         }
     }
 
-    /** Closes after all that waits has been written; reads no more. */
+    /** Stops reading and closes the connection after all queued bytes have been written. */
     public void closeWhenDrained() {
         if (pending.isEmpty()) {
             close();
@@ -202,44 +211,44 @@
         pause();
     }
 
-    /** Closes at once, in order. */
+    /** Closes the connection at once, without a reset; queued bytes are dropped. */
     public void close() {
-        end(null, false);
+        closeAndNotify(null, false);
     }
 
-    /** Closes at once with a reset, so that the peer sees an error and not an end. */
+    /** Closes the connection at once with a TCP reset, so that the peer sees an error instead of an end of stream. */
     public void reset(IOException cause) {
-        end(cause, true);
+        closeAndNotify(cause, true);
     }
 
     void fail(IOException cause) {
-        end(cause, false);
+        closeAndNotify(cause, false);
     }
 
-    private void end(IOException cause, boolean abrupt) {
+    private void closeAndNotify(IOException cause, boolean withReset) {
         if (closed) {
             return;
         }
-        shut(abrupt);
+        closeSocket(withReset);
         loop.tap().closed(this);
         handler.onClosed(this, cause);
     }
 
-    /** Closes the socket without telling anyone. */
-    void shut(boolean abrupt) {
+    /** Closes the socket without calling the handler or the tap. */
+    void closeSocket(boolean withReset) {
         closed = true;
         pending.clear();
         pendingBytes = 0;
         if (connectTimer != null) {
             connectTimer.cancel();
         }
-        loop.forget(this);
+        loop.remove(this);
         if (channel == null) {
             return;
         }
-        loop.closed(this);
+        loop.countClosed(this);
         try {
-            if (abrupt) {
+            if (withReset) {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             }
             channel.close();
@@ -248,8 +257,8 @@
         }
     }
 
-    void opened() {
-        open = true;
+    void completeOpen() {
+        established = true;
         if (connectTimer != null) {
             connectTimer.cancel();
             connectTimer = null;
@@ -263,31 +272,32 @@
         loop.tap().opened(this);
         handler.onOpen(this);
         if (!closed && !pending.isEmpty()) {
-            writable();
+            handleWritable();
         }
         if (!closed) {
-            interest();
+            updateInterestOps();
         }
     }
 
-    void connectable() {
+    void handleConnectable() {
         try {
             if (!channel.finishConnect()) {
                 return;
             }
-            // a try to reach a port of the ephemeral range where nobody listens can meet itself (simultaneous open)
+            // connecting to a port in the ephemeral range on which no process listens can connect the socket to itself
+            // (TCP simultaneous open)
             if (channel.getLocalAddress().equals(channel.getRemoteAddress())) {
-                throw new IOException("nobody listens: the connection met itself");
+                throw new IOException("no process listens on the port; the socket connected to itself");
             }
         } catch (IOException e) {
             fail(new ConnectFailedException(e));
             return;
         }
-        opened();
+        completeOpen();
     }
 
-    /** Reads once; whether more may be there. */
-    boolean readable(ByteBuffer buffer) {
+    /** Reads once; returns whether more data may be available. */
+    boolean handleReadable(ByteBuffer buffer) {
         if (!reading || closed) {
             return false;
         }
@@ -301,7 +311,7 @@
         }
         if (count < 0) {
             reading = false;
-            interest();
+            updateInterestOps();
             loop.tap().ended(this);
             handler.onEnd(this);
         } else if (count > 0) {
@@ -313,16 +323,16 @@
         return count > 0;
     }
 
-    void writable() {
+    void handleWritable() {
         while (!pending.isEmpty()) {
             ByteBuffer first = pending.peekFirst();
             int before = first.remaining();
-            if (!push(first)) {
+            if (!writeToSocket(first)) {
                 return;
             }
             pendingBytes -= before - first.remaining();
             if (first.hasRemaining()) {
-                interest();
+                updateInterestOps();
                 return;
             }
             pending.removeFirst();
@@ -331,10 +341,10 @@
             close();
             return;
         }
-        if (finWhenDrained) {
+        if (shutdownOutputWhenDrained) {
             shutdownOutput();
         }
-        interest();
+        updateInterestOps();
         handler.onDrained(this);
     }
 
@@ -346,8 +356,8 @@
         }
     }
 
-    private void interest() {
-        if (closed || !open || key == null || !key.isValid()) {
+    private void updateInterestOps() {
+        if (closed || !established || key == null || !key.isValid()) {
             return;
         }
         int ops = (reading ? SelectionKey.OP_READ : 0) | (pending.isEmpty() ? 0 : SelectionKey.OP_WRITE);
--- a/protocols/src/main/java/calicovale/protocols/net/Datagrams.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Datagrams.java
@@ -8,14 +8,14 @@
 import java.nio.channels.SelectionKey;
 
 /**
- * Owns one UDP socket of a loop. What the system does not take at once is dropped and counted, as the network may drop it
- * anyway: nothing waits here. All calls are made on the loop's thread.
+ * A UDP socket of an event loop. Datagrams that the system does not accept at once are dropped and counted rather than
+ * queued, because the network may drop datagrams anyway. All methods must be called on the loop's thread.
  */
 public final class Datagrams {
 
-    /** Takes what comes. */
+    /** Receiver of datagrams. */
     public interface Handler {
-        /** A datagram came; the buffer is the loop's and holds only for the call. */
+        /** Called for each datagram received; the buffer belongs to the loop and is valid only during the call. */
         void onDatagram(InetSocketAddress from, ByteBuffer bytes);
     }
 
@@ -30,7 +30,7 @@
         this.handler = handler;
     }
 
-    /** The address bound. */
+    /** Returns the local address that the socket is bound to. */
     public InetSocketAddress address() {
         try {
             return (InetSocketAddress) channel.getLocalAddress();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Sends one datagram; false if it was dropped here. */
+    /** Sends one datagram; returns false if it was dropped locally. */
     public boolean send(InetSocketAddress to, ByteBuffer bytes) {
         try {
             if (channel.send(bytes, to) > 0) {
@@ -47,7 +47,7 @@
                 return true;
             }
         } catch (IOException e) {
-            // such as a port that nobody has any more, told by the system of an earlier datagram
+            // for example an ICMP port-unreachable error that the system reports for an earlier datagram
             loop.counters().datagramErrors++;
             return false;
         }
@@ -55,8 +55,8 @@
         return false;
     }
 
-    /** Takes a bounded number in one turn, so that a flood leaves room for the loop's other work. */
-    void readable(ByteBuffer buffer) {
+    /** Receives a limited number of datagrams in one turn, so that a flood does not starve the loop's other work. */
+    void handleReadable(ByteBuffer buffer) {
         for (int i = 0; i < loop.limits().datagramsPerTurn() && channel.isOpen(); i++) {
             buffer.clear();
             InetSocketAddress from;
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Closes it. */
+    /** Closes the socket. */
     public void close() {
         try {
             channel.close();
--- a/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
+++ b/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
@@ -27,41 +27,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns one thread, its selector, its timers and its connections. Whatever belongs to a loop is touched by its thread alone;
- * other threads send messages by {@link #execute}.
+ * Single-threaded event loop with a selector, timers and connections. Only the loop's thread accesses its state;
+ * other threads pass it messages through {@link #execute}.
  *
- * <p>A turn has phases: what is ready is read, connection by connection and each until nothing more is there (bounded); new
- * connections are accepted; then come {@link Phase#ENDS}, then {@link Phase#DECISIONS} and the timers that fell due, in their
- * order; then sockets that were full are written to. So an answer that was in time at the socket is not overtaken by its own
- * time-out after a stall, and nothing is decided past the news of a peer that has gone.
+ * <p>A turn is one pass of the loop and has these phases. First, the queued messages run. Then the ready connections
+ * are read one after the other, each until no more data is available or a limit is reached. Then new connections are
+ * accepted. Then the deferred tasks run, first those of {@link Phase#ENDS}, then those of {@link Phase#DECISIONS}
+ * with the expired timers in their order. Finally, connections with queued bytes that have become writable are
+ * written to. Because reads come before timers, a response that reached the socket in time is not overtaken by its
+ * own timeout after a stall of the process. Because the tasks for closed connections run before decisions, a decision
+ * takes every close into account that had been read by then.
  */
 public final class EventLoop implements Executor, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+    /** Upper bound of the messages from other threads that run in one turn. */
     private static final int MESSAGES_PER_TURN = 4096;
+    /** Upper bound of the time in ms that the selector waits when no timer is due earlier. */
     private static final long IDLE_SELECT_MS = 200;
-    /** Reads of one connection in one turn: what it sends beyond waits, so that one peer cannot hold up the others. */
+    /** Upper bound of the read calls on one connection in one turn, so that one peer cannot starve the others. */
     private static final int READS_PER_TURN = 4;
-    /** Nanoseconds of decisions after which the sockets are read again: news must not wait behind a long queue. */
-    private static final long DECIDE_NANOS = 10_000_000;
-    /** Decisions that may wait before nothing more is read: peers are then held back by their own full windows. */
-    private static final int MOST_WAITING = 1 << 14;
-    /** Timers called off that may be kept until they fall due; beyond it, and half of all, they are thrown out. */
-    private static final int KEPT_CANCELLED = 64;
-    /** Ms for which nothing is accepted after an accept call failed: a descriptor may be free then. */
+    /**
+     * Time in ns for deferred tasks in one turn; then sockets are read again, so that input doesn't wait for a long
+     * queue.
+     */
+    private static final long DEFERRED_TASKS_BUDGET_NANOS = 10_000_000;
+    /** Number of waiting decisions from which on sockets are not read; TCP flow control then slows the peers down. */
+    private static final int MAX_WAITING_DECISIONS = 1 << 14;
+    /**
+     * Number of cancelled timers that are kept; when they exceed it and half of all timers, all cancelled ones are
+     * removed.
+     */
+    private static final int MAX_CANCELLED_TIMERS = 64;
+    /** Time in ms without accepting after a failed accept call, in which a file descriptor may become free. */
     private static final double ACCEPT_PAUSE_MS = 50;
 
-    /** When what is put off in a turn comes, once all that was ready has been read. */
+    /** Phase in which a deferred task runs, after all ready connections of the turn have been read. */
     public enum Phase {
-        /** What is over: a peer has closed, or has given up. */
+        /** Tasks for what has ended, because a peer has closed its connection or given up. */
         ENDS,
-        /** Whatever may send something new. */
+        /** Tasks that may send something. */
         DECISIONS
     }
 
-    /** Takes new connections of a listener. */
+    /** Receiver of the connections that a listener accepts. */
     public interface Acceptor {
-        /** Gives the owner of a new connection; null closes it at once. */
-        Connection.Handler accept(Connection c);
+        /** Returns the handler of a new connection; null closes the connection at once. */
+        Connection.Handler accept(Connection connection);
     }
 
     private final String name;
@@ -70,23 +81,23 @@
     private final Tap tap;
     private final Selector selector;
     private final MpscAtomicArrayQueue<Runnable> mailbox;
-    private final PriorityQueue<Scheduled> timers = new PriorityQueue<>();
-    private final ArrayDeque<Runnable> ends = new ArrayDeque<>();
+    private final PriorityQueue<ScheduledTimer> timers = new PriorityQueue<>();
+    private final ArrayDeque<Runnable> terminations = new ArrayDeque<>();
     private final ArrayDeque<Runnable> decisions = new ArrayDeque<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final LoopCounters counters = new LoopCounters();
     private final ByteBuffer readBuffer;
     private final long originNanos;
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
+    private final CompletableFuture<Void> termination = new CompletableFuture<>();
     private volatile Thread thread;
-    private long timerNumber;
+    private long nextTimerSequence;
     private int cancelledTimers;
-    private int closing;
+    private int closedSinceSelect;
     private Comparator<Connection> readOrder;
     private volatile boolean stopping;
     private volatile boolean killed;
 
-    /** Makes a loop that runs once {@link #start()} is called. */
+    /** Creates a loop; {@link #start()} starts its thread. */
     public EventLoop(String name, Clock clock, LoopLimits limits, Tap tap) {
         this.name = name;
         this.clock = clock;
@@ -102,29 +113,29 @@
         readBuffer = ByteBuffer.allocateDirect(limits.readBytes());
     }
 
-    /** A loop with the usual bounds and no tap. */
+    /** Creates a loop with the default limits and no tap. */
     public EventLoop(String name, Clock clock) {
         this(name, clock, LoopLimits.DEFAULT, Tap.NONE);
     }
 
-    /** Starts the thread. */
+    /** Starts the loop's thread. */
     public EventLoop start() {
         thread = new Thread(this::run, name);
         thread.start();
         return this;
     }
 
-    /** The clock of all that runs here. */
+    /** Returns the clock of this loop. */
     public Clock clock() {
         return clock;
     }
 
-    /** The bounds. */
+    /** Returns the limits of this loop. */
     public LoopLimits limits() {
         return limits;
     }
 
-    /** The counters. */
+    /** Returns the counters of this loop. */
     public LoopCounters counters() {
         return counters;
     }
@@ -133,18 +144,18 @@
         return tap;
     }
 
-    /** Connections that are open or being established. */
+    /** Returns the number of connections that are open or being established. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Whether the caller runs on this loop. */
+    /** Returns whether the caller runs on this loop's thread. */
     public boolean inLoop() {
         return Thread.currentThread() == thread;
     }
 
     /**
-     * Runs a message on the loop's thread, after those sent before it.
+     * Queues a message that runs on the loop's thread, after those queued before it.
      *
      * @throws RejectedExecutionException if the mailbox is full or the loop has ended
      */
@@ -162,18 +173,23 @@
         }
     }
 
-    /** Runs a call on the loop and waits for its value; not to be called on a loop. */
-    public <T> T call(Callable<T> body) {
+    /**
+     * Runs a task on the loop's thread and waits for its result, which is null if the loop ends first. Must not be
+     * called on a loop's thread.
+     *
+     * @throws IllegalStateException if the task fails
+     */
+    public <T> T call(Callable<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         execute(() -> {
             try {
-                result.complete(body.call());
+                result.complete(task.call());
             } catch (Exception e) {
                 result.completeExceptionally(e);
             }
         });
         try {
-            return CompletableFuture.anyOf(result, ended)
+            return CompletableFuture.anyOf(result, termination)
                     .thenApply(x -> result.getNow(null))
                     .join();
         } catch (java.util.concurrent.CompletionException e) {
@@ -181,54 +197,59 @@
         }
     }
 
-    /** Calls {@code body} after {@code delayMs}, on the loop; to be called on the loop. */
-    public Timer schedule(double delayMs, Runnable body) {
-        Scheduled timer =
-                new Scheduled(clock.nanos() - originNanos + Math.max(0, (long) (delayMs * 1e6)), timerNumber++, body);
+    /** Runs {@code task} on the loop's thread after {@code delayMs}. Must be called on the loop's thread. */
+    public Timer schedule(double delayMs, Runnable task) {
+        ScheduledTimer timer = new ScheduledTimer(
+                clock.nanos() - originNanos + Math.max(0, (long) (delayMs * 1e6)), nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Timers that are kept, those called off included. */
+    /** Returns the number of timers in the queue, including cancelled ones that were not removed yet. */
     public int timersKept() {
         return timers.size();
     }
 
-    /** Puts something off until all that was ready in this turn has been read; to be called on the loop. */
-    public void defer(Phase phase, Runnable body) {
-        (phase == Phase.ENDS ? ends : decisions).addLast(body);
+    /**
+     * Defers a task until all ready connections of this turn have been read. Must be called on the loop's thread.
+     */
+    public void defer(Phase phase, Runnable task) {
+        (phase == Phase.ENDS ? terminations : decisions).addLast(task);
     }
 
-    /** For tests and rehearsals: the order in which connections that are ready together are read. */
+    /** Sets the order in which connections that are ready in the same turn are read, for tests and rehearsals. */
     public void readOrder(Comparator<Connection> order) {
         readOrder = order;
     }
 
-    /** Listens on a loopback address; port 0 takes any. Returns the address bound. To be called on the loop. */
-    public Listener listen(InetSocketAddress address, String what, Acceptor acceptor) throws IOException {
-        ServerSocketChannel server = ServerSocketChannel.open();
+    /**
+     * Opens a listening socket on a loopback address; port 0 selects a free port. Must be called on the loop's
+     * thread.
+     */
+    public Listener listen(InetSocketAddress address, String connectionName, Acceptor acceptor) throws IOException {
+        ServerSocketChannel serverChannel = ServerSocketChannel.open();
         try {
-            server.configureBlocking(false);
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(address, limits.backlog());
-            Listener listener = new Listener(server, what, acceptor);
-            listener.key = server.register(selector, SelectionKey.OP_ACCEPT, listener);
+            serverChannel.configureBlocking(false);
+            serverChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            serverChannel.bind(address, limits.backlog());
+            Listener listener = new Listener(serverChannel, connectionName, acceptor);
+            listener.key = serverChannel.register(selector, SelectionKey.OP_ACCEPT, listener);
             return listener;
         } catch (IOException e) {
-            server.close();
+            serverChannel.close();
             throw e;
         }
     }
 
-    /** Binds a UDP socket to a loopback address; port 0 takes any. To be called on the loop. */
+    /** Binds a UDP socket to a loopback address; port 0 selects a free port. Must be called on the loop's thread. */
     public Datagrams datagrams(InetSocketAddress address, Datagrams.Handler handler) throws IOException {
         DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
         try {
             channel.configureBlocking(false);
             channel.bind(address);
-            Datagrams result = new Datagrams(this, channel, handler);
-            result.key = channel.register(selector, SelectionKey.OP_READ, result);
-            return result;
+            Datagrams datagrams = new Datagrams(this, channel, handler);
+            datagrams.key = channel.register(selector, SelectionKey.OP_READ, datagrams);
+            return datagrams;
         } catch (IOException e) {
             channel.close();
             throw e;
@@ -236,31 +257,34 @@
     }
 
     /**
-     * Connects; the handler hears of the outcome later, never during this call. A connection that does not stand within
-     * {@code timeoutMs}, or for which no descriptor is left, closes with a {@link ConnectFailedException}. To be called on the
-     * loop.
+     * Opens a connection. The handler is called with the outcome later, never during this call. A connection that is
+     * not established within {@code timeoutMs}, or for which no file descriptor is available, is closed with a
+     * {@link ConnectFailedException}. Must be called on the loop's thread.
      */
-    public Connection connect(InetSocketAddress address, String what, double timeoutMs, Connection.Handler handler) {
+    public Connection connect(
+            InetSocketAddress address, String connectionName, double timeoutMs, Connection.Handler handler) {
         counters.connects++;
-        releaseClosed();
+        deregisterClosed();
         SocketChannel channel = null;
-        Connection c = null;
+        Connection connection = null;
         try {
             channel = SocketChannel.open();
-            c = new Connection(this, channel, what, false, handler);
+            connection = new Connection(this, channel, connectionName, false, handler);
             channel.configureBlocking(false);
-            c.key = channel.register(selector, SelectionKey.OP_CONNECT, c);
+            connection.key = channel.register(selector, SelectionKey.OP_CONNECT, connection);
             channel.connect(address);
         } catch (IOException e) {
-            // an outcome like any other: thrown here it would end whoever tries again by a timer
+            // reported to the handler like any other outcome; an exception thrown here would end the retries of
+            // callers that reconnect from a timer
             counters.connectErrors++;
-            boolean local = c == null || c.key == null;
-            Connection failed = c != null ? c : new Connection(this, null, what, false, handler);
+            boolean notAttempted = connection == null || connection.key == null;
+            Connection failed =
+                    connection != null ? connection : new Connection(this, null, connectionName, false, handler);
             connections.add(failed);
-            failed.connectTimer = schedule(0, () -> failed.fail(new ConnectFailedException(e, local)));
+            failed.connectTimer = schedule(0, () -> failed.fail(new ConnectFailedException(e, notAttempted)));
             return failed;
         }
-        Connection opening = c;
+        Connection opening = connection;
         connections.add(opening);
         opening.connectTimer = schedule(timeoutMs, () -> {
             opening.connectTimer = null;
@@ -269,10 +293,13 @@
         return opening;
     }
 
-    /** A closed channel keeps its descriptor until the selector has let go of it: before another is opened it must. */
-    private void releaseClosed() {
-        if (closing > 0) {
-            closing = 0;
+    /**
+     * Deregisters closed channels from the selector. A closed channel keeps its file descriptor until the selector
+     * has removed its key, so this must happen before another channel is opened.
+     */
+    private void deregisterClosed() {
+        if (closedSinceSelect > 0) {
+            closedSinceSelect = 0;
             try {
                 selector.selectNow();
             } catch (IOException e) {
@@ -281,25 +308,25 @@
         }
     }
 
-    void closed(Connection c) {
-        closing += c.key == null ? 0 : 1;
+    void countClosed(Connection connection) {
+        closedSinceSelect += connection.key == null ? 0 : 1;
     }
 
-    void forget(Connection c) {
-        connections.remove(c);
+    void remove(Connection connection) {
+        connections.remove(connection);
     }
 
     private void run() {
         try {
             while (!stopping) {
-                turn();
+                runTurn();
             }
         } catch (IOException | RuntimeException e) {
-            LOG.error("loop {} ends", name, e);
+            LOG.error("event loop {} failed and stops", name, e);
         } finally {
             stopping = true;
             for (Connection c : new ArrayList<>(connections)) {
-                c.shut(killed);
+                c.closeSocket(killed);
                 tap.closed(c);
             }
             for (SelectionKey key : selector.keys()) {
@@ -314,78 +341,78 @@
             } catch (IOException e) {
                 counters.closeErrors++;
             }
-            ended.complete(null);
+            termination.complete(null);
         }
     }
 
-    private void turn() throws IOException {
+    private void runTurn() throws IOException {
         Runnable message;
         for (int i = 0; i < MESSAGES_PER_TURN && (message = mailbox.poll()) != null; i++) {
-            guarded(message);
+            runGuarded(message);
         }
-        closing = 0;
-        long wait = waitMs();
-        if (wait == 0) {
+        closedSinceSelect = 0;
+        long timeoutMs = selectTimeoutMs();
+        if (timeoutMs == 0) {
             selector.selectNow();
         } else {
-            selector.select(wait);
+            selector.select(timeoutMs);
         }
-        // copied, since a channel that is closed and opened in between needs the selector
+        // copied, because deregisterClosed() selects again while these keys are processed
         List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
         selector.selectedKeys().clear();
-        if (decisions.size() < MOST_WAITING) {
-            read(ready);
+        if (decisions.size() < MAX_WAITING_DECISIONS) {
+            readReady(ready);
         }
         for (SelectionKey key : ready) {
             if (key.isValid() && key.attachment() instanceof Listener listener) {
                 listener.accept();
             }
         }
-        expire();
-        decide();
+        queueExpiredTimers();
+        runDeferred();
         for (SelectionKey key : ready) {
             if (key.isValid() && key.attachment() instanceof Connection c && key.isWritable()) {
-                handle(c, c::writable);
+                runForConnection(c, c::handleWritable);
             }
         }
     }
 
-    private long waitMs() {
-        if (!mailbox.isEmpty() || !ends.isEmpty() || !decisions.isEmpty()) {
+    private long selectTimeoutMs() {
+        if (!mailbox.isEmpty() || !terminations.isEmpty() || !decisions.isEmpty()) {
             return 0;
         }
-        Scheduled next = timers.peek();
+        ScheduledTimer next = timers.peek();
         if (next == null) {
             return IDLE_SELECT_MS;
         }
-        long nanos = next.dueNanos - (clock.nanos() - originNanos);
-        return Math.max(0, Math.min(IDLE_SELECT_MS, (nanos + 999_999) / 1_000_000));
+        long untilDueNanos = next.dueNanos - (clock.nanos() - originNanos);
+        return Math.max(0, Math.min(IDLE_SELECT_MS, (untilDueNanos + 999_999) / 1_000_000));
     }
 
-    private void read(List<SelectionKey> ready) {
-        List<Connection> connections = new ArrayList<>(ready.size());
+    private void readReady(List<SelectionKey> ready) {
+        List<Connection> readyConnections = new ArrayList<>(ready.size());
         for (SelectionKey key : ready) {
             if (key.attachment() instanceof Connection c) {
-                connections.add(c);
+                readyConnections.add(c);
             } else if (key.isValid() && key.attachment() instanceof Datagrams datagrams) {
-                guarded(() -> datagrams.readable(readBuffer));
+                runGuarded(() -> datagrams.handleReadable(readBuffer));
             }
         }
         if (readOrder != null) {
-            connections.sort(readOrder);
+            readyConnections.sort(readOrder);
         }
-        for (Connection c : connections) {
+        for (Connection c : readyConnections) {
             if (c.isClosed() || !c.key.isValid()) {
                 continue;
             }
-            // a look at the selector in between may leave a key behind as ready to connect that has long stood
-            if (c.key.isConnectable() && !c.isOpen()) {
+            // a select call during this turn may leave the key of an established connection marked as connectable
+            if (c.key.isConnectable() && !c.isEstablished()) {
                 c.key.interestOps(0);
-                handle(c, c::connectable);
-            } else if (c.isOpen()) {
-                handle(c, () -> {
-                    // to the end: a close may lie behind what is asked
-                    for (int i = 0; i < READS_PER_TURN && c.readable(readBuffer); i++) {
+                runForConnection(c, c::handleConnectable);
+            } else if (c.isEstablished()) {
+                runForConnection(c, () -> {
+                    // read on, because the peer's close may follow its request
+                    for (int i = 0; i < READS_PER_TURN && c.handleReadable(readBuffer); i++) {
                         counters.reads++;
                     }
                 });
@@ -393,92 +420,102 @@
         }
     }
 
-    /** Timers that fell due come after what was read before. */
-    private void expire() {
-        long now = clock.nanos() - originNanos;
-        Scheduled timer;
-        while ((timer = timers.peek()) != null && timer.dueNanos <= now) {
+    /** Appends the expired timers to the decisions, behind those that were deferred while reading. */
+    private void queueExpiredTimers() {
+        long nowNanos = clock.nanos() - originNanos;
+        ScheduledTimer timer;
+        while ((timer = timers.peek()) != null && timer.dueNanos <= nowNanos) {
             timers.poll();
-            if (timer.state == Scheduled.CANCELLED) {
+            if (timer.state == ScheduledTimer.CANCELLED) {
                 cancelledTimers--;
             } else {
-                timer.state = Scheduled.EXPIRED;
+                timer.state = ScheduledTimer.EXPIRED;
                 decisions.addLast(timer);
             }
         }
     }
 
-    private void decide() {
-        long until = clock.nanos() + DECIDE_NANOS;
-        while (!stopping && !(ends.isEmpty() && decisions.isEmpty())) {
-            guarded(ends.isEmpty() ? decisions.pollFirst() : ends.pollFirst());
-            if (clock.nanos() - until > 0) {
+    private void runDeferred() {
+        long deadlineNanos = clock.nanos() + DEFERRED_TASKS_BUDGET_NANOS;
+        while (!stopping && !(terminations.isEmpty() && decisions.isEmpty())) {
+            runGuarded(terminations.isEmpty() ? decisions.pollFirst() : terminations.pollFirst());
+            if (clock.nanos() - deadlineNanos > 0) {
                 return;
             }
         }
     }
 
-    private void guarded(Runnable body) {
+    private void runGuarded(Runnable task) {
         try {
-            body.run();
+            task.run();
         } catch (RuntimeException e) {
             counters.handlerErrors++;
-            LOG.error("loop {}: a message or timer failed", name, e);
+            LOG.error("event loop {}: a message, timer or deferred task failed", name, e);
         }
     }
 
-    private void handle(Connection c, Runnable body) {
+    private void runForConnection(Connection connection, Runnable task) {
         try {
-            body.run();
+            task.run();
         } catch (RuntimeException e) {
             counters.handlerErrors++;
-            LOG.error("loop {}: handling {} failed; it is closed", name, c.name(), e);
-            c.fail(new IOException("internal error", e));
+            LOG.error(
+                    "event loop {}: the handler of connection {} failed; closing the connection",
+                    name,
+                    connection.name(),
+                    e);
+            connection.fail(new IOException("internal error", e));
         }
     }
 
-    /** Runs something, on the loop's thread, once the loop has ended, for whatever reason. */
-    public void whenEnded(Runnable body) {
-        ended.thenRun(body);
+    /**
+     * Runs {@code task} on the loop's thread once the loop has ended for any reason. If the loop has already ended, the
+     * task runs at once on the calling thread.
+     */
+    public void whenEnded(Runnable task) {
+        termination.thenRun(task);
     }
 
-    /** Ends the loop as a killed process would: all sockets reset, nobody told here. Waits until it is over. */
+    /**
+     * Ends the loop as the kill of its process would. All connections are reset and no handler is called. Waits until
+     * the loop has ended, unless called on its thread.
+     */
     public void kill() {
         killed = true;
         close();
     }
 
-    /** Ends the loop and closes what is open. Waits until it is over, unless called on the loop. */
+    /** Ends the loop and closes its sockets. Waits until the loop has ended, unless called on its thread. */
     @Override
     public void close() {
         stopping = true;
         selector.wakeup();
         if (thread == null) {
-            ended.complete(null);
+            termination.complete(null);
         }
         if (!inLoop()) {
-            ended.join();
+            termination.join();
         }
     }
 
-    /** One listening socket. */
+    /** A listening TCP socket. */
     public final class Listener {
-        private final ServerSocketChannel server;
-        private final String what;
+        private final ServerSocketChannel serverChannel;
+        private final String connectionName;
         private final Acceptor acceptor;
         private SelectionKey key;
-        private boolean caughtUp = true;
+        private boolean acceptQueueDrained = true;
 
-        private Listener(ServerSocketChannel server, String what, Acceptor acceptor) {
-            this.server = server;
-            this.what = what;
+        private Listener(ServerSocketChannel serverChannel, String connectionName, Acceptor acceptor) {
+            this.serverChannel = serverChannel;
+            this.connectionName = connectionName;
             this.acceptor = acceptor;
         }
 
-        /** The address bound. */
+        /** Returns the local address that the socket is bound to. */
         public InetSocketAddress address() {
             try {
-                return (InetSocketAddress) server.getLocalAddress();
+                return (InetSocketAddress) serverChannel.getLocalAddress();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -487,16 +524,17 @@
         private void accept() {
             for (int i = 0; i < limits.acceptsPerTurn(); i++) {
                 SocketChannel channel;
-                releaseClosed();
+                deregisterClosed();
                 try {
-                    channel = server.accept();
-                    caughtUp = channel == null;
-                    if (caughtUp) {
+                    channel = serverChannel.accept();
+                    acceptQueueDrained = channel == null;
+                    if (acceptQueueDrained) {
                         return;
                     }
                     channel.configureBlocking(false);
                 } catch (IOException e) {
-                    // no descriptor left, or the peer is gone: the others must not notice, nor the loop spin on it
+                    // no file descriptor is available or the peer has gone; pause accepting, so that other
+                    // connections are served and the loop does not spin
                     counters.acceptErrors++;
                     key.interestOps(0);
                     schedule(ACCEPT_PAUSE_MS, () -> {
@@ -507,35 +545,36 @@
                     return;
                 }
                 counters.accepted++;
-                Connection c = new Connection(EventLoop.this, channel, what, true, NOBODY);
-                connections.add(c);
-                Connection.Handler owner = acceptor.accept(c);
-                if (owner == null) {
-                    c.shut(false);
+                Connection connection =
+                        new Connection(EventLoop.this, channel, connectionName, true, DISCARDING_HANDLER);
+                connections.add(connection);
+                Connection.Handler handler = acceptor.accept(connection);
+                if (handler == null) {
+                    connection.closeSocket(false);
                     continue;
                 }
-                c.handler(owner);
+                connection.handler(handler);
                 try {
-                    c.key = channel.register(selector, SelectionKey.OP_READ, c);
+                    connection.key = channel.register(selector, SelectionKey.OP_READ, connection);
                 } catch (IOException e) {
-                    c.fail(e);
+                    connection.fail(e);
                     continue;
                 }
-                c.opened();
+                connection.completeOpen();
             }
         }
 
-        /** Whether all connections that came by the last turn have been accepted. */
+        /** Returns whether the last turn accepted all connections that were waiting. */
         public boolean caughtUp() {
-            return caughtUp;
+            return acceptQueueDrained;
         }
 
-        /** Stops listening; connections stay. */
+        /** Stops listening; accepted connections stay open. */
         public void close() {
             key.cancel();
             try {
-                server.close();
-                // the port is free once the selector lets go of the key
+                serverChannel.close();
+                // the port is released only when the selector has removed the key
                 selector.selectNow();
             } catch (IOException e) {
                 counters.closeErrors++;
@@ -543,36 +582,37 @@
         }
     }
 
-    private static final Connection.Handler NOBODY = (c, bytes) -> bytes.position(bytes.limit());
+    private static final Connection.Handler DISCARDING_HANDLER = (c, bytes) -> bytes.position(bytes.limit());
 
-    /** Closes all connections whose name is {@code what}, each with a reset. To be called on the loop. */
-    public void resetAll(String what) {
-        List<Connection> all =
-                connections.stream().filter(c -> c.name().equals(what)).toList();
-        for (Connection c : all) {
-            c.reset(new IOException("reset from here"));
+    /** Resets all connections with the name {@code connectionName}. Must be called on the loop's thread. */
+    public void resetAll(String connectionName) {
+        List<Connection> matching = connections.stream()
+                .filter(c -> c.name().equals(connectionName))
+                .toList();
+        for (Connection c : matching) {
+            c.reset(new IOException("reset locally"));
         }
     }
 
-    private final class Scheduled implements Timer, Runnable, Comparable<Scheduled> {
+    private final class ScheduledTimer implements Timer, Runnable, Comparable<ScheduledTimer> {
         static final int WAITING = 0;
         static final int EXPIRED = 1;
         static final int CANCELLED = 2;
         private final long dueNanos;
-        private final long number;
-        private Runnable body;
+        private final long sequence;
+        private Runnable task;
         private int state = WAITING;
 
-        Scheduled(long dueNanos, long number, Runnable body) {
+        ScheduledTimer(long dueNanos, long sequence, Runnable task) {
             this.dueNanos = dueNanos;
-            this.number = number;
-            this.body = body;
+            this.sequence = sequence;
+            this.task = task;
         }
 
         @Override
         public void cancel() {
-            body = null;
-            if (state == WAITING && ++cancelledTimers > KEPT_CANCELLED && cancelledTimers > timers.size() / 2) {
+            task = null;
+            if (state == WAITING && ++cancelledTimers > MAX_CANCELLED_TIMERS && cancelledTimers > timers.size() / 2) {
                 state = CANCELLED;
                 timers.removeIf(timer -> timer.state == CANCELLED);
                 cancelledTimers = 0;
@@ -584,15 +624,15 @@
         public void run() {
             if (state == EXPIRED) {
                 counters.timersFired++;
-                body.run();
+                task.run();
             }
         }
 
         @Override
-        public int compareTo(Scheduled other) {
+        public int compareTo(ScheduledTimer other) {
             return dueNanos != other.dueNanos
                     ? Long.compare(dueNanos, other.dueNanos)
-                    : Long.compare(number, other.number);
+                    : Long.compare(sequence, other.sequence);
         }
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/net/LoopCounters.java
+++ b/protocols/src/main/java/calicovale/protocols/net/LoopCounters.java
@@ -1,37 +1,40 @@
 package calicovale.protocols.net;
 
-/** What one loop has counted since its start; written by its thread only, read by others as an estimate. */
+/**
+ * Counters of one event loop since its start. Only the loop's thread writes them, other than
+ * {@link #mailboxOverflows}; other threads may read stale values.
+ */
 public final class LoopCounters {
     /** Connections accepted. */
     public long accepted;
-    /** Connections asked for. */
+    /** Outgoing connections requested. */
     public long connects;
-    /** Connections that could not be tried, such as for lack of descriptors. */
+    /** Outgoing connections that failed before the connect call returned, such as for lack of file descriptors. */
     public long connectErrors;
-    /** Reads that brought something. */
+    /** Read calls that returned data. */
     public long reads;
     /** Bytes read. */
     public long bytesRead;
     /** Bytes written. */
     public long bytesWritten;
-    /** Connections reset because too much waited for a slow peer. */
+    /** Connections reset because the bytes waiting for a slow peer exceeded {@link LoopLimits#pendingBytes()}. */
     public long pendingOverflows;
     /** Datagrams received. */
     public long datagramsReceived;
     /** Datagrams sent. */
     public long datagramsSent;
-    /** Datagrams that the system had no room for. */
+    /** Datagrams dropped because the socket's send buffer was full. */
     public long datagramsDropped;
-    /** Failures of a datagram call. */
+    /** Failed send and receive calls on datagram sockets. */
     public long datagramErrors;
-    /** Failures of an accept call, such as a lack of descriptors. */
+    /** Failed accept calls, such as for lack of file descriptors. */
     public long acceptErrors;
-    /** Failures of a close call. */
+    /** Failed close calls. */
     public long closeErrors;
-    /** Failures in an owner's code; the connection or timer concerned was dropped. */
+    /** Exceptions thrown by handlers, messages and timers; the connection or timer concerned was dropped. */
     public long handlerErrors;
-    /** Timers that fired. */
+    /** Timers whose task ran. */
     public long timersFired;
-    /** Messages from other threads that were refused, since the mailbox was full. */
+    /** Messages rejected because the mailbox was full; also written by other threads. */
     public volatile long mailboxOverflows;
 }
--- a/protocols/src/main/java/calicovale/protocols/net/LoopLimits.java
+++ b/protocols/src/main/java/calicovale/protocols/net/LoopLimits.java
@@ -1,18 +1,18 @@
 package calicovale.protocols.net;
 
 /**
- * The bounds of one loop.
+ * Limits of one event loop.
  *
- * @param mailbox messages from other threads that may wait; a power of two
- * @param readBytes bytes read from one connection in one turn
- * @param pendingBytes bytes that may wait to be written to one peer
- * @param backlog connections that may wait to be accepted
- * @param acceptsPerTurn connections accepted in one turn of the loop
- * @param datagramsPerTurn datagrams taken of one socket in one turn of the loop
+ * @param mailbox maximum number of queued messages from other threads; a power of two
+ * @param readBytes size in bytes of the buffer for one read call
+ * @param pendingBytes maximum number of bytes waiting to be written to one peer
+ * @param backlog maximum number of connections waiting to be accepted on one listening socket
+ * @param acceptsPerTurn maximum number of connections accepted on one listening socket in one turn of the loop
+ * @param datagramsPerTurn maximum number of datagrams received on one socket in one turn of the loop
  */
 public record LoopLimits(
         int mailbox, int readBytes, int pendingBytes, int backlog, int acceptsPerTurn, int datagramsPerTurn) {
 
-    /** Bounds that suit a process with some thousands of peers. */
+    /** Limits for a process with some thousands of peers. */
     public static final LoopLimits DEFAULT = new LoopLimits(1 << 14, 1 << 16, 1 << 20, 1024, 64, 64);
 }
--- a/protocols/src/main/java/calicovale/protocols/net/SkewedClock.java
+++ b/protocols/src/main/java/calicovale/protocols/net/SkewedClock.java
@@ -1,17 +1,17 @@
 package calicovale.protocols.net;
 
-/** Owns the error of one process's wall clock: an offset to a base clock that may be stepped while it runs. */
+/** A clock whose wall time differs from a base clock by an offset in ms, which can be changed while it is in use. */
 public final class SkewedClock implements Clock {
     private final Clock base;
     private volatile double offsetMs;
 
-    /** Starts {@code offsetMs} ahead of {@code base}. */
+    /** Creates a clock whose wall time is {@code offsetMs} ahead of {@code base}. */
     public SkewedClock(Clock base, double offsetMs) {
         this.base = base;
         this.offsetMs = offsetMs;
     }
 
-    /** Steps the wall reading by {@code ms}; the monotonic reading is untouched, as on a real machine. */
+    /** Steps the wall time by {@code ms}. The monotonic time does not change, as on a real machine. */
     public void step(double ms) {
         offsetMs += ms;
     }
--- a/protocols/src/main/java/calicovale/protocols/net/Tap.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Tap.java
@@ -3,26 +3,26 @@
 import java.nio.ByteBuffer;
 
 /**
- * Sees what crosses the sockets of a loop, after the system call that moved it; called on the loop's thread. The buffers
- * are views that hold only for the call.
+ * Observer of the traffic on a loop's connections. It is called on the loop's thread after the system call that moved
+ * the bytes. The buffers are views that are valid only during the call.
  */
 public interface Tap {
 
-    /** Sees nothing. */
+    /** Ignores all traffic. */
     Tap NONE = new Tap() {};
 
-    /** A connection was accepted or established. */
-    default void opened(Connection c) {}
+    /** Called when a connection has been accepted or established. */
+    default void opened(Connection connection) {}
 
-    /** Bytes were read. */
-    default void read(Connection c, ByteBuffer bytes) {}
+    /** Called when bytes have been read. */
+    default void read(Connection connection, ByteBuffer bytes) {}
 
-    /** Bytes were written. */
-    default void wrote(Connection c, ByteBuffer bytes) {}
+    /** Called when bytes have been written. */
+    default void wrote(Connection connection, ByteBuffer bytes) {}
 
-    /** The peer will send no more. */
-    default void ended(Connection c) {}
+    /** Called when the peer has closed its sending side (half-close). */
+    default void ended(Connection connection) {}
 
-    /** The connection is closed here, whoever closed it. */
-    default void closed(Connection c) {}
+    /** Called when the connection has been closed locally, whichever side caused it. */
+    default void closed(Connection connection) {}
 }
--- a/protocols/src/main/java/calicovale/protocols/net/Timer.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Timer.java
@@ -1,8 +1,8 @@
 package calicovale.protocols.net;
 
-/** One pending call of a loop. */
+/** A task that an event loop runs once after a delay. */
 public interface Timer {
 
-    /** Calls it off; without effect once it ran. To be called on the loop's thread. */
+    /** Cancels the task; does nothing if it has already run. Must be called on the loop's thread. */
     void cancel();
 }
--- a/protocols/src/main/java/calicovale/protocols/net/package-info.java
+++ b/protocols/src/main/java/calicovale/protocols/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns sockets: one selector loop a thread, its timers, and connections with bounded buffers. It must not know what the
- * bytes mean, nor who sends them.
+ * Non-blocking sockets: single-threaded event loops around a selector, with timers and connections that have bounded
+ * write buffers. This package must not depend on the protocols spoken on the connections or on the kinds of peers.
  */
 package calicovale.protocols.net;
--- a/protocols/src/test/java/calicovale/protocols/net/EventLoopTest.java
+++ b/protocols/src/test/java/calicovale/protocols/net/EventLoopTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The loop's order of a turn, its timers and its descriptors. */
+/** Tests the order of the phases of a turn, timers, and the use of file descriptors. */
 @Timeout(30)
 class EventLoopTest {
-    private static final Connection.Handler DEAF = (c, bytes) -> bytes.position(bytes.limit());
+    private static final Connection.Handler DISCARDING_HANDLER = (c, bytes) -> bytes.position(bytes.limit());
 
-    private static int descriptors() {
+    private static int openDescriptorCount() {
         String[] open = new File("/proc/self/fd").list();
         return open == null ? 0 : open.length;
     }
 
     @Test
-    void whatIsPutOffComesWithEndsFirstAndTimersBehindWhatWasRead() {
+    void deferredTasksRunTerminationsFirstAndExpiredTimersLast() {
         List<String> order = new ArrayList<>();
         CompletableFuture<Void> done = new CompletableFuture<>();
         try (EventLoop loop = new EventLoop("test", Clock.system()).start()) {
@@ -38,7 +38,7 @@
                 loop.schedule(0, () -> order.add("second timer")).cancel();
                 loop.defer(EventLoop.Phase.DECISIONS, () -> {
                     order.add("decision");
-                    loop.defer(EventLoop.Phase.ENDS, () -> order.add("end of a decision"));
+                    loop.defer(EventLoop.Phase.ENDS, () -> order.add("end deferred by a decision"));
                 });
                 loop.defer(EventLoop.Phase.DECISIONS, () -> order.add("next decision"));
                 loop.defer(EventLoop.Phase.ENDS, () -> order.add("end"));
@@ -46,11 +46,11 @@
             });
             done.join();
         }
-        assertEquals(List.of("end", "decision", "end of a decision", "next decision", "timer"), order);
+        assertEquals(List.of("end", "decision", "end deferred by a decision", "next decision", "timer"), order);
     }
 
     @Test
-    void timersThatAreCalledOffAreNotKept() {
+    void cancelledTimersDoNotAccumulate() {
         try (EventLoop loop = new EventLoop("test", Clock.system()).start()) {
             int kept = loop.call(() -> {
                 for (int i = 0; i < 100_000; i++) {
@@ -58,50 +58,51 @@
                 }
                 return loop.timersKept();
             });
-            assertTrue(kept <= 128, kept + " timers are kept");
+            assertTrue(kept <= 128, kept + " timers are still queued");
         }
     }
 
     @Test
-    void aClosedConnectionsDescriptorIsFreeBeforeAnotherIsOpened() throws Exception {
+    void closedConnectionReleasesItsDescriptorBeforeTheNextOpens() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
                 EventLoop loop = new EventLoop("test", Clock.system()).start()) {
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
             loop.call(() -> 0);
-            int before = descriptors();
-            int most = loop.call(() -> {
-                int seen = 0;
+            int before = openDescriptorCount();
+            int peak = loop.call(() -> {
+                int highest = 0;
                 for (int i = 0; i < 200; i++) {
-                    loop.connect(at, "test", 1000, DEAF).close();
-                    seen = Math.max(seen, descriptors());
+                    loop.connect(address, "test", 1000, DISCARDING_HANDLER).close();
+                    highest = Math.max(highest, openDescriptorCount());
                 }
-                return seen;
+                return highest;
             });
-            assertTrue(most - before < 8, most - before + " descriptors more in one turn");
+            assertTrue(peak - before < 8, peak - before + " additional descriptors in one turn");
         }
     }
 
     @Test
-    void aConnectionThatStandsIsToldOnceThoughOthersAreOpenedInItsTurn() throws Exception {
+    void onOpenIsCalledOnceWhenOtherConnectionsOpenInTheSameTurn() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
                 EventLoop loop = new EventLoop("test", Clock.system()).start()) {
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
             int[] opened = new int[20];
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.execute(() -> {
                 for (int i = 0; i < opened.length; i++) {
-                    int n = i;
-                    loop.connect(at, "test", 1000, new Connection.Handler() {
+                    int index = i;
+                    loop.connect(address, "test", 1000, new Connection.Handler() {
                         @Override
-                        public void onOpen(Connection c) {
-                            opened[n]++;
-                            // one is closed and one opened while the keys of this turn are walked
-                            loop.connect(at, "other", 1000, DEAF).close();
-                            loop.connect(at, "other", 1000, DEAF);
+                        public void onOpen(Connection connection) {
+                            opened[index]++;
+                            // closes one connection and opens another while the ready keys of this turn are processed
+                            loop.connect(address, "other", 1000, DISCARDING_HANDLER)
+                                    .close();
+                            loop.connect(address, "other", 1000, DISCARDING_HANDLER);
                         }
 
                         @Override
-                        public void onBytes(Connection c, ByteBuffer bytes) {
+                        public void onBytes(Connection connection, ByteBuffer bytes) {
                             bytes.position(bytes.limit());
                         }
                     });
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void aConnectWithNoDescriptorLeftIsToldLaterAndTheNextOneStands() throws Exception {
+    void connectWithoutFreeDescriptorFailsAsynchronouslyAndALaterConnectSucceeds() throws Exception {
         Process process = new ProcessBuilder(
                         "/bin/sh",
                         "-c",
@@ -126,41 +127,41 @@
                         "-XX:+UseSerialGC",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        NoDescriptorLeft.class.getName())
+                        DescriptorExhaustionMain.class.getName())
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(said.contains("failed, stands, never tried, stands"), said);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(output.contains("failed, established, not attempted, established"), output);
     }
 
     @Test
-    void aRefusedAndAnUnfinishedConnectAreToldLaterAndNeverDuringTheCall() throws Exception {
-        int free;
-        try (ServerSocket any = new ServerSocket(0)) {
-            free = any.getLocalPort();
+    void refusedConnectIsReportedAfterConnectReturns() throws Exception {
+        int unusedPort;
+        try (ServerSocket probe = new ServerSocket(0)) {
+            unusedPort = probe.getLocalPort();
         }
-        CompletableFuture<IOException> told = new CompletableFuture<>();
+        CompletableFuture<IOException> closeCause = new CompletableFuture<>();
         try (EventLoop loop = new EventLoop("test", Clock.system()).start()) {
-            boolean during = loop.call(() -> {
+            boolean closedDuringCall = loop.call(() -> {
                 loop.connect(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), free),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), unusedPort),
                         "test",
                         1000,
                         new Connection.Handler() {
                             @Override
-                            public void onBytes(Connection c, ByteBuffer bytes) {
+                            public void onBytes(Connection connection, ByteBuffer bytes) {
                                 bytes.position(bytes.limit());
                             }
 
                             @Override
-                            public void onClosed(Connection c, IOException cause) {
-                                told.complete(cause);
+                            public void onClosed(Connection connection, IOException cause) {
+                                closeCause.complete(cause);
                             }
                         });
-                return told.isDone();
+                return closeCause.isDone();
             });
-            assertEquals(false, during);
-            ConnectFailedException failed = (ConnectFailedException) told.get(20, TimeUnit.SECONDS);
+            assertEquals(false, closedDuringCall);
+            ConnectFailedException failed = (ConnectFailedException) closeCause.get(20, TimeUnit.SECONDS);
             assertEquals(false, failed.local());
             assertEquals(false, failed.timedOut());
         }
