--- a/protocols/src/main/java/calicovale/protocols/http/BodyStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/BodyStream.java
@@ -3,58 +3,61 @@
 import calicovale.protocols.net.Connection;
 import java.nio.ByteBuffer;
 
-/** Owns the body of an answer that is written part by part. */
+/** Body of a response that is written in parts. All methods must be called on the loop's thread. */
 public final class BodyStream {
-    private final HttpServer.Peer peer;
+    private final HttpServer.ClientConnection client;
     private final Exchange exchange;
     private final boolean chunked;
     private boolean ended;
     private Runnable onDrained;
 
-    BodyStream(HttpServer.Peer peer, Exchange exchange, boolean chunked) {
-        this.peer = peer;
+    BodyStream(HttpServer.ClientConnection client, Exchange exchange, boolean chunked) {
+        this.client = client;
         this.exchange = exchange;
         this.chunked = chunked;
     }
 
-    /** Writes a part; false if the peer has left or its bound on waiting bytes was hit. */
+    /**
+     * Writes a part. Returns false if the body has ended, the client has closed the connection, or the limit on
+     * waiting bytes was exceeded.
+     */
     public boolean write(byte[] part) {
         if (ended || exchange.gone()) {
             return false;
         }
-        return part.length == 0 || peer.connection().write(chunked ? HttpWriter.chunk(part) : ByteBuffer.wrap(part));
+        return part.length == 0 || client.connection().write(chunked ? HttpWriter.chunk(part) : ByteBuffer.wrap(part));
     }
 
-    /** Ends the body; the connection may then carry another exchange. */
+    /** Ends the body; the connection can then be used for another exchange. */
     public void end() {
         if (ended || exchange.gone()) {
             return;
         }
         ended = true;
         if (chunked) {
-            peer.connection().write(HttpWriter.lastChunk());
+            client.connection().write(HttpWriter.lastChunk());
         }
-        peer.streamEnded();
+        client.finishStream();
     }
 
-    /** Bytes that wait for the peer. */
+    /** Returns the number of bytes waiting to be written to the client. */
     public int pendingBytes() {
-        return peer.connection().pendingBytes();
+        return client.connection().pendingBytes();
     }
 
-    /** Calls {@code body} each time all that waited has been written. */
-    public void onDrained(Runnable body) {
-        onDrained = body;
+    /** Sets an action that runs each time all queued bytes have been written. */
+    public void onDrained(Runnable action) {
+        onDrained = action;
     }
 
-    void drained() {
+    void notifyDrained() {
         if (onDrained != null) {
             onDrained.run();
         }
     }
 
-    /** The connection. */
+    /** Returns the connection that carries the body. */
     public Connection connection() {
-        return peer.connection();
+        return client.connection();
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/http/Cmcd.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Cmcd.java
@@ -4,37 +4,40 @@
 import java.util.Map;
 
 /**
- * Owns the reading of Common Media Client Data (CTA-5004) from a request: its four headers, or the query argument
- * {@code CMCD}. What is malformed is left out, since players' data must never fail a request.
+ * Parser of Common Media Client Data (CTA-5004) in a request: its four headers and the query parameter {@code CMCD}.
+ * Malformed data is skipped, because it must never make a request fail.
  */
 public final class Cmcd {
     private static final String[] HEADERS = {"CMCD-Request", "CMCD-Object", "CMCD-Status", "CMCD-Session"};
-    /** Most characters that are read of one field. */
-    private static final int MOST = 2000;
+    /** Maximum number of characters parsed of one header or parameter. */
+    private static final int MAX_FIELD_CHARACTERS = 2000;
 
     private Cmcd() {}
 
-    /** All keys with their values; strings without quotes, a key without a value as {@code true}. */
+    /**
+     * Returns all keys with their values. Strings are returned without quotes; a key without a value has the value
+     * {@code true}.
+     */
     public static Map<String, String> of(HttpHead head) {
         Map<String, String> result = new LinkedHashMap<>();
         String query = head.query("CMCD");
         if (query != null) {
-            read(query, result);
+            readPairs(query, result);
         }
         for (String name : HEADERS) {
             String value = head.headers().get(name);
             if (value != null) {
-                read(value, result);
+                readPairs(value, result);
             }
         }
         return result;
     }
 
-    private static void read(String text, Map<String, String> into) {
-        int at = 0;
-        int end = Math.min(text.length(), MOST);
-        while (at < end) {
-            int stop = at;
+    private static void readPairs(String text, Map<String, String> result) {
+        int start = 0;
+        int end = Math.min(text.length(), MAX_FIELD_CHARACTERS);
+        while (start < end) {
+            int stop = start;
             boolean quoted = false;
             while (stop < end && (quoted || text.charAt(stop) != ',')) {
                 if (text.charAt(stop) == '\\' && quoted) {
@@ -45,24 +48,24 @@
                 stop++;
             }
             stop = Math.min(stop, end);
-            pair(text.substring(at, stop).strip(), quoted, into);
-            at = stop + 1;
+            addPair(text.substring(start, stop).strip(), quoted, result);
+            start = stop + 1;
         }
     }
 
-    private static void pair(String pair, boolean open, Map<String, String> into) {
-        int eq = pair.indexOf('=');
-        String key = eq < 0 ? pair : pair.substring(0, eq);
-        if (open || !key.matches("[a-z][A-Za-z0-9.-]{0,63}")) {
+    private static void addPair(String pair, boolean unterminatedQuote, Map<String, String> result) {
+        int equalsSign = pair.indexOf('=');
+        String key = equalsSign < 0 ? pair : pair.substring(0, equalsSign);
+        if (unterminatedQuote || !key.matches("[a-z][A-Za-z0-9.-]{0,63}")) {
             return;
         }
-        String value = eq < 0 ? "true" : pair.substring(eq + 1);
+        String value = equalsSign < 0 ? "true" : pair.substring(equalsSign + 1);
         if (value.startsWith("\"")) {
             if (value.length() < 2 || !value.endsWith("\"")) {
                 return;
             }
             value = value.substring(1, value.length() - 1).replace("\\\"", "\"").replace("\\\\", "\\");
         }
-        into.put(key, value);
+        result.put(key, value);
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
+++ b/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
@@ -4,100 +4,102 @@
 import java.util.Set;
 
 /**
- * Owns the answers to pages of other origins (CORS, Fetch standard 3.2): which origins may read what this server answers, its
- * errors too, and what a preflight is told. An origin that is not named gets nothing, and hears no reason.
+ * Cross-origin resource sharing (CORS, Fetch standard 3.2): which origins may read this server's responses, including
+ * error responses, and how preflight requests are answered. Other origins get no access headers and no reason.
  */
 public final class CrossOrigin {
-    /** Nobody is let in: no header is added and a preflight is a request like any other. */
+    /** Allows no origin: no header is added, and preflights are handled like any other request. */
     public static final CrossOrigin NOBODY = new CrossOrigin(Set.of(), false, 0, List.of(), List.of(), List.of());
-    /** Any origin, where it stands alone in the settings. */
+    /** Wildcard for any origin; it must be the only origin in the settings. */
     public static final String ANY = "*";
 
     private final Set<String> origins;
     private final boolean credentials;
     private final String maxAgeS;
-    private final String exposed;
-    private final String requested;
-    private final String methods;
+    private final String exposedHeaders;
+    private final String allowedHeaders;
+    private final String allowedMethods;
 
     /**
-     * What is permitted.
+     * Creates a policy.
      *
-     * @param origins as browsers send them ({@code https://host[:port]}), or {@link #ANY} alone; empty: nobody
-     * @param credentials cookies may go along: not with {@link #ANY}
-     * @param maxAgeS for which a browser may remember a preflight's answer
-     * @param exposed headers of answers that a page may read
-     * @param requested headers that a page may send
-     * @param methods that a page may use
+     * @param origins allowed origins as browsers send them ({@code https://host[:port]}), or {@link #ANY} alone;
+     *     empty for none
+     * @param credentials whether requests may carry cookies; must be false with {@link #ANY}
+     * @param maxAgeS time in s for which a browser may cache the response to a preflight
+     * @param exposedHeaders response headers that a page may read
+     * @param allowedHeaders request headers that a page may send
+     * @param allowedMethods methods that a page may use
+     * @throws IllegalArgumentException if {@link #ANY} is combined with other origins or with credentials
      */
     public CrossOrigin(
             Set<String> origins,
             boolean credentials,
             int maxAgeS,
-            List<String> exposed,
-            List<String> requested,
-            List<String> methods) {
+            List<String> exposedHeaders,
+            List<String> allowedHeaders,
+            List<String> allowedMethods) {
         if (origins.contains(ANY) && (credentials || origins.size() > 1)) {
-            throw new IllegalArgumentException("* stands alone and without credentials");
+            throw new IllegalArgumentException("origin * must be the only origin and excludes credentials");
         }
         this.origins = Set.copyOf(origins);
         this.credentials = credentials;
         this.maxAgeS = Integer.toString(maxAgeS);
-        this.exposed = String.join(", ", exposed);
-        this.requested = String.join(", ", requested);
-        this.methods = String.join(", ", methods);
+        this.exposedHeaders = String.join(", ", exposedHeaders);
+        this.allowedHeaders = String.join(", ", allowedHeaders);
+        this.allowedMethods = String.join(", ", allowedMethods);
     }
 
-    /** Whether anybody is let in. */
-    public boolean on() {
+    /** Returns whether any origin is allowed. */
+    public boolean isEnabled() {
         return !origins.isEmpty();
     }
 
-    /** The origin to be named in an answer; null: the request is of none that is let in. */
-    private String granted(HttpHead head) {
+    /** Returns the value of Access-Control-Allow-Origin, or null if the origin of the request is not allowed. */
+    private String allowedOrigin(HttpHead head) {
         if (origins.contains(ANY)) {
             return ANY;
         }
-        List<String> all = head == null ? List.of() : head.headers().all("Origin");
-        // two of them prove nothing; null is the origin of whoever hides his
-        return all.size() == 1 && origins.contains(all.get(0)) ? all.get(0) : null;
+        List<String> originHeaders = head == null ? List.of() : head.headers().all("Origin");
+        // several Origin fields are ambiguous; "null" is the origin of pages that hide theirs and is never in the list
+        return originHeaders.size() == 1 && origins.contains(originHeaders.get(0)) ? originHeaders.get(0) : null;
     }
 
-    /** Adds to an answer what its reader needs; {@code head} null: the request was not read. */
-    void addTo(Headers headers, HttpHead head) {
-        if (!on()) {
+    /** Adds the CORS headers to a response; {@code head} is null if the request's head was not received. */
+    void addResponseHeaders(Headers headers, HttpHead head) {
+        if (!isEnabled()) {
             return;
         }
         if (!origins.contains(ANY)) {
-            // also where nothing is granted: a cache must not give one origin what it kept for another
+            // also for origins that are not allowed, so that a cache does not serve one origin's response to another
             headers.add("Vary", "Origin");
         }
-        String origin = granted(head);
+        String origin = allowedOrigin(head);
         if (origin == null) {
             return;
         }
         headers.add("Access-Control-Allow-Origin", origin)
                 .add("Timing-Allow-Origin", origin)
-                .add("Access-Control-Expose-Headers", exposed);
+                .add("Access-Control-Expose-Headers", exposedHeaders);
         if (credentials) {
             headers.add("Access-Control-Allow-Credentials", "true");
         }
     }
 
-    /** Whether a request is a preflight that is answered here. */
-    boolean preflight(HttpHead head) {
-        return on()
+    /** Returns whether a request is a preflight that is to be answered with {@link #preflightHeaders}. */
+    boolean isPreflight(HttpHead head) {
+        return isEnabled()
                 && head.method().equals("OPTIONS")
                 && head.headers().get("Origin") != null
                 && head.headers().get("Access-Control-Request-Method") != null;
     }
 
-    /** What a preflight is told beside {@link #addTo}. */
+    /** Returns the headers of the response to a preflight, without those of {@link #addResponseHeaders}. */
     Headers preflightHeaders(HttpHead head) {
         Headers result = new Headers().add("Vary", "Access-Control-Request-Method, Access-Control-Request-Headers");
-        if (granted(head) != null) {
-            result.add("Access-Control-Allow-Methods", methods)
-                    .add("Access-Control-Allow-Headers", requested)
+        if (allowedOrigin(head) != null) {
+            result.add("Access-Control-Allow-Methods", allowedMethods)
+                    .add("Access-Control-Allow-Headers", allowedHeaders)
                     .add("Access-Control-Max-Age", maxAgeS);
         }
         return result;
--- a/protocols/src/main/java/calicovale/protocols/http/EventStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/EventStream.java
@@ -3,71 +3,71 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Owns the reading of one stream of server-sent events (HTML standard, 9.2), with a bound on an event's size. */
+/** Parser of a stream of server-sent events (HTML standard, 9.2), with a limit on the size of an event. */
 public final class EventStream {
 
-    /** Takes events. */
+    /** Receiver of parsed events. */
     public interface Sink {
-        /** One event; {@code type} is "message" where none was given. */
+        /** Called for each event; {@code type} is "message" if the event has none. */
         void event(String type, String data);
 
-        /** A comment, which peers send to show that they are there. */
+        /** Called for each comment line; peers send comments as keep-alive. */
         default void comment() {}
     }
 
-    private final int mostBytes;
+    private final int maxBytes;
     private final Sink sink;
     private byte[] line = new byte[256];
-    private int length;
-    private boolean skipLf;
+    private int lineLength;
+    private boolean skipNextLf;
     private String type = "";
     private final StringBuilder data = new StringBuilder();
     private boolean hasData;
 
-    /** {@code mostBytes} bounds a line and an event's data. */
-    public EventStream(int mostBytes, Sink sink) {
-        this.mostBytes = mostBytes;
+    /** Creates a parser; {@code maxBytes} is the maximum length of a line in bytes and of an event's data. */
+    public EventStream(int maxBytes, Sink sink) {
+        this.maxBytes = maxBytes;
         this.sink = sink;
     }
 
     /**
-     * Reads on.
+     * Parses the next bytes of the stream.
      *
-     * @throws HttpException if an event is larger than the bound
+     * @throws HttpException if a line or an event is longer than the limit
      */
     public void parse(ByteBuffer in) throws HttpException {
         while (in.hasRemaining()) {
-            byte b = in.get();
-            if (skipLf) {
-                skipLf = false;
-                if (b == '\n') {
+            byte next = in.get();
+            if (skipNextLf) {
+                skipNextLf = false;
+                if (next == '\n') {
                     continue;
                 }
             }
-            if (b == '\n' || b == '\r') {
-                skipLf = b == '\r';
-                String text = new String(line, 0, length, StandardCharsets.UTF_8);
-                length = 0;
-                line(text);
+            if (next == '\n' || next == '\r') {
+                skipNextLf = next == '\r';
+                String text = new String(line, 0, lineLength, StandardCharsets.UTF_8);
+                lineLength = 0;
+                parseLine(text);
             } else {
-                if (length >= mostBytes) {
-                    throw new HttpException(502, "an event's line of more than " + mostBytes + " bytes");
+                if (lineLength >= maxBytes) {
+                    throw new HttpException(502, "event line longer than " + maxBytes + " bytes");
                 }
-                if (length == line.length) {
-                    line = java.util.Arrays.copyOf(line, 2 * length);
+                if (lineLength == line.length) {
+                    line = java.util.Arrays.copyOf(line, 2 * lineLength);
                 }
-                line[length++] = b;
+                line[lineLength++] = next;
             }
         }
     }
 
-    private void line(String text) throws HttpException {
+    private void parseLine(String text) throws HttpException {
         if (text.isEmpty()) {
             if (hasData) {
-                String whole = data.toString();
-                String named = type.isEmpty() ? "message" : type;
+                String eventData = data.toString();
+                String eventType = type.isEmpty() ? "message" : type;
                 reset();
-                sink.event(named, whole);
+                sink.event(eventType, eventData);
             } else {
                 reset();
             }
@@ -86,8 +86,8 @@
         if (field.equals("event")) {
             type = value;
         } else if (field.equals("data")) {
-            if (data.length() + value.length() > mostBytes) {
-                throw new HttpException(502, "an event of more than " + mostBytes + " bytes");
+            if (data.length() + value.length() > maxBytes) {
+                throw new HttpException(502, "event longer than " + maxBytes + " bytes");
             }
             if (hasData) {
                 data.append('\n');
@@ -103,7 +103,7 @@
         hasData = false;
     }
 
-    /** One event as bytes. */
+    /** Returns an event in wire format. */
     public static byte[] event(String type, String data) {
         StringBuilder out = new StringBuilder("event: ").append(type).append('\n');
         for (String part : data.split("\n", -1)) {
@@ -112,7 +112,7 @@
         return out.append('\n').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A comment as bytes. */
+    /** Returns a comment in wire format, which is sent as keep-alive. */
     public static byte[] beat() {
         return ": \n\n".getBytes(StandardCharsets.UTF_8);
     }
--- a/protocols/src/main/java/calicovale/protocols/http/Exchange.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Exchange.java
@@ -2,129 +2,139 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Owns one request and its one answer, on the loop's thread; an answer after the peer has left is dropped. */
+/**
+ * A request and its response. A response after the client has closed the connection is dropped. All methods must be
+ * called on the loop's thread.
+ */
 public final class Exchange {
-    private static final byte[] NONE = new byte[0];
-    private final HttpServer.Peer peer;
+    private static final byte[] NO_CONTENT = new byte[0];
+    private final HttpServer.ClientConnection client;
     private final HttpHead head;
     private final byte[] body;
     private boolean answered;
-    private boolean gone;
-    private Runnable onGone;
+    private boolean peerClosed;
+    private Runnable onPeerClosed;
 
-    Exchange(HttpServer.Peer peer, HttpHead head, byte[] body) {
-        this.peer = peer;
+    Exchange(HttpServer.ClientConnection client, HttpHead head, byte[] body) {
+        this.client = client;
         this.head = head;
         this.body = body;
     }
 
-    /** The request's head. */
+    /** Returns the head of the request. */
     public HttpHead head() {
         return head;
     }
 
-    /** The request's body, whole. */
+    /** Returns the whole body of the request; empty if it has none. */
     public byte[] body() {
         return body;
     }
 
-    /** Whether an answer has been given, or begun. */
+    /** Returns whether the response has been sent or begun. */
     public boolean answered() {
         return answered;
     }
 
-    /** Whether the peer left before the answer. */
+    /** Returns whether the client closed the connection before the response was complete. */
     public boolean gone() {
-        return gone;
+        return peerClosed;
     }
 
-    /** The server's connection of this exchange, for owners that reset or watch it. */
+    /** Returns the connection of this exchange, for handlers that reset or observe it. */
     public calicovale.protocols.net.Connection connection() {
-        return peer.connection();
+        return client.connection();
     }
 
-    /** Calls {@code body} if the peer leaves before the answer, or before the end of a streamed one; now if it has. */
-    public void onGone(Runnable body) {
-        onGone = body;
-        if (gone) {
-            body.run();
+    /**
+     * Sets an action that runs if the client closes the connection before the response is complete. It runs at once if
+     * that has already happened.
+     */
+    public void onGone(Runnable action) {
+        onPeerClosed = action;
+        if (peerClosed) {
+            action.run();
         }
     }
 
-    void peerLeft() {
-        if (!gone) {
-            gone = true;
-            if (onGone != null) {
-                onGone.run();
+    void notifyPeerClosed() {
+        if (!peerClosed) {
+            peerClosed = true;
+            if (onPeerClosed != null) {
+                onPeerClosed.run();
             }
         }
     }
 
     /**
-     * Answers.
+     * Sends the response.
      *
-     * @return false if the peer has left; nothing was written
-     * @throws IllegalStateException if it was answered before
+     * @return false if the client has closed the connection and nothing was written, or if the write failed
+     * @throws IllegalStateException if a response has already been sent or begun
      */
     public boolean respond(int status, Headers headers, byte[] content) {
         begin();
-        return !gone && peer.respond(status, headers, content, head.method().equals("HEAD"));
+        return !peerClosed
+                && client.respond(status, headers, content, head.method().equals("HEAD"));
     }
 
-    /** Answers with text. */
+    /** Sends a response with text as UTF-8. */
     public boolean respond(int status, String type, String text) {
         return respond(status, new Headers().add("Content-Type", type), text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers without content. */
+    /** Sends a response without content. */
     public boolean respond(int status) {
-        return respond(status, new Headers(), NONE);
+        return respond(status, new Headers(), NO_CONTENT);
     }
 
-    /** Answers with problem details (RFC 9457); {@code more} is further JSON members, each led by a comma, or empty. */
-    public boolean problem(int status, Headers headers, String title, String detail, String more) {
+    /**
+     * Sends a response with problem details (RFC 9457). {@code detail} may be null. {@code moreMembers} is empty or has
+     * further JSON members, each preceded by a comma.
+     */
+    public boolean problem(int status, Headers headers, String title, String detail, String moreMembers) {
         String json = "{\"title\":" + quote(title) + ",\"status\":" + status
-                + (detail == null ? "" : ",\"detail\":" + quote(detail)) + more + "}";
+                + (detail == null ? "" : ",\"detail\":" + quote(detail)) + moreMembers + "}";
         return respond(
                 status, headers.add("Content-Type", "application/problem+json"), json.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers with problem details. */
+    /** Sends a response with problem details (RFC 9457). */
     public boolean problem(int status, String title, String detail) {
         return problem(status, new Headers(), title, detail, "");
     }
 
-    /** Begins an answer whose chunked body follows; null if the peer has left. */
+    /** Begins a response with a chunked body; returns null if the client has closed the connection. */
     public BodyStream stream(int status, Headers headers) {
         begin();
-        return gone ? null : peer.stream(this, status, headers, -1);
+        return peerClosed ? null : client.stream(this, status, headers, -1);
     }
 
-    /** Begins an answer whose body of a known length follows; null if the peer has left. */
+    /** Begins a response with a body of {@code length} bytes; returns null if the client has closed the connection. */
     public BodyStream stream(int status, Headers headers, long length) {
         begin();
-        return gone ? null : peer.stream(this, status, headers, length);
+        return peerClosed ? null : client.stream(this, status, headers, length);
     }
 
     private void begin() {
         if (answered) {
-            throw new IllegalStateException("answered before: " + head.method() + " " + head.target());
+            throw new IllegalStateException("response already sent or begun: " + head.method() + " " + head.target());
         }
         answered = true;
     }
 
-    /** A JSON string. */
+    /** Returns a text as a JSON string with quotes. */
     public static String quote(String text) {
-        StringBuilder out = new StringBuilder(text.length() + 2).append('"');
+        StringBuilder quoted = new StringBuilder(text.length() + 2).append('"');
         for (char c : text.toCharArray()) {
             if (c == '"' || c == '\\') {
-                out.append('\\').append(c);
+                quoted.append('\\').append(c);
             } else if (c < ' ') {
-                out.append(String.format("\\u%04x", (int) c));
+                quoted.append(String.format("\\u%04x", (int) c));
             } else {
-                out.append(c);
+                quoted.append(c);
             }
         }
-        return out.append('"').toString();
+        return quoted.append('"').toString();
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/http/Headers.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Headers.java
@@ -3,43 +3,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Owns the header fields of one message, in their order; names are matched without regard to case. */
+/** Header fields of one message in their order. Field names are compared without regard to case. */
 public final class Headers {
-    private final List<String> pairs = new ArrayList<>(16);
+    private final List<String> namesAndValues = new ArrayList<>(16);
 
-    /** Adds a field. */
+    /** Appends a field. */
     public Headers add(String name, String value) {
-        pairs.add(name);
-        pairs.add(value);
+        namesAndValues.add(name);
+        namesAndValues.add(value);
         return this;
     }
 
-    /** The first value of a field, or null. */
+    /** Returns the value of the first field with a name, or null. */
     public String get(String name) {
-        for (int i = 0; i < pairs.size(); i += 2) {
-            if (pairs.get(i).equalsIgnoreCase(name)) {
-                return pairs.get(i + 1);
+        for (int i = 0; i < namesAndValues.size(); i += 2) {
+            if (namesAndValues.get(i).equalsIgnoreCase(name)) {
+                return namesAndValues.get(i + 1);
             }
         }
         return null;
     }
 
-    /** All values of a field. */
+    /** Returns the values of all fields with a name, in order. */
     public List<String> all(String name) {
         List<String> result = new ArrayList<>();
-        for (int i = 0; i < pairs.size(); i += 2) {
-            if (pairs.get(i).equalsIgnoreCase(name)) {
-                result.add(pairs.get(i + 1));
+        for (int i = 0; i < namesAndValues.size(); i += 2) {
+            if (namesAndValues.get(i).equalsIgnoreCase(name)) {
+                result.add(namesAndValues.get(i + 1));
             }
         }
         return result;
     }
 
-    /** Whether a comma-separated field names a token, such as {@code close} in {@code Connection}. */
-    public boolean lists(String name, String token) {
-        for (int i = 0; i < pairs.size(); i += 2) {
-            if (pairs.get(i).equalsIgnoreCase(name)) {
-                for (String part : pairs.get(i + 1).split(",")) {
+    /** Returns whether a comma-separated field contains a token, such as {@code close} in {@code Connection}. */
+    public boolean containsToken(String name, String token) {
+        for (int i = 0; i < namesAndValues.size(); i += 2) {
+            if (namesAndValues.get(i).equalsIgnoreCase(name)) {
+                for (String part : namesAndValues.get(i + 1).split(",")) {
                     if (part.trim().equalsIgnoreCase(token)) {
                         return true;
                     }
@@ -49,33 +49,33 @@
         return false;
     }
 
-    /** Number of fields. */
+    /** Returns the number of fields. */
     public int size() {
-        return pairs.size() / 2;
+        return namesAndValues.size() / 2;
     }
 
-    /** Name of field {@code i}. */
-    public String name(int i) {
-        return pairs.get(2 * i);
+    /** Returns the name of the field at {@code index}. */
+    public String name(int index) {
+        return namesAndValues.get(2 * index);
     }
 
-    /** Value of field {@code i}. */
-    public String value(int i) {
-        return pairs.get(2 * i + 1);
+    /** Returns the value of the field at {@code index}. */
+    public String value(int index) {
+        return namesAndValues.get(2 * index + 1);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Headers headers && headers.pairs.equals(pairs);
+        return other instanceof Headers headers && headers.namesAndValues.equals(namesAndValues);
     }
 
     @Override
     public int hashCode() {
-        return pairs.hashCode();
+        return namesAndValues.hashCode();
     }
 
     @Override
     public String toString() {
-        return pairs.toString();
+        return namesAndValues.toString();
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /**
- * Owns the client's side of HTTP/1.1 on one loop: a bounded pool of connections to each origin, one exchange at a time on
- * each. It never sends a request twice by itself: whether that is allowed is not for it to know.
+ * HTTP/1.1 client on one event loop, with a bounded pool of connections to each origin and one exchange at a time on
+ * each connection. It never retries a request, because it cannot tell whether the request may be repeated.
  */
 public final class HttpClient {
 
     /**
-     * How a call failed; only {@link #CONNECT_REFUSED} (nobody listens), {@link #CONNECT_TIMEOUT} and {@link #POOL_FULL}
-     * prove that nothing was sent.
+     * Reason for the failure of a call. Only {@link #CONNECT_REFUSED} (no process listens), {@link #CONNECT_TIMEOUT}
+     * and {@link #POOL_FULL} prove that nothing was sent.
      */
     public enum Failure {
         CONNECT_REFUSED,
@@ -32,94 +32,103 @@
         CANCELLED
     }
 
-    /** Takes a response, on the loop; either {@link #onEnd} or {@link #onFailure} comes last, once. */
+    /**
+     * Receiver of a response, on the loop's thread. The last call is {@link #onEnd} or {@link #onFailure}, exactly
+     * once.
+     */
     public interface ResponseHandler {
-        /** The final response's head. */
+        /** Called with the head of the final response. */
         default void onHead(HttpHead head) {}
 
-        /** A part of its body. */
+        /** Called for each part of the body. */
         default void onBody(ByteBuffer part) {}
 
-        /** It is whole. */
+        /** Called when the response is complete. */
         void onEnd();
 
-        /** It failed. */
+        /** Called when the call failed; {@code detail} is a text for people. */
         void onFailure(Failure failure, String detail);
     }
 
-    /** Takes a whole response. */
+    /** Receiver of a whole response. */
     public interface WholeHandler {
-        /** {@code failure} is null when the response is whole; else {@code head} and {@code body} are null. */
+        /**
+         * Called once; {@code failure} is null for a complete response, otherwise {@code head} and {@code body} are
+         * null.
+         */
         void done(HttpHead head, byte[] body, Failure failure);
     }
 
     private final EventLoop loop;
     private final HttpLimits limits;
-    private final int perOrigin;
+    private final int connectionsPerOrigin;
     private final double connectMs;
     private final HttpCounters counters = new HttpCounters();
-    private final Map<InetSocketAddress, Origin> origins = new HashMap<>();
+    private final Map<InetSocketAddress, OriginPool> pools = new HashMap<>();
 
-    /** {@code perOrigin} bounds the connections to one origin, {@code connectMs} the time for one to stand. */
-    public HttpClient(EventLoop loop, HttpLimits limits, int perOrigin, double connectMs) {
+    /**
+     * Creates a client with at most {@code connectionsPerOrigin} connections to one origin and a connect timeout of
+     * {@code connectMs}.
+     */
+    public HttpClient(EventLoop loop, HttpLimits limits, int connectionsPerOrigin, double connectMs) {
         this.loop = loop;
         this.limits = limits;
-        this.perOrigin = perOrigin;
+        this.connectionsPerOrigin = connectionsPerOrigin;
         this.connectMs = connectMs;
     }
 
-    /** The counters. */
+    /** Returns the counters of this client. */
     public HttpCounters counters() {
         return counters;
     }
 
-    /** Connections to an origin, idle ones included. */
+    /** Returns the number of connections to an origin, including idle ones. */
     public int connections(InetSocketAddress origin) {
-        Origin o = origins.get(origin);
-        return o == null ? 0 : o.count;
+        OriginPool pool = pools.get(origin);
+        return pool == null ? 0 : pool.connectionCount;
     }
 
-    /** One call. */
+    /** A request and its expected response. */
     public final class Call {
         private final ResponseHandler handler;
-        private final Origin origin;
-        private Wire wire;
+        private final OriginPool pool;
+        private PooledConnection pooledConnection;
         private Timer timer;
         private boolean done;
 
-        private Call(Origin origin, ResponseHandler handler) {
-            this.origin = origin;
+        private Call(OriginPool pool, ResponseHandler handler) {
+            this.pool = pool;
             this.handler = handler;
         }
 
-        /** Calls it off and closes its connection; the handler hears {@link Failure#CANCELLED}. */
+        /** Cancels the call and closes its connection; the handler gets {@link Failure#CANCELLED}. */
         public void cancel() {
-            fail(Failure.CANCELLED, "called off");
+            fail(Failure.CANCELLED, "cancelled");
         }
 
-        /** Whether it is over. */
+        /** Returns whether the call is complete, failed or cancelled. */
         public boolean isDone() {
             return done;
         }
 
-        /** The connection that carries it, or null; for owners that reset or hold back the peer. */
+        /** Returns the connection that carries the call, or null; for callers that reset it or apply backpressure. */
         public Connection connection() {
-            return wire == null ? null : wire.connection;
+            return pooledConnection == null ? null : pooledConnection.connection;
         }
 
         private void fail(Failure failure, String detail) {
             if (done) {
                 return;
             }
-            over();
-            if (wire != null) {
-                wire.call = null;
-                wire.connection.close();
+            complete();
+            if (pooledConnection != null) {
+                pooledConnection.call = null;
+                pooledConnection.connection.close();
             }
             handler.onFailure(failure, detail);
         }
 
-        private void over() {
+        private void complete() {
             done = true;
             if (timer != null) {
                 timer.cancel();
@@ -127,29 +136,29 @@
         }
     }
 
-    private static final class Origin {
+    private static final class OriginPool {
         private final InetSocketAddress address;
-        private final String host;
-        private final ArrayDeque<Wire> idle = new ArrayDeque<>();
-        private int count;
+        private final String hostHeader;
+        private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
+        private int connectionCount;
 
-        Origin(InetSocketAddress address) {
+        OriginPool(InetSocketAddress address) {
             this.address = address;
-            this.host = address.getHostString() + ":" + address.getPort();
+            this.hostHeader = address.getHostString() + ":" + address.getPort();
         }
     }
 
-    /** Sends a request and keeps its whole body, up to the bound on bodies. */
+    /** Sends a request and buffers the whole response body, up to {@link HttpLimits#bodyBytes()}. */
     public Call send(
-            InetSocketAddress to,
-            String what,
+            InetSocketAddress address,
+            String connectionName,
             String method,
             String target,
             Headers headers,
             byte[] body,
             double timeoutMs,
             WholeHandler handler) {
-        return stream(to, what, method, target, headers, body, timeoutMs, new ResponseHandler() {
+        return stream(address, connectionName, method, target, headers, body, timeoutMs, new ResponseHandler() {
             private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
             private HttpHead head;
             private boolean tooLong;
@@ -187,105 +196,107 @@
     }
 
     /**
-     * Sends a request; the response is passed on part by part. {@code timeoutMs} bounds the whole call; 0: no bound. The
-     * handler is never called before this returns.
+     * Sends a request whose response is passed on in parts. {@code timeoutMs} limits the whole call; 0 for no limit.
+     * The handler is never called before this method returns.
      */
     public Call stream(
-            InetSocketAddress to,
-            String what,
+            InetSocketAddress address,
+            String connectionName,
             String method,
             String target,
             Headers headers,
             byte[] body,
             double timeoutMs,
             ResponseHandler handler) {
-        Origin origin = origins.computeIfAbsent(to, Origin::new);
-        Call call = new Call(origin, handler);
+        OriginPool pool = pools.computeIfAbsent(address, OriginPool::new);
+        Call call = new Call(pool, handler);
         counters.requests++;
-        ByteBuffer bytes = HttpWriter.request(method, target, origin.host, headers, body);
-        Wire wire = null;
-        while (wire == null && !origin.idle.isEmpty()) {
-            wire = origin.idle.pollLast();
-            if (wire.connection.isClosed()) {
-                wire = null;
+        ByteBuffer request = HttpWriter.request(method, target, pool.hostHeader, headers, body);
+        PooledConnection pooledConnection = null;
+        while (pooledConnection == null && !pool.idle.isEmpty()) {
+            pooledConnection = pool.idle.pollLast();
+            if (pooledConnection.connection.isClosed()) {
+                pooledConnection = null;
             }
         }
-        if (wire == null && origin.count >= perOrigin) {
+        if (pooledConnection == null && pool.connectionCount >= connectionsPerOrigin) {
             counters.poolOverflows++;
-            loop.schedule(0, () -> call.fail(Failure.POOL_FULL, perOrigin + " connections are in use"));
+            loop.schedule(
+                    0,
+                    () -> call.fail(Failure.POOL_FULL, connectionsPerOrigin + " connections to the origin are in use"));
             return call;
         }
-        if (wire == null) {
-            wire = new Wire(origin);
-            origin.count++;
-            wire.connection = loop.connect(to, what, connectMs, wire);
+        if (pooledConnection == null) {
+            pooledConnection = new PooledConnection(pool);
+            pool.connectionCount++;
+            pooledConnection.connection = loop.connect(address, connectionName, connectMs, pooledConnection);
         }
-        wire.begin(call, bytes, method.equals("HEAD"));
+        pooledConnection.send(call, request, method.equals("HEAD"));
         if (timeoutMs > 0) {
-            call.timer =
-                    loop.schedule(timeoutMs, () -> call.fail(Failure.TIMEOUT, "no answer in " + timeoutMs + " ms"));
+            call.timer = loop.schedule(
+                    timeoutMs, () -> call.fail(Failure.TIMEOUT, "no complete response within " + timeoutMs + " ms"));
         }
         return call;
     }
 
-    /** Closes all idle connections to an origin that is gone, so that none outlives a restart of its process. */
-    public void forget(InetSocketAddress to) {
-        Origin origin = origins.get(to);
-        while (origin != null && !origin.idle.isEmpty()) {
-            origin.idle.poll().connection.close();
+    /** Closes all idle connections to an origin that is gone, so that none is used after a restart of its process. */
+    public void forget(InetSocketAddress address) {
+        OriginPool pool = pools.get(address);
+        while (pool != null && !pool.idle.isEmpty()) {
+            pool.idle.poll().connection.close();
         }
     }
 
-    private final class Wire implements Connection.Handler, HttpParser.Sink {
-        private final Origin origin;
+    private final class PooledConnection implements Connection.Handler, HttpParser.Sink {
+        private final OriginPool pool;
         private final HttpParser parser = HttpParser.ofResponses(limits, this);
         private Connection connection;
         private Call call;
-        private ByteBuffer unsent;
+        private ByteBuffer unsentRequest;
         private HttpHead head;
-        private boolean standing;
-        private boolean beginning;
-        private boolean watched;
-        private double idleSince;
+        private boolean established;
+        private boolean sendingRequest;
+        private boolean idleTimerScheduled;
+        private double idleSinceMs;
 
-        Wire(Origin origin) {
-            this.origin = origin;
+        PooledConnection(OriginPool pool) {
+            this.pool = pool;
         }
 
-        void begin(Call next, ByteBuffer bytes, boolean noBody) {
-            call = next;
-            next.wire = this;
+        void send(Call nextCall, ByteBuffer request, boolean bodilessResponse) {
+            call = nextCall;
+            nextCall.pooledConnection = this;
             head = null;
-            if (noBody) {
-                parser.nextHasNoBody();
+            if (bodilessResponse) {
+                parser.expectBodilessResponse();
             }
-            if (standing) {
-                beginning = true;
-                connection.write(bytes);
-                beginning = false;
+            if (established) {
+                sendingRequest = true;
+                connection.write(request);
+                sendingRequest = false;
             } else {
-                unsent = bytes;
+                unsentRequest = request;
             }
         }
 
         @Override
-        public void onOpen(Connection c) {
-            standing = true;
-            if (unsent != null) {
-                c.write(unsent);
-                unsent = null;
+        public void onOpen(Connection source) {
+            established = true;
+            if (unsentRequest != null) {
+                source.write(unsentRequest);
+                unsentRequest = null;
             }
         }
 
         @Override
-        public void onBytes(Connection c, ByteBuffer bytes) {
+        public void onBytes(Connection source, ByteBuffer bytes) {
             try {
-                while (bytes.hasRemaining() && !c.isClosed()) {
+                while (bytes.hasRemaining() && !source.isClosed()) {
                     if (call == null) {
-                        // an answer to nothing: this connection can't be trusted
+                        // a response without a request; the connection can't be trusted any more
                         counters.refused++;
                         bytes.position(bytes.limit());
-                        c.close();
+                        source.close();
                         return;
                     }
                     parser.parse(bytes);
@@ -296,16 +307,16 @@
                 if (call != null) {
                     call.fail(Failure.MALFORMED, e.getMessage());
                 } else {
-                    c.close();
+                    source.close();
                 }
             }
         }
 
         @Override
-        public void head(HttpHead h) {
-            head = h;
-            if (call != null && h.status() >= 200) {
-                call.handler.onHead(h);
+        public void head(HttpHead responseHead) {
+            head = responseHead;
+            if (call != null && responseHead.status() >= 200) {
+                call.handler.onHead(responseHead);
             }
         }
 
@@ -321,60 +332,63 @@
             if (call == null || head.status() < 200) {
                 return;
             }
-            Call ended = call;
+            Call completed = call;
             call = null;
-            ended.wire = null;
-            ended.over();
+            completed.pooledConnection = null;
+            completed.complete();
             counters.responses++;
-            if (head.keepsAlive() && !connection.isClosed()) {
-                origin.idle.addLast(this);
-                idleSince = loop.clock().millis();
-                if (!watched) {
-                    watched = true;
+            if (head.isPersistent() && !connection.isClosed()) {
+                pool.idle.addLast(this);
+                idleSinceMs = loop.clock().millis();
+                if (!idleTimerScheduled) {
+                    idleTimerScheduled = true;
                     loop.schedule(limits.idleMs(), this::closeIfIdle);
                 }
             } else {
                 connection.close();
             }
-            ended.handler.onEnd();
+            completed.handler.onEnd();
         }
 
-        /** One lazy timer a connection: it looks again when the bound could next be reached. */
+        /**
+         * Closes the connection if it has been idle for too long. Each connection has one timer; it is scheduled anew
+         * for the time at which the limit can be reached.
+         */
         private void closeIfIdle() {
-            double left = idleSince + limits.idleMs() - loop.clock().millis();
+            double remainingMs = idleSinceMs + limits.idleMs() - loop.clock().millis();
             if (connection.isClosed()) {
                 return;
             }
-            if (call == null && left <= 0) {
+            if (call == null && remainingMs <= 0) {
                 connection.close();
             } else {
-                loop.schedule(Math.max(limits.idleMs() / 4, left), this::closeIfIdle);
+                loop.schedule(Math.max(limits.idleMs() / 4, remainingMs), this::closeIfIdle);
             }
         }
 
         @Override
-        public void onEnd(Connection c) {
+        public void onEnd(Connection source) {
             parser.eof();
-            c.close();
+            source.close();
         }
 
         @Override
-        public void onClosed(Connection c, IOException cause) {
-            origin.count--;
-            origin.idle.remove(this);
+        public void onClosed(Connection source, IOException cause) {
+            pool.connectionCount--;
+            pool.idle.remove(this);
             if (call != null) {
-                Call lost = call;
+                Call failedCall = call;
                 call = null;
-                lost.wire = null;
-                Failure how = standing || !(cause instanceof ConnectFailedException failed)
+                failedCall.pooledConnection = null;
+                Failure failure = established || !(cause instanceof ConnectFailedException failed)
                         ? Failure.RESET
                         : failed.timedOut() ? Failure.CONNECT_TIMEOUT : Failure.CONNECT_REFUSED;
-                String why = cause == null ? "closed by the peer" : String.valueOf(cause.getMessage());
-                if (beginning) {
-                    // the write itself failed: the caller hears of it after its call
-                    loop.schedule(0, () -> lost.fail(how, why));
+                String detail = cause == null ? "closed by the peer" : String.valueOf(cause.getMessage());
+                if (sendingRequest) {
+                    // the write itself failed; report it after send() or stream() has returned
+                    loop.schedule(0, () -> failedCall.fail(failure, detail));
                 } else {
-                    lost.fail(how, why);
+                    failedCall.fail(failure, detail);
                 }
             }
         }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpCounters.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpCounters.java
@@ -1,23 +1,23 @@
 package calicovale.protocols.http;
 
-/** What one server or client has counted since its start; written by its loop's thread only. */
+/** Counters of one server or client since its start. Only its loop's thread writes them. */
 public final class HttpCounters {
-    /** Requests read whole. */
+    /** Requests received whole by a server, or sent by a client. */
     public long requests;
-    /** Responses written or read whole. */
+    /** Responses written whole by a server, or received whole by a client. */
     public long responses;
-    /** Messages refused by a parser or a bound. */
+    /** Messages refused because they were malformed or exceeded a limit. */
     public long refused;
-    /** Requests whose peer left before the answer. */
-    public long gone;
-    /** Connections refused at the bound on connections. */
+    /** Requests whose client closed the connection before the response was complete. */
+    public long abandonedRequests;
+    /** Connections refused because the limit on connections was reached. */
     public long connectionsRefused;
-    /** Connections closed since they were idle or slow. */
+    /** Connections closed because they were idle or too slow. */
     public long timedOut;
-    /** Preflights of pages of other origins. */
+    /** CORS preflight requests answered. */
     public long preflights;
-    /** Exchanges whose handler failed: answered with 500 where no answer had begun. */
+    /** Exchanges whose handler threw an exception; answered with 500 if no response had begun. */
     public long handlerErrors;
-    /** Calls refused at the bound on connections to one origin. */
+    /** Calls refused because the limit on connections to their origin was reached. */
     public long poolOverflows;
 }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpException.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpException.java
@@ -1,17 +1,20 @@
 package calicovale.protocols.http;
 
-/** A message that is refused, with the status that says why; framing is lost and the connection must close. */
+/**
+ * Signals that a message is refused, with a status for the reason. The message framing is lost, so the connection
+ * must be closed.
+ */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    /** {@code status} is what a server answers (RFC 9110, 15.5 and 15.6). */
+    /** Creates an exception; a server responds with {@code status} (RFC 9110, 15.5 and 15.6). */
     public HttpException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
 
-    /** The status to answer with. */
+    /** Returns the status code to respond with. */
     public int status() {
         return status;
     }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpHead.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpHead.java
@@ -1,42 +1,42 @@
 package calicovale.protocols.http;
 
 /**
- * The head of a request or a response.
+ * Head of a request or a response: its start line and its header fields.
  *
- * @param method of a request, else null
- * @param target of a request, else null
- * @param status of a response, else 0
- * @param reason of a response, else null
- * @param minor the minor version: 0 or 1
- * @param headers the fields
+ * @param method method of a request; null for a response
+ * @param target request target; null for a response
+ * @param status status code of a response; 0 for a request
+ * @param reason reason phrase of a response; null for a request
+ * @param minorVersion minor HTTP version, 0 or 1
+ * @param headers header fields
  */
-public record HttpHead(String method, String target, int status, String reason, int minor, Headers headers) {
+public record HttpHead(String method, String target, int status, String reason, int minorVersion, Headers headers) {
 
-    /** Whether the connection may stay open after this message (RFC 9112, 9.3). */
-    public boolean keepsAlive() {
-        if (headers.lists("Connection", "close")) {
+    /** Returns whether the connection persists after this message (RFC 9112, 9.3). */
+    public boolean isPersistent() {
+        if (headers.containsToken("Connection", "close")) {
             return false;
         }
-        return minor >= 1 || headers.lists("Connection", "keep-alive");
+        return minorVersion >= 1 || headers.containsToken("Connection", "keep-alive");
     }
 
-    /** The target up to its query. */
+    /** Returns the target without its query. */
     public String path() {
-        int at = target.indexOf('?');
-        return at < 0 ? target : target.substring(0, at);
+        int queryStart = target.indexOf('?');
+        return queryStart < 0 ? target : target.substring(0, queryStart);
     }
 
-    /** A parameter of the target's query, percent-decoded, or null. */
+    /** Returns the first query parameter with a name, percent-decoded, or null; an empty string if it has no value. */
     public String query(String name) {
-        int at = target.indexOf('?');
-        if (at < 0) {
+        int queryStart = target.indexOf('?');
+        if (queryStart < 0) {
             return null;
         }
-        for (String part : target.substring(at + 1).split("&")) {
-            int eq = part.indexOf('=');
-            String key = eq < 0 ? part : part.substring(0, eq);
+        for (String part : target.substring(queryStart + 1).split("&")) {
+            int equalsSign = part.indexOf('=');
+            String key = equalsSign < 0 ? part : part.substring(0, equalsSign);
             if (key.equals(name)) {
-                return Percent.decode(eq < 0 ? "" : part.substring(eq + 1));
+                return Percent.decode(equalsSign < 0 ? "" : part.substring(equalsSign + 1));
             }
         }
         return null;
--- a/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
@@ -5,180 +5,183 @@
 import java.util.List;
 
 /**
- * Owns the incremental reading of one direction of an HTTP/1.1 connection (RFC 9112): any split of the bytes gives the same
- * events. It refuses what two readers could frame differently: two lengths, a length beside a transfer coding, bare CR or
- * LF, folded lines, white space before a colon.
+ * Incremental parser for one direction of an HTTP/1.1 connection (RFC 9112). Any split of the bytes gives the same
+ * events. The parser refuses messages that two recipients could frame differently, such as two content lengths, a
+ * content length together with a transfer coding, bare CR or LF, folded lines, or white space before the colon of a
+ * field.
  */
 public final class HttpParser {
 
-    /** Takes what was read; the buffers hold only for the call. */
+    /** Receiver of the parsed parts; buffers are valid only during the call. */
     public interface Sink {
-        /** A head is whole. */
+        /** Called when a head is complete. */
         void head(HttpHead head);
 
-        /** A part of the body. */
+        /** Called for each part of the body. */
         void body(ByteBuffer part);
 
-        /** The message is whole. */
+        /** Called when the message is complete. */
         void end();
     }
 
     private enum State {
-        START,
+        START_LINE,
         FIELDS,
-        FIXED,
-        UNTIL_CLOSE,
+        FIXED_LENGTH_BODY,
+        BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
         CHUNK_DATA,
         CHUNK_END,
         TRAILERS,
-        BROKEN
+        FAILED
     }
 
-    /** Hex digits of a chunk's size: 7 stay well inside an int. */
-    private static final int CHUNK_DIGITS = 7;
+    /** Maximum number of hex digits of a chunk size; 7 digits fit into an int. */
+    private static final int MAX_CHUNK_SIZE_DIGITS = 7;
 
-    private static final boolean[] TOKEN = new boolean[128];
+    private static final boolean[] TOKEN_CHARACTERS = new boolean[128];
 
     static {
         for (char c = '0'; c <= '9'; c++) {
-            TOKEN[c] = true;
+            TOKEN_CHARACTERS[c] = true;
         }
         for (char c = 'a'; c <= 'z'; c++) {
-            TOKEN[c] = true;
-            TOKEN[c - 32] = true;
+            TOKEN_CHARACTERS[c] = true;
+            TOKEN_CHARACTERS[c - 32] = true;
         }
         for (char c : "!#$%&'*+-.^_`|~".toCharArray()) {
-            TOKEN[c] = true;
+            TOKEN_CHARACTERS[c] = true;
         }
     }
 
-    private final boolean requests;
+    private final boolean parsesRequests;
     private final HttpLimits limits;
     private final Sink sink;
     private byte[] line = new byte[256];
-    private int length;
-    private boolean cr;
-    private State state = State.START;
-    private HttpHead start;
+    private int lineLength;
+    private boolean seenCr;
+    private State state = State.START_LINE;
+    private HttpHead head;
     private Headers headers;
     private int fieldBytes;
-    private long remaining;
+    private long remainingBytes;
     private long bodyBytes;
-    private boolean expectsNoBody;
+    private boolean nextResponseIsBodiless;
 
-    private HttpParser(boolean requests, HttpLimits limits, Sink sink) {
-        this.requests = requests;
+    private HttpParser(boolean parsesRequests, HttpLimits limits, Sink sink) {
+        this.parsesRequests = parsesRequests;
         this.limits = limits;
         this.sink = sink;
     }
 
-    /** A reader of requests. */
+    /** Creates a parser of requests. */
     public static HttpParser ofRequests(HttpLimits limits, Sink sink) {
         return new HttpParser(true, limits, sink);
     }
 
-    /** A reader of responses; their bodies are not bounded here, since they are passed on part by part. */
+    /** Creates a parser of responses. It does not limit the size of bodies, because they are passed on in parts. */
     public static HttpParser ofResponses(HttpLimits limits, Sink sink) {
         return new HttpParser(false, limits, sink);
     }
 
-    /** The next response answers a HEAD request: it has no body whatever its fields say. */
-    public void nextHasNoBody() {
-        expectsNoBody = true;
+    /** Declares that the next response answers a HEAD request and so has no body, whatever its fields say. */
+    public void expectBodilessResponse() {
+        nextResponseIsBodiless = true;
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** Returns whether a message has begun and is not complete. */
     public boolean inMessage() {
-        return state != State.START || length > 0 || cr;
+        return state != State.START_LINE || lineLength > 0 || seenCr;
     }
 
-    /** Whether a head has begun and is not whole. */
+    /** Returns whether a head has begun and is not complete. */
     public boolean inHead() {
-        return state == State.START && length > 0 || state == State.FIELDS;
+        return state == State.START_LINE && lineLength > 0 || state == State.FIELDS;
     }
 
     /**
-     * Reads until a message is whole or the bytes are used up.
+     * Parses until a message is complete or the bytes are used up.
      *
-     * @return true if a message has become whole; bytes of later ones are left in {@code in}
-     * @throws HttpException if the message is refused; nothing can be read from this connection any more
+     * @return true if a message has become complete; bytes of later messages are left in {@code in}
+     * @throws HttpException if the message is refused; the parser cannot be used any more
      */
     public boolean parse(ByteBuffer in) throws HttpException {
         try {
-            return step(in);
+            return parseMessage(in);
         } catch (HttpException e) {
-            state = State.BROKEN;
+            state = State.FAILED;
             throw e;
         }
     }
 
     /**
-     * The peer sends no more.
+     * Handles the end of the input.
      *
-     * @return true if that made a message whole (a response that is delimited by the end)
+     * @return true if it completed a message, that is, a response that is delimited by the end of the connection
      */
     public boolean eof() {
-        if (state == State.UNTIL_CLOSE) {
-            finish();
+        if (state == State.BODY_UNTIL_CLOSE) {
+            finishMessage();
             return true;
         }
         return false;
     }
 
-    private boolean step(ByteBuffer in) throws HttpException {
+    private boolean parseMessage(ByteBuffer in) throws HttpException {
         while (true) {
             switch (state) {
-                case START -> {
-                    if (!readLine(in, limits.lineBytes(), requests ? 414 : 502)) {
+                case START_LINE -> {
+                    if (!readLine(in, limits.lineBytes(), parsesRequests ? 414 : 502)) {
                         return false;
                     }
-                    if (length == 0) {
+                    if (lineLength == 0) {
                         // RFC 9112, 2.2: a server ignores an empty line before a request line
-                        if (!requests) {
+                        if (!parsesRequests) {
                             throw new HttpException(502, "empty status line");
                         }
                         continue;
                     }
-                    start = requests ? requestLine() : statusLine();
-                    headers = start.headers();
+                    head = parsesRequests ? parseRequestLine() : parseStatusLine();
+                    headers = head.headers();
                     fieldBytes = 0;
-                    length = 0;
+                    lineLength = 0;
                     state = State.FIELDS;
                 }
                 case FIELDS, TRAILERS -> {
                     if (!readLine(in, limits.headerBytes() - fieldBytes, 431)) {
                         return false;
                     }
-                    if (length > 0) {
-                        field();
-                        length = 0;
+                    if (lineLength > 0) {
+                        parseField();
+                        lineLength = 0;
                         continue;
                     }
                     if (state == State.TRAILERS) {
-                        finish();
+                        finishMessage();
                         return true;
                     }
-                    if (headDone()) {
+                    if (finishHead()) {
                         return true;
                     }
                 }
-                case FIXED, CHUNK_DATA, UNTIL_CLOSE -> {
+                case FIXED_LENGTH_BODY, CHUNK_DATA, BODY_UNTIL_CLOSE -> {
                     if (!in.hasRemaining()) {
                         return false;
                     }
-                    int count = state == State.UNTIL_CLOSE ? in.remaining() : (int) Math.min(remaining, in.remaining());
-                    int end = in.limit();
+                    int count = state == State.BODY_UNTIL_CLOSE
+                            ? in.remaining()
+                            : (int) Math.min(remainingBytes, in.remaining());
+                    int limit = in.limit();
                     in.limit(in.position() + count);
                     sink.body(in.slice());
                     in.position(in.limit());
-                    in.limit(end);
-                    remaining -= count;
-                    if (state == State.FIXED && remaining == 0) {
-                        finish();
+                    in.limit(limit);
+                    remainingBytes -= count;
+                    if (state == State.FIXED_LENGTH_BODY && remainingBytes == 0) {
+                        finishMessage();
                         return true;
                     }
-                    if (state == State.CHUNK_DATA && remaining == 0) {
+                    if (state == State.CHUNK_DATA && remainingBytes == 0) {
                         state = State.CHUNK_END;
                     }
                 }
@@ -192,36 +195,39 @@
                     if (!readLine(in, limits.lineBytes(), 400)) {
                         return false;
                     }
-                    chunkSize();
+                    parseChunkSize();
                 }
                 default -> throw new HttpException(400, "framing is lost");
             }
         }
     }
 
-    /** Collects a line that ends with CR LF; false: more bytes are needed. The line is in {@code line[0..length)}. */
-    private boolean readLine(ByteBuffer in, int most, int tooLong) throws HttpException {
+    /**
+     * Collects a line that ends with CR LF. Returns false if more bytes are needed. The line without CR LF is in
+     * {@code line[0..lineLength)}.
+     */
+    private boolean readLine(ByteBuffer in, int maxLength, int tooLongStatus) throws HttpException {
         while (in.hasRemaining()) {
-            byte b = in.get();
-            if (cr) {
-                if (b != '\n') {
+            byte next = in.get();
+            if (seenCr) {
+                if (next != '\n') {
                     throw new HttpException(400, "a CR without LF");
                 }
-                cr = false;
+                seenCr = false;
                 return true;
             }
-            if (b == '\r') {
-                cr = true;
-            } else if (b == '\n') {
+            if (next == '\r') {
+                seenCr = true;
+            } else if (next == '\n') {
                 throw new HttpException(400, "an LF without CR");
             } else {
-                if (length >= most) {
-                    throw new HttpException(tooLong, "a line of more than " + Math.max(0, most) + " bytes");
+                if (lineLength >= maxLength) {
+                    throw new HttpException(tooLongStatus, "a line of more than " + Math.max(0, maxLength) + " bytes");
                 }
-                if (length == line.length) {
-                    line = java.util.Arrays.copyOf(line, 2 * length);
+                if (lineLength == line.length) {
+                    line = java.util.Arrays.copyOf(line, 2 * lineLength);
                 }
-                line[length++] = b;
+                line[lineLength++] = next;
             }
         }
         return false;
@@ -231,43 +237,46 @@
         return new String(line, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    private int find(int from, char c) {
-        for (int i = from; i < length; i++) {
-            if (line[i] == c) {
+    private int indexOf(int from, char character) {
+        for (int i = from; i < lineLength; i++) {
+            if (line[i] == character) {
                 return i;
             }
         }
         return -1;
     }
 
-    private HttpHead requestLine() throws HttpException {
-        int first = find(0, ' ');
-        int second = first < 0 ? -1 : find(first + 1, ' ');
-        if (first <= 0 || second <= first + 1 || find(second + 1, ' ') >= 0) {
+    private HttpHead parseRequestLine() throws HttpException {
+        int firstSpace = indexOf(0, ' ');
+        int secondSpace = firstSpace < 0 ? -1 : indexOf(firstSpace + 1, ' ');
+        if (firstSpace <= 0 || secondSpace <= firstSpace + 1 || indexOf(secondSpace + 1, ' ') >= 0) {
             throw new HttpException(400, "a request line is method, target and version");
         }
-        for (int i = 0; i < first; i++) {
-            if (!token(line[i])) {
+        for (int i = 0; i < firstSpace; i++) {
+            if (!isTokenCharacter(line[i])) {
                 throw new HttpException(400, "the method is no token");
             }
         }
-        for (int i = first + 1; i < second; i++) {
+        for (int i = firstSpace + 1; i < secondSpace; i++) {
             if (line[i] <= ' ' || line[i] == 127) {
                 throw new HttpException(400, "the target has a character that is not allowed");
             }
         }
-        int minor = version(second + 1, length, 400, 505);
-        return new HttpHead(text(0, first), text(first + 1, second), 0, null, minor, new Headers());
+        int minorVersion = parseMinorVersion(secondSpace + 1, lineLength, 400, 505);
+        return new HttpHead(
+                text(0, firstSpace), text(firstSpace + 1, secondSpace), 0, null, minorVersion, new Headers());
     }
 
-    private HttpHead statusLine() throws HttpException {
-        int first = find(0, ' ');
-        if (first < 0 || length < first + 4 || length > first + 4 && line[first + 4] != ' ') {
+    private HttpHead parseStatusLine() throws HttpException {
+        int firstSpace = indexOf(0, ' ');
+        if (firstSpace < 0
+                || lineLength < firstSpace + 4
+                || lineLength > firstSpace + 4 && line[firstSpace + 4] != ' ') {
             throw new HttpException(502, "a status line is version, status and reason");
         }
-        int minor = version(0, first, 502, 502);
+        int minorVersion = parseMinorVersion(0, firstSpace, 502, 502);
         int status = 0;
-        for (int i = first + 1; i < first + 4; i++) {
+        for (int i = firstSpace + 1; i < firstSpace + 4; i++) {
             if (line[i] < '0' || line[i] > '9') {
                 throw new HttpException(502, "the status is no number");
             }
@@ -276,51 +285,57 @@
         if (status < 100) {
             throw new HttpException(502, "no status " + status);
         }
-        return new HttpHead(null, null, status, text(Math.min(length, first + 5), length), minor, new Headers());
+        return new HttpHead(
+                null,
+                null,
+                status,
+                text(Math.min(lineLength, firstSpace + 5), lineLength),
+                minorVersion,
+                new Headers());
     }
 
-    private int version(int from, int to, int malformed, int unsupported) throws HttpException {
-        boolean formed = to - from == 8
+    private int parseMinorVersion(int from, int to, int malformedStatus, int unsupportedStatus) throws HttpException {
+        boolean wellFormed = to - from == 8
                 && text(from, from + 5).equals("HTTP/")
-                && digit(line[from + 5])
+                && isDigit(line[from + 5])
                 && line[from + 6] == '.'
-                && digit(line[from + 7]);
-        if (!formed) {
-            throw new HttpException(malformed, "the version is malformed");
+                && isDigit(line[from + 7]);
+        if (!wellFormed) {
+            throw new HttpException(malformedStatus, "the version is malformed");
         }
         if (line[from + 5] != '1') {
-            throw new HttpException(unsupported, "only HTTP/1 is spoken here");
+            throw new HttpException(unsupportedStatus, "only HTTP/1 is spoken here");
         }
         return Math.min(1, line[from + 7] - '0');
     }
 
-    private static boolean digit(byte b) {
-        return b >= '0' && b <= '9';
+    private static boolean isDigit(byte character) {
+        return character >= '0' && character <= '9';
     }
 
-    private static boolean token(byte b) {
-        return b > 0 && TOKEN[b];
+    private static boolean isTokenCharacter(byte character) {
+        return character > 0 && TOKEN_CHARACTERS[character];
     }
 
-    private void field() throws HttpException {
-        fieldBytes += length;
+    private void parseField() throws HttpException {
+        fieldBytes += lineLength;
         if (headers.size() >= limits.headerCount()) {
             throw new HttpException(431, "more than " + limits.headerCount() + " fields");
         }
         if (line[0] == ' ' || line[0] == '\t') {
             throw new HttpException(400, "a folded line");
         }
-        int colon = find(0, ':');
+        int colon = indexOf(0, ':');
         if (colon <= 0) {
             throw new HttpException(400, "a field without a name or colon");
         }
         for (int i = 0; i < colon; i++) {
-            if (!token(line[i])) {
+            if (!isTokenCharacter(line[i])) {
                 throw new HttpException(400, "a field's name is no token");
             }
         }
         int from = colon + 1;
-        int to = length;
+        int to = lineLength;
         while (from < to && (line[from] == ' ' || line[from] == '\t')) {
             from++;
         }
@@ -337,89 +352,90 @@
         }
     }
 
-    private boolean headDone() throws HttpException {
-        int bad = requests ? 400 : 502;
+    private boolean finishHead() throws HttpException {
+        int malformedStatus = parsesRequests ? 400 : 502;
         List<String> lengths = headers.all("Content-Length");
         List<String> codings = headers.all("Transfer-Encoding");
         if (lengths.size() > 1) {
-            throw new HttpException(bad, "two Content-Lengths");
+            throw new HttpException(malformedStatus, "two Content-Lengths");
         }
         if (!lengths.isEmpty() && !codings.isEmpty()) {
-            throw new HttpException(bad, "Content-Length beside Transfer-Encoding");
+            throw new HttpException(malformedStatus, "Content-Length beside Transfer-Encoding");
         }
-        if (requests) {
+        if (parsesRequests) {
             List<String> hosts = headers.all("Host");
-            if (hosts.size() > 1 || hosts.isEmpty() && start.minor() >= 1) {
+            if (hosts.size() > 1 || hosts.isEmpty() && head.minorVersion() >= 1) {
                 throw new HttpException(400, "one Host is needed");
             }
         }
         boolean chunked = false;
         if (!codings.isEmpty()) {
-            if (start.minor() < 1) {
-                throw new HttpException(bad, "a transfer coding in HTTP/1.0");
+            if (head.minorVersion() < 1) {
+                throw new HttpException(malformedStatus, "a transfer coding in HTTP/1.0");
             }
             if (codings.size() > 1 || !codings.get(0).equalsIgnoreCase("chunked")) {
-                throw new HttpException(requests ? 501 : 502, "only the chunked transfer coding is known");
+                throw new HttpException(parsesRequests ? 501 : 502, "only the chunked transfer coding is known");
             }
             chunked = true;
         }
-        remaining = lengths.isEmpty() ? requests ? 0 : -1 : number(lengths.get(0), bad);
-        if (requests && remaining > limits.bodyBytes()) {
+        remainingBytes =
+                lengths.isEmpty() ? parsesRequests ? 0 : -1 : parseContentLength(lengths.get(0), malformedStatus);
+        if (parsesRequests && remainingBytes > limits.bodyBytes()) {
             throw new HttpException(413, "a body of more than " + limits.bodyBytes() + " bytes");
         }
         bodyBytes = 0;
-        length = 0;
-        sink.head(start);
-        int status = start.status();
-        boolean bodiless =
-                !requests && (expectsNoBody && status >= 200 || status < 200 || status == 204 || status == 304);
-        if (bodiless || !chunked && remaining == 0) {
-            finish();
+        lineLength = 0;
+        sink.head(head);
+        int status = head.status();
+        boolean bodiless = !parsesRequests
+                && (nextResponseIsBodiless && status >= 200 || status < 200 || status == 204 || status == 304);
+        if (bodiless || !chunked && remainingBytes == 0) {
+            finishMessage();
             return true;
         }
-        state = chunked ? State.CHUNK_SIZE : remaining < 0 ? State.UNTIL_CLOSE : State.FIXED;
+        state = chunked ? State.CHUNK_SIZE : remainingBytes < 0 ? State.BODY_UNTIL_CLOSE : State.FIXED_LENGTH_BODY;
         return false;
     }
 
-    private static long number(String digits, int bad) throws HttpException {
+    private static long parseContentLength(String digits, int malformedStatus) throws HttpException {
         if (digits.isEmpty() || digits.length() > 15 || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new HttpException(bad, "Content-Length is no number");
+            throw new HttpException(malformedStatus, "Content-Length is no number");
         }
         return Long.parseLong(digits);
     }
 
-    private void chunkSize() throws HttpException {
-        int at = 0;
+    private void parseChunkSize() throws HttpException {
+        int position = 0;
         long size = 0;
-        while (at < length && Character.digit(line[at], 16) >= 0) {
-            size = 16 * size + Character.digit(line[at], 16);
-            if (++at > CHUNK_DIGITS) {
+        while (position < lineLength && Character.digit(line[position], 16) >= 0) {
+            size = 16 * size + Character.digit(line[position], 16);
+            if (++position > MAX_CHUNK_SIZE_DIGITS) {
                 throw new HttpException(413, "a chunk of more than 2^28 bytes");
             }
         }
-        if (at == 0 || at < length && line[at] != ';') {
+        if (position == 0 || position < lineLength && line[position] != ';') {
             throw new HttpException(400, "a chunk's size is no hex number");
         }
-        for (int i = at; i < length; i++) {
+        for (int i = position; i < lineLength; i++) {
             if (line[i] >= 0 && line[i] < ' ' && line[i] != '\t') {
                 throw new HttpException(400, "a chunk's extension has a control character");
             }
         }
-        length = 0;
+        lineLength = 0;
         bodyBytes += size;
-        if (requests && bodyBytes > limits.bodyBytes()) {
+        if (parsesRequests && bodyBytes > limits.bodyBytes()) {
             throw new HttpException(413, "a body of more than " + limits.bodyBytes() + " bytes");
         }
-        remaining = size;
+        remainingBytes = size;
         state = size == 0 ? State.TRAILERS : State.CHUNK_DATA;
     }
 
-    private void finish() {
-        if (start == null || start.status() == 0 || start.status() >= 200) {
-            expectsNoBody = false;
+    private void finishMessage() {
+        if (head == null || head.status() == 0 || head.status() >= 200) {
+            nextResponseIsBodiless = false;
         }
-        state = State.START;
-        length = 0;
+        state = State.START_LINE;
+        lineLength = 0;
         sink.end();
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
@@ -18,31 +18,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the server's side of HTTP/1.1 on one loop: one exchange at a time on each connection, later requests kept up to a
- * bound and answered in order, then the peer is held back. A peer that ends its side while its answer is due has left.
+ * HTTP/1.1 server on one event loop. Each connection has one exchange at a time. Pipelined requests are buffered up
+ * to a limit and answered in order; beyond the limit, the connection is not read. A client that closes its sending
+ * side while a response is pending is treated as having closed the connection.
  */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
     private static final Set<String> METHODS =
             Set.of("GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT");
-    private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern(
+    private static final DateTimeFormatter DATE_FORMAT = DateTimeFormatter.ofPattern(
                     "EEE, dd MMM yyyy HH:mm:ss 'GMT'", Locale.ROOT)
             .withZone(ZoneOffset.UTC);
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] NO_CONTENT = new byte[0];
 
     private final EventLoop loop;
     private final String name;
     private final HttpLimits limits;
     private final Consumer<Exchange> handler;
     private final HttpCounters counters = new HttpCounters();
-    private final Set<Peer> peers = new LinkedHashSet<>();
+    private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private CrossOrigin crossOrigin = CrossOrigin.NOBODY;
     private EventLoop.Listener listener;
     private boolean draining;
     private long dateSecond = -1;
     private String date;
 
-    /** {@code handler} takes each exchange once its request is whole; it may answer later. */
+    /** Creates a server. {@code handler} is called when a request is complete and may respond later. */
     public HttpServer(EventLoop loop, String name, HttpLimits limits, Consumer<Exchange> handler) {
         this.loop = loop;
         this.name = name;
@@ -50,30 +51,30 @@
         this.handler = handler;
     }
 
-    /** Lets pages of other origins read what is answered; to be called before {@link #listen}. */
+    /** Sets which origins may read the responses. Must be called before {@link #listen}. */
     public HttpServer crossOrigin(CrossOrigin permitted) {
         crossOrigin = permitted;
         return this;
     }
 
-    /** Listens; to be called on the loop. */
+    /** Starts listening and returns the address bound. Must be called on the loop's thread. */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        listener = loop.listen(address, name, c -> new Peer(c));
+        listener = loop.listen(address, name, c -> new ClientConnection(c));
         return listener.address();
     }
 
-    /** Accepts no more; open connections close after the answer that they owe, idle ones at once. */
+    /** Stops listening. Idle connections close at once, the others after their current response. */
     public void drain() {
         draining = true;
         stopListening();
-        for (Peer peer : new ArrayList<>(peers)) {
-            if (peer.current == null && !peer.parser.inMessage()) {
-                peer.connection.close();
+        for (ClientConnection client : new ArrayList<>(clients)) {
+            if (client.currentExchange == null && !client.parser.inMessage()) {
+                client.connection.close();
             }
         }
     }
 
-    /** Closes the listening socket only. */
+    /** Closes the listening socket; open connections stay open. */
     public void stopListening() {
         if (listener != null) {
             listener.close();
@@ -81,12 +82,12 @@
         }
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     public int open() {
-        return peers.size();
+        return clients.size();
     }
 
-    /** The counters. */
+    /** Returns the counters of this server. */
     public HttpCounters counters() {
         return counters;
     }
@@ -95,26 +96,26 @@
         long second = (long) (loop.clock().millis() / 1000);
         if (second != dateSecond) {
             dateSecond = second;
-            date = DATE.format(Instant.ofEpochSecond(second));
+            date = DATE_FORMAT.format(Instant.ofEpochSecond(second));
         }
         return date;
     }
 
-    /** One connection of a client. */
-    final class Peer implements Connection.Handler, HttpParser.Sink {
+    /** A connection accepted from a client. */
+    final class ClientConnection implements Connection.Handler, HttpParser.Sink {
         private final Connection connection;
         private final HttpParser parser = HttpParser.ofRequests(limits, this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         private HttpHead head;
-        private Exchange current;
+        private Exchange currentExchange;
         private BodyStream stream;
-        private ByteBuffer kept;
-        private boolean closeAfter;
+        private ByteBuffer pipelined;
+        private boolean closeAfterResponse;
         private boolean parsing;
-        private boolean ended;
-        private double since;
+        private boolean inputEnded;
+        private double waitingSinceMs;
 
-        Peer(Connection connection) {
+        ClientConnection(Connection connection) {
             this.connection = connection;
         }
 
@@ -123,112 +124,118 @@
         }
 
         @Override
-        public void onOpen(Connection c) {
-            peers.add(this);
-            since = loop.clock().millis();
-            if (peers.size() > limits.connections()) {
+        public void onOpen(Connection source) {
+            clients.add(this);
+            waitingSinceMs = loop.clock().millis();
+            if (clients.size() > limits.connections()) {
                 counters.connectionsRefused++;
-                refuse(503, "too many connections");
+                refuseAndClose(503, "too many connections");
                 return;
             }
-            loop.schedule(Math.min(limits.headMs(), limits.idleMs()), this::watch);
+            loop.schedule(Math.min(limits.headMs(), limits.idleMs()), this::checkTimeouts);
         }
 
-        /** One lazy timer a connection: it looks again when the nearest bound could be reached. */
-        private void watch() {
+        /**
+         * Closes the connection if it is idle or too slow. Each connection has one timer; it is scheduled anew for
+         * the time at which the next limit can be reached.
+         */
+        private void checkTimeouts() {
             if (connection.isClosed()) {
                 return;
             }
-            double age = loop.clock().millis() - since;
-            double bound = current != null
+            double elapsedMs = loop.clock().millis() - waitingSinceMs;
+            double limitMs = currentExchange != null
                     ? Double.MAX_VALUE
                     : parser.inHead() ? limits.headMs() : parser.inMessage() ? limits.bodyMs() : limits.idleMs();
-            if (age >= bound || draining && current == null && !parser.inMessage()) {
+            if (elapsedMs >= limitMs || draining && currentExchange == null && !parser.inMessage()) {
                 counters.timedOut++;
                 if (parser.inMessage()) {
-                    refuse(408, "the request did not come in time");
+                    refuseAndClose(408, "the request did not come in time");
                 } else {
                     connection.close();
                 }
                 return;
             }
-            double next = current != null ? limits.headMs() : Math.max(10, bound - age);
-            loop.schedule(Math.min(next, limits.headMs()), this::watch);
+            double nextCheckMs = currentExchange != null ? limits.headMs() : Math.max(10, limitMs - elapsedMs);
+            loop.schedule(Math.min(nextCheckMs, limits.headMs()), this::checkTimeouts);
         }
 
         @Override
-        public void onBytes(Connection c, ByteBuffer bytes) {
-            if (current != null || parsing) {
-                keep(bytes);
+        public void onBytes(Connection source, ByteBuffer bytes) {
+            if (currentExchange != null || parsing) {
+                bufferPipelined(bytes);
                 return;
             }
-            read(bytes);
+            processRequests(bytes);
             if (bytes.hasRemaining() && !connection.isClosed()) {
-                keep(bytes);
+                bufferPipelined(bytes);
             }
         }
 
-        private void keep(ByteBuffer bytes) {
-            int have = kept == null ? 0 : kept.remaining();
-            ByteBuffer more = ByteBuffer.allocate(have + bytes.remaining());
-            if (have > 0) {
-                more.put(kept);
+        private void bufferPipelined(ByteBuffer bytes) {
+            int bufferedBytes = pipelined == null ? 0 : pipelined.remaining();
+            ByteBuffer combined = ByteBuffer.allocate(bufferedBytes + bytes.remaining());
+            if (bufferedBytes > 0) {
+                combined.put(pipelined);
             }
-            kept = more.put(bytes).flip();
-            if (kept.remaining() >= limits.pipelinedBytes()) {
+            pipelined = combined.put(bytes).flip();
+            if (pipelined.remaining() >= limits.pipelinedBytes()) {
                 connection.pause();
             }
         }
 
-        /** Parses and handles requests until one stays unanswered or the bytes are used up. */
-        private void read(ByteBuffer bytes) {
+        /** Parses and handles requests until one has no response yet or the bytes are used up. */
+        private void processRequests(ByteBuffer bytes) {
             parsing = true;
             try {
-                while (current == null && bytes.hasRemaining() && !connection.isClosed() && !closeAfter) {
+                while (currentExchange == null
+                        && bytes.hasRemaining()
+                        && !connection.isClosed()
+                        && !closeAfterResponse) {
                     if (!parser.inMessage()) {
-                        since = loop.clock().millis();
+                        waitingSinceMs = loop.clock().millis();
                         head = null;
                     }
                     if (!parser.parse(bytes)) {
                         break;
                     }
-                    Exchange exchange = new Exchange(this, head, body.size() == 0 ? NONE : body.toByteArray());
+                    Exchange exchange = new Exchange(this, head, body.size() == 0 ? NO_CONTENT : body.toByteArray());
                     body.reset();
-                    current = exchange;
+                    currentExchange = exchange;
                     counters.requests++;
-                    closeAfter = !head.keepsAlive() || draining;
-                    handle(exchange);
+                    closeAfterResponse = !head.isPersistent() || draining;
+                    dispatch(exchange);
                 }
             } catch (HttpException e) {
                 bytes.position(bytes.limit());
-                LOG.info("{}: request of {} refused: {} {}", name, connection.remote(), e.status(), e.getMessage());
-                refuse(e.status(), e.getMessage());
+                LOG.info("{}: refused request from {}: {} {}", name, connection.remote(), e.status(), e.getMessage());
+                refuseAndClose(e.status(), e.getMessage());
             } finally {
                 parsing = false;
             }
-            if (closeAfter) {
+            if (closeAfterResponse) {
                 bytes.position(bytes.limit());
             }
         }
 
-        private void handle(Exchange exchange) {
+        private void dispatch(Exchange exchange) {
             if (!METHODS.contains(exchange.head().method())) {
                 exchange.problem(
                         501, "Not Implemented", "method " + exchange.head().method());
                 return;
             }
-            if (crossOrigin.preflight(exchange.head())) {
+            if (crossOrigin.isPreflight(exchange.head())) {
                 counters.preflights++;
-                exchange.respond(204, crossOrigin.preflightHeaders(exchange.head()), NONE);
+                exchange.respond(204, crossOrigin.preflightHeaders(exchange.head()), NO_CONTENT);
                 return;
             }
             try {
                 handler.accept(exchange);
             } catch (RuntimeException e) {
-                // a fault of ours: the peer hears of it once, and nobody else does
+                // an internal error; only this client is affected and gets one response
                 counters.handlerErrors++;
                 LOG.error(
-                        "{}: the handler of {} {} failed",
+                        "{}: the handler failed for {} {}",
                         name,
                         exchange.head().method(),
                         exchange.head().path(),
@@ -236,29 +243,30 @@
                 if (!exchange.answered()) {
                     exchange.problem(500, "Internal Server Error", "the request could not be handled");
                 } else if (stream != null) {
-                    // a streamed answer that has begun can't be made whole: it must not look as if it went on
-                    connection.reset(new IOException("the handler failed", e));
+                    // a streamed response that has begun cannot be completed, and the client must not wait for the
+                    // rest
+                    connection.reset(new IOException("the handler failed during a streamed response", e));
                 }
             }
         }
 
-        private void refuse(int status, String why) {
+        private void refuseAndClose(int status, String detail) {
             counters.refused++;
-            closeAfter = true;
-            String json = "{\"title\":" + Exchange.quote(HttpWriter.reason(status)) + ",\"status\":" + status
-                    + ",\"detail\":" + Exchange.quote(why) + "}";
+            closeAfterResponse = true;
+            String json = "{\"title\":" + Exchange.quote(HttpWriter.reasonPhrase(status)) + ",\"status\":" + status
+                    + ",\"detail\":" + Exchange.quote(detail) + "}";
             byte[] content = json.getBytes(java.nio.charset.StandardCharsets.UTF_8);
             Headers headers = new Headers().add("Content-Type", "application/problem+json");
-            crossOrigin.addTo(headers, head);
+            crossOrigin.addResponseHeaders(headers, head);
             connection.write(HttpWriter.response(status, date(), headers, content.length, true, content));
-            lingerClose();
+            lingeringClose();
         }
 
         /**
-         * Ends the sending side and reads on for a moment: closing with unread bytes would reset the connection and could
-         * destroy the answer on its way (RFC 9112, 9.6).
+         * Closes the sending side and discards input for up to 1000 ms before closing the connection. Closing with
+         * unread bytes would reset the connection and could destroy the response in transit (RFC 9112, 9.6).
          */
-        private void lingerClose() {
+        private void lingeringClose() {
             if (connection.isClosed()) {
                 return;
             }
@@ -271,24 +279,25 @@
 
                 @Override
                 public void onClosed(Connection c, IOException cause) {
-                    peers.remove(Peer.this);
+                    clients.remove(ClientConnection.this);
                 }
             });
             loop.schedule(1000, connection::close);
-            if (ended) {
+            if (inputEnded) {
                 connection.closeWhenDrained();
             }
         }
 
         @Override
-        public void head(HttpHead h) {
-            head = h;
-            String expect = h.headers().get("Expect");
+        public void head(HttpHead requestHead) {
+            head = requestHead;
+            String expect = requestHead.headers().get("Expect");
             if (expect != null
                     && expect.equalsIgnoreCase("100-continue")
-                    && h.minor() >= 1
-                    && (h.headers().get("Content-Length") != null || h.headers().get("Transfer-Encoding") != null)) {
-                connection.write(HttpWriter.response(100, date(), new Headers(), -1, false, NONE));
+                    && requestHead.minorVersion() >= 1
+                    && (requestHead.headers().get("Content-Length") != null
+                            || requestHead.headers().get("Transfer-Encoding") != null)) {
+                connection.write(HttpWriter.response(100, date(), new Headers(), -1, false, NO_CONTENT));
             }
         }
 
@@ -301,87 +310,87 @@
 
         @Override
         public void end() {
-            // the loop in read() goes on with the whole request
+            // processRequests() handles the complete request
         }
 
         boolean respond(int status, Headers headers, byte[] content, boolean headOnly) {
             if (connection.isClosed()) {
                 return false;
             }
-            crossOrigin.addTo(headers, current.head());
-            boolean ok = connection.write(HttpWriter.response(
-                    status, date(), headers, content.length, closeAfter, headOnly ? NONE : content));
+            crossOrigin.addResponseHeaders(headers, currentExchange.head());
+            boolean written = connection.write(HttpWriter.response(
+                    status, date(), headers, content.length, closeAfterResponse, headOnly ? NO_CONTENT : content));
             counters.responses++;
-            answered();
-            return ok;
+            finishExchange();
+            return written;
         }
 
         BodyStream stream(Exchange exchange, int status, Headers headers, long length) {
-            boolean chunked = length < 0 && exchange.head().minor() >= 1;
+            boolean chunked = length < 0 && exchange.head().minorVersion() >= 1;
             if (chunked) {
                 headers.add("Transfer-Encoding", "chunked");
             } else if (length < 0) {
-                closeAfter = true;
+                closeAfterResponse = true;
             }
-            crossOrigin.addTo(headers, exchange.head());
+            crossOrigin.addResponseHeaders(headers, exchange.head());
             stream = new BodyStream(this, exchange, chunked);
-            connection.write(HttpWriter.response(status, date(), headers, length, closeAfter, NONE));
+            connection.write(HttpWriter.response(status, date(), headers, length, closeAfterResponse, NO_CONTENT));
             return stream;
         }
 
-        void streamEnded() {
+        void finishStream() {
             stream = null;
             counters.responses++;
-            answered();
+            finishExchange();
         }
 
-        private void answered() {
-            current = null;
-            since = loop.clock().millis();
-            if (closeAfter) {
-                lingerClose();
+        private void finishExchange() {
+            currentExchange = null;
+            waitingSinceMs = loop.clock().millis();
+            if (closeAfterResponse) {
+                lingeringClose();
                 return;
             }
-            if (ended) {
+            if (inputEnded) {
                 connection.closeWhenDrained();
                 return;
             }
-            if (!parsing && kept != null) {
-                ByteBuffer bytes = kept;
-                kept = null;
-                read(bytes);
+            if (!parsing && pipelined != null) {
+                ByteBuffer bytes = pipelined;
+                pipelined = null;
+                processRequests(bytes);
                 if (bytes.hasRemaining() && !connection.isClosed()) {
-                    keep(bytes);
+                    bufferPipelined(bytes);
                 }
-                if (kept == null || kept.remaining() < limits.pipelinedBytes()) {
+                if (pipelined == null || pipelined.remaining() < limits.pipelinedBytes()) {
                     connection.resume();
                 }
             }
         }
 
         @Override
-        public void onEnd(Connection c) {
-            ended = true;
-            if (current != null) {
-                counters.gone++;
-                current.peerLeft();
+        public void onEnd(Connection source) {
+            inputEnded = true;
+            if (currentExchange != null) {
+                counters.abandonedRequests++;
+                currentExchange.notifyPeerClosed();
             }
-            c.close();
+            source.close();
         }
 
         @Override
-        public void onDrained(Connection c) {
+        public void onDrained(Connection source) {
             if (stream != null) {
-                stream.drained();
+                stream.notifyDrained();
             }
         }
 
         @Override
-        public void onClosed(Connection c, IOException cause) {
-            peers.remove(this);
-            if (current != null && !ended) {
-                counters.gone++;
-                current.peerLeft();
+        public void onClosed(Connection source, IOException cause) {
+            clients.remove(this);
+            if (currentExchange != null && !inputEnded) {
+                counters.abandonedRequests++;
+                currentExchange.notifyPeerClosed();
             }
         }
     }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Owns the writing of HTTP/1.1 heads and chunks; field values with control characters are refused, never written. */
+/** Serializer of HTTP/1.1 heads and chunks. Field values with control characters are rejected. */
 public final class HttpWriter {
-    private static final Map<Integer, String> REASONS = new HashMap<>();
+    private static final Map<Integer, String> REASON_PHRASES = new HashMap<>();
 
     static {
         String[] all = {
@@ -44,18 +44,18 @@
             "505 HTTP Version Not Supported"
         };
         for (String line : all) {
-            REASONS.put(Integer.parseInt(line.substring(0, 3)), line.substring(4));
+            REASON_PHRASES.put(Integer.parseInt(line.substring(0, 3)), line.substring(4));
         }
     }
 
     private HttpWriter() {}
 
-    /** The usual reason phrase. */
-    public static String reason(int status) {
-        return REASONS.getOrDefault(status, "Status " + status);
+    /** Returns the reason phrase of a status code. */
+    public static String reasonPhrase(int status) {
+        return REASON_PHRASES.getOrDefault(status, "Status " + status);
     }
 
-    /** A request's head and body in one buffer; Host and Content-Length are added. */
+    /** Returns the head and body of a request in one buffer. Host and, where needed, Content-Length are added. */
     public static ByteBuffer request(String method, String target, String host, Headers headers, byte[] body) {
         StringBuilder out = new StringBuilder(256);
         out.append(method)
@@ -64,53 +64,59 @@
                 .append(" HTTP/1.1\r\nHost: ")
                 .append(host)
                 .append("\r\n");
-        fields(out, headers);
+        appendFields(out, headers);
         if (body.length > 0 || method.equals("POST") || method.equals("PUT")) {
             out.append("Content-Length: ").append(body.length).append("\r\n");
         }
-        return join(out.append("\r\n"), body);
+        return toBuffer(out.append("\r\n"), body);
     }
 
-    /** A response's head and body in one buffer; {@code length} goes into Content-Length unless it is negative. */
+    /**
+     * Returns the head and body of a response in one buffer. {@code length} becomes Content-Length unless it is
+     * negative or the status excludes content.
+     */
     public static ByteBuffer response(
             int status, String date, Headers headers, long length, boolean close, byte[] body) {
         StringBuilder out = new StringBuilder(256);
         out.append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(reason(status))
+                .append(reasonPhrase(status))
                 .append("\r\nDate: ")
                 .append(date)
                 .append("\r\n");
-        fields(out, headers);
+        appendFields(out, headers);
         if (length >= 0 && status != 204 && status >= 200) {
             out.append("Content-Length: ").append(length).append("\r\n");
         }
         if (close) {
             out.append("Connection: close\r\n");
         }
-        return join(out.append("\r\n"), body);
+        return toBuffer(out.append("\r\n"), body);
     }
 
-    private static void fields(StringBuilder out, Headers headers) {
+    private static void appendFields(StringBuilder out, Headers headers) {
         for (int i = 0; i < headers.size(); i++) {
             String value = headers.value(i);
             for (int k = 0; k < value.length(); k++) {
                 if (value.charAt(k) < ' ' && value.charAt(k) != '\t') {
-                    throw new IllegalArgumentException("a control character in the value of " + headers.name(i));
+                    throw new IllegalArgumentException(
+                            "control character in the value of header field " + headers.name(i));
                 }
             }
             out.append(headers.name(i)).append(": ").append(value).append("\r\n");
         }
     }
 
-    private static ByteBuffer join(StringBuilder head, byte[] body) {
+    private static ByteBuffer toBuffer(StringBuilder head, byte[] body) {
         byte[] bytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer out = ByteBuffer.allocate(bytes.length + body.length);
         return out.put(bytes).put(body).flip();
     }
 
-    /** One chunk (RFC 9112, 7.1); an empty one would end the body, so none is made of no bytes. */
+    /**
+     * Returns one chunk (RFC 9112, 7.1). The result is empty for no data, because an empty chunk would end the body.
+     */
     public static ByteBuffer chunk(byte[] data) {
         if (data.length == 0) {
             return ByteBuffer.allocate(0);
@@ -124,7 +130,7 @@
                 .flip();
     }
 
-    /** The end of a chunked body. */
+    /** Returns the last chunk, which ends a chunked body, without trailers. */
     public static ByteBuffer lastChunk() {
         return ByteBuffer.wrap("0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/protocols/src/main/java/calicovale/protocols/http/package-info.java
+++ b/protocols/src/main/java/calicovale/protocols/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns HTTP/1.1 (RFC 9110, 9112) on both sides, problem details (RFC 9457), and server-sent events. It must not know
- * sessions, boxes or players.
+ * HTTP/1.1 server and client (RFC 9110, RFC 9112), problem details (RFC 9457) and server-sent events. This package
+ * must not depend on sessions, boxes or players.
  */
 package calicovale.protocols.http;
--- a/protocols/src/test/java/calicovale/protocols/http/CmcdTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/CmcdTest.java
@@ -24,13 +24,13 @@
     }
 
     @Test
-    void leavesOutWhatIsMalformed() {
+    void omitsMalformedPairs() {
         assertEquals(Map.of("br", "1"), query("=3,BR=2,br=1,sid=\"open"));
         assertEquals(Map.of(), query("sid=\"a\"b"));
     }
 
     @Property(tries = 500, seed = "1")
-    void noTextBringsItDown(@ForAll String text) {
+    void arbitraryTextIsAccepted(@ForAll String text) {
         assertFalse(query(text).containsKey(""));
     }
 }
--- a/protocols/src/test/java/calicovale/protocols/http/CrossOriginTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/CrossOriginTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What pages of other origins are let read, through real sockets; and ranges of bytes. */
+/** Tests CORS headers over loopback sockets, and byte ranges. */
 class CrossOriginTest {
-    private static final String PAGE = "https://lectures.example";
+    private static final String PAGE_ORIGIN = "https://lectures.example";
     private final EventLoop loop = new EventLoop("test", Clock.system()).start();
 
     @AfterEach
@@ -26,10 +26,10 @@
         loop.close();
     }
 
-    private String ask(CrossOrigin permitted, String request) throws IOException {
+    private String exchange(CrossOrigin permitted, String request) throws IOException {
         HttpServer server = new HttpServer(loop, "server", HttpLimits.DEFAULT, x -> {
                     switch (x.head().path()) {
-                        case "/fail" -> throw new IllegalStateException("a fault of ours");
+                        case "/fail" -> throw new IllegalStateException("handler error");
                         case "/refused" ->
                             x.problem(503, new Headers().add("Retry-After", "2"), "Service Unavailable", "no room", "");
                         case "/stream" -> {
@@ -39,21 +39,21 @@
                         }
                         case "/broken" -> {
                             x.stream(200, new Headers(), 99).write(new byte[] {'o'});
-                            throw new IllegalStateException("a fault of ours, too late");
+                            throw new IllegalStateException("handler error after the response has begun");
                         }
                         default -> x.respond(200, "text/plain", "ok");
                     }
                 })
                 .crossOrigin(permitted);
-        InetSocketAddress at = loop.call(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)));
-        try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream().write((request + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+        InetSocketAddress address = loop.call(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)));
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream().write((request + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    private static CrossOrigin of(boolean credentials, String... origins) {
+    private static CrossOrigin permitting(boolean credentials, String... origins) {
         return new CrossOrigin(
                 Set.of(origins),
                 credentials,
@@ -63,66 +63,70 @@
                 List.of("GET", "HEAD"));
     }
 
-    private static String request(String method, String path, String more) {
-        return method + " " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + more;
+    private static String request(String method, String path, String headerLines) {
+        return method + " " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + headerLines;
     }
 
     @Test
-    void aNamedOriginMayReadEveryAnswerAndErrorsToo() throws IOException {
+    void allowedOriginMayReadAllResponsesIncludingErrors() throws IOException {
         for (String path : List.of("/x", "/refused", "/stream", "/fail")) {
-            String answer = ask(of(false, PAGE), request("GET", path, "Origin: " + PAGE + "\r\n"));
+            String answer =
+                    exchange(permitting(false, PAGE_ORIGIN), request("GET", path, "Origin: " + PAGE_ORIGIN + "\r\n"));
             for (String line : List.of(
-                    "Access-Control-Allow-Origin: " + PAGE,
-                    "Timing-Allow-Origin: " + PAGE,
+                    "Access-Control-Allow-Origin: " + PAGE_ORIGIN,
+                    "Timing-Allow-Origin: " + PAGE_ORIGIN,
                     "Vary: Origin",
                     "Access-Control-Expose-Headers: Calicovale-Session, Retry-After")) {
                 assertTrue(answer.contains(line + "\r\n"), line + " in " + answer);
             }
             assertFalse(answer.contains("Credentials"), answer);
         }
-        assertTrue(ask(of(false, PAGE), request("GET", "/fail", "")).startsWith("HTTP/1.1 500 "));
+        assertTrue(exchange(permitting(false, PAGE_ORIGIN), request("GET", "/fail", ""))
+                .startsWith("HTTP/1.1 500 "));
         assertThrows(
                 java.net.SocketException.class,
-                () -> ask(of(false, PAGE), request("GET", "/broken", "")),
-                "not a quiet half answer");
-        // what the parser refuses behind a whole head: the body is over the bound
-        String refused =
-                ask(of(false, PAGE), request("POST", "/x", "Origin: " + PAGE + "\r\nContent-Length: 99999999\r\n"));
+                () -> exchange(permitting(false, PAGE_ORIGIN), request("GET", "/broken", "")),
+                "a truncated response must end with a reset");
+        // refused by the parser after a complete head, because the body exceeds the limit
+        String refused = exchange(
+                permitting(false, PAGE_ORIGIN),
+                request("POST", "/x", "Origin: " + PAGE_ORIGIN + "\r\nContent-Length: 99999999\r\n"));
         assertTrue(refused.startsWith("HTTP/1.1 413 "), refused);
-        assertTrue(ask(of(true, PAGE), request("GET", "/x", "Origin: " + PAGE + "\r\n"))
+        assertTrue(exchange(permitting(true, PAGE_ORIGIN), request("GET", "/x", "Origin: " + PAGE_ORIGIN + "\r\n"))
                 .contains("Allow-Credentials: true"));
-        assertTrue(ask(of(false, "*"), request("GET", "/x", "Origin: http://any\r\n"))
+        assertTrue(exchange(permitting(false, "*"), request("GET", "/x", "Origin: http://any\r\n"))
                 .contains("Allow-Origin: *\r\n"));
     }
 
     @Test
-    void othersGetNothingAndHearNoReason() throws IOException {
+    void otherOriginsGetNoAccessHeaders() throws IOException {
         for (String origin : List.of(
                 "Origin: https://other.example\r\n",
                 "Origin: null\r\n",
-                "Origin: " + PAGE + ".evil\r\n",
-                "Origin: " + PAGE + "\r\nOrigin: " + PAGE + "\r\n",
+                "Origin: " + PAGE_ORIGIN + ".evil\r\n",
+                "Origin: " + PAGE_ORIGIN + "\r\nOrigin: " + PAGE_ORIGIN + "\r\n",
                 "Origin: " + "h".repeat(4000) + "\r\n",
                 "")) {
-            String answer = ask(of(true, PAGE), request("GET", "/x", origin));
+            String answer = exchange(permitting(true, PAGE_ORIGIN), request("GET", "/x", origin));
             assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.contains("Vary: Origin\r\n"), answer);
             assertFalse(answer.contains("Access-Control") || answer.contains("Timing-Allow"), answer);
-            String preflight =
-                    ask(of(true, PAGE), request("OPTIONS", "/x", origin + "Access-Control-Request-Method: GET\r\n"));
+            String preflight = exchange(
+                    permitting(true, PAGE_ORIGIN),
+                    request("OPTIONS", "/x", origin + "Access-Control-Request-Method: GET\r\n"));
             assertFalse(preflight.contains("Access-Control-Allow"), preflight);
         }
-        assertFalse(ask(CrossOrigin.NOBODY, request("GET", "/x", "Origin: " + PAGE + "\r\n"))
+        assertFalse(exchange(CrossOrigin.NOBODY, request("GET", "/x", "Origin: " + PAGE_ORIGIN + "\r\n"))
                 .contains("Vary"));
     }
 
     @Test
-    void aPreflightIsToldWhatAPageMaySend() throws IOException {
-        String answer = ask(
-                of(false, PAGE),
+    void preflightListsAllowedMethodsAndHeaders() throws IOException {
+        String answer = exchange(
+                permitting(false, PAGE_ORIGIN),
                 request(
                         "OPTIONS",
                         "/x",
-                        "Origin: " + PAGE
+                        "Origin: " + PAGE_ORIGIN
                                 + "\r\nAccess-Control-Request-Method: GET\r\nAccess-Control-Request-Headers: cmcd-session,range\r\n"));
         assertTrue(answer.startsWith("HTTP/1.1 204 "), answer);
         for (String line : List.of(
@@ -132,17 +136,20 @@
                 "Vary: Access-Control-Request-Method, Access-Control-Request-Headers")) {
             assertTrue(answer.contains(line + "\r\n"), line + " in " + answer);
         }
-        assertTrue(ask(of(false, PAGE), request("OPTIONS", "/x", "")).endsWith("ok"), "no preflight: the handler's");
+        assertTrue(
+                exchange(permitting(false, PAGE_ORIGIN), request("OPTIONS", "/x", ""))
+                        .endsWith("ok"),
+                "an OPTIONS request that is no preflight goes to the handler");
     }
 
     @Test
-    void anyOriginStandsAlone() {
-        assertThrows(IllegalArgumentException.class, () -> of(true, "*"));
-        assertThrows(IllegalArgumentException.class, () -> of(false, "*", PAGE));
+    void anyOriginExcludesCredentialsAndOtherOrigins() {
+        assertThrows(IllegalArgumentException.class, () -> permitting(true, "*"));
+        assertThrows(IllegalArgumentException.class, () -> permitting(false, "*", PAGE_ORIGIN));
     }
 
     @Test
-    void rangesAreReadAsPublished() {
+    void byteRangesFollowRfc9110() {
         assertEquals(new ByteRange(0, 10, true), ByteRange.of(null, 10));
         assertEquals(new ByteRange(2, 3, false), ByteRange.of("bytes=2-4", 10));
         assertEquals(new ByteRange(2, 8, false), ByteRange.of("bytes=2-", 10));
--- a/protocols/src/test/java/calicovale/protocols/http/EventStreamTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/EventStreamTest.java
@@ -18,35 +18,35 @@
     private static List<String> read(byte[] bytes, int step) throws HttpException {
         List<String> events = new ArrayList<>();
         EventStream stream = new EventStream(1000, (type, data) -> events.add(type + "=" + data));
-        for (int at = 0; at < bytes.length; at += step) {
-            stream.parse(ByteBuffer.wrap(bytes, at, Math.min(step, bytes.length - at)));
+        for (int start = 0; start < bytes.length; start += step) {
+            stream.parse(ByteBuffer.wrap(bytes, start, Math.min(step, bytes.length - start)));
         }
         return events;
     }
 
     @Property(tries = 300, seed = "1")
-    void eventsAreReadAsWrittenHoweverTheyAreSplit(
+    void parsesWrittenEventsForAnySplit(
             @ForAll List<@AlphaChars String> data, @ForAll @IntRange(min = 1, max = 9) int step) throws HttpException {
         StringBuilder text = new StringBuilder();
         List<String> expected = new ArrayList<>();
         for (int i = 0; i < data.size(); i++) {
-            String two = data.get(i) + "\n" + i;
-            text.append(new String(EventStream.event("t" + i, two), StandardCharsets.UTF_8))
+            String twoLines = data.get(i) + "\n" + i;
+            text.append(new String(EventStream.event("t" + i, twoLines), StandardCharsets.UTF_8))
                     .append(new String(EventStream.beat(), StandardCharsets.UTF_8));
-            expected.add("t" + i + "=" + two);
+            expected.add("t" + i + "=" + twoLines);
         }
         assertEquals(expected, read(text.toString().getBytes(StandardCharsets.UTF_8), step));
     }
 
     @Test
-    void knowsAllLineEndsAndTheDefaultType() throws HttpException {
+    void acceptsAllLineEndsAndTheDefaultType() throws HttpException {
         assertEquals(
                 List.of("message=a", "x=b\nc"),
                 read("data: a\r\n\r\nevent:x\rdata:b\rdata: c\r\r".getBytes(StandardCharsets.UTF_8), 1));
     }
 
     @Test
-    void boundsAnEvent() {
+    void limitsTheSizeOfAnEvent() {
         assertThrows(
                 HttpException.class,
                 () -> read(("data: " + "a".repeat(1000) + "\n\n").getBytes(StandardCharsets.UTF_8), 50));
--- a/protocols/src/test/java/calicovale/protocols/http/HttpParserTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/HttpParserTest.java
@@ -22,15 +22,16 @@
 class HttpParserTest {
     private static final HttpLimits LIMITS = new HttpLimits(64, 8, 256, 32, 0, 0, 0, 0, 0);
 
-    /** Writes down what a parser tells; body parts are joined, since their borders are no part of the message. */
-    private static final class Log implements HttpParser.Sink {
+    /** Records a parser's events. Body parts are joined, because their boundaries are not part of the message. */
+    private static final class RecordingSink implements HttpParser.Sink {
         final List<String> events = new ArrayList<>();
         private final StringBuilder body = new StringBuilder();
 
         @Override
-        public void head(HttpHead h) {
-            events.add((h.method() == null ? h.status() + " " + h.reason() : h.method() + " " + h.target()) + " 1."
-                    + h.minor() + " " + h.headers());
+        public void head(HttpHead head) {
+            events.add(
+                    (head.method() == null ? head.status() + " " + head.reason() : head.method() + " " + head.target())
+                            + " 1." + head.minorVersion() + " " + head.headers());
         }
 
         @Override
@@ -52,19 +53,20 @@
         }
     }
 
-    private static List<String> whole(boolean requests, String text) throws HttpException {
-        Log log = new Log();
-        HttpParser parser = requests ? HttpParser.ofRequests(LIMITS, log) : HttpParser.ofResponses(LIMITS, log);
+    private static List<String> parseAll(boolean requests, String text) throws HttpException {
+        RecordingSink sink = new RecordingSink();
+        HttpParser parser = requests ? HttpParser.ofRequests(LIMITS, sink) : HttpParser.ofResponses(LIMITS, sink);
         feed(parser, text.getBytes(StandardCharsets.ISO_8859_1));
         parser.eof();
-        return log.events;
+        return sink.events;
     }
 
-    private static int refusal(String text) {
-        return assertThrows(HttpException.class, () -> whole(true, text), text).status();
+    private static int refusalStatus(String text) {
+        return assertThrows(HttpException.class, () -> parseAll(true, text), text)
+                .status();
     }
 
-    private static String unescape(String text) {
+    private static String expandLineEnds(String text) {
         return text.replace("~", "\r\n");
     }
 
@@ -72,7 +74,7 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                // two readers could frame these differently
+                // messages that two recipients could frame differently
                 "400 | POST / HTTP/1.1~Host: a~Content-Length: 3~Content-Length: 3~~abc",
                 "400 | POST / HTTP/1.1~Host: a~Content-Length: 3~Transfer-Encoding: chunked~~0~~",
                 "400 | POST / HTTP/1.1~Host: a~Content-Length: +3~~abc",
@@ -98,8 +100,8 @@
                 "413 | POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~10~0123456789abcdef~11~",
                 "413 | POST / HTTP/1.1~Host: a~Transfer-Encoding: chunked~~fffffffff~",
             })
-    void refusesWhatIsMalformed(int status, String text) {
-        assertEquals(status, refusal(unescape(text)));
+    void refusesMalformedRequests(int status, String text) {
+        assertEquals(status, refusalStatus(expandLineEnds(text)));
     }
 
     @ParameterizedTest
@@ -111,46 +113,46 @@
                 "GET /\u0001 HTTP/1.1\r\nHost: a\r\n\r\n"
             })
     void refusesBareLineEndsAndControlCharacters(String text) {
-        assertEquals(400, refusal(text));
+        assertEquals(400, refusalStatus(text));
     }
 
     @Test
-    void boundsLinesAndFields() {
-        assertEquals(414, refusal("GET /" + "a".repeat(64) + " HTTP/1.1\r\n"));
-        assertEquals(431, refusal("GET / HTTP/1.1\r\nX: " + "a".repeat(260) + "\r\n"));
-        assertEquals(431, refusal("GET / HTTP/1.1\r\n" + "X: a\r\n".repeat(9)));
+    void limitsLinesAndFields() {
+        assertEquals(414, refusalStatus("GET /" + "a".repeat(64) + " HTTP/1.1\r\n"));
+        assertEquals(431, refusalStatus("GET / HTTP/1.1\r\nX: " + "a".repeat(260) + "\r\n"));
+        assertEquals(431, refusalStatus("GET / HTTP/1.1\r\n" + "X: a\r\n".repeat(9)));
     }
 
     @Test
-    void nothingIsReadAfterARefusal() throws HttpException {
-        Log log = new Log();
-        HttpParser parser = HttpParser.ofRequests(LIMITS, log);
+    void parsesNothingAfterARefusal() throws HttpException {
+        RecordingSink sink = new RecordingSink();
+        HttpParser parser = HttpParser.ofRequests(LIMITS, sink);
         assertThrows(HttpException.class, () -> feed(parser, "GET /\r\n".getBytes(StandardCharsets.ISO_8859_1)));
         assertThrows(
                 HttpException.class,
                 () -> feed(parser, "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
-        assertTrue(log.events.isEmpty());
+        assertTrue(sink.events.isEmpty());
     }
 
     @Test
     void readsPipelinedRequestsOneByOne() throws HttpException {
-        Log log = new Log();
-        HttpParser parser = HttpParser.ofRequests(LIMITS, log);
+        RecordingSink sink = new RecordingSink();
+        HttpParser parser = HttpParser.ofRequests(LIMITS, sink);
         ByteBuffer in = ByteBuffer.wrap("GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1));
         assertTrue(parser.parse(in));
-        assertEquals(2, log.events.size());
+        assertEquals(2, sink.events.size());
         assertTrue(in.hasRemaining());
         assertTrue(parser.parse(in));
         assertFalse(in.hasRemaining());
-        assertEquals(List.of("GET /a 1.1 [Host, h]", "end ", "GET /b 1.1 [Host, h]", "end "), log.events);
+        assertEquals(List.of("GET /a 1.1 [Host, h]", "end ", "GET /b 1.1 [Host, h]", "end "), sink.events);
     }
 
     @Test
     void readsChunksWithExtensionsAndTrailers() throws HttpException {
         assertEquals(
                 List.of("POST / 1.1 [Host, h, Transfer-Encoding, chunked]", "end abcde"),
-                whole(
+                parseAll(
                         true,
                         "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n"));
     }
@@ -159,57 +161,57 @@
     void readsResponsesOfAllFramings() throws HttpException {
         assertEquals(
                 List.of("100 Continue 1.1 []", "end ", "200 OK 1.1 [Content-Length, 2]", "end ab"),
-                whole(false, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"));
-        assertEquals(List.of("204  1.1 []", "end "), whole(false, "HTTP/1.1 204 \r\n\r\n"));
+                parseAll(false, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"));
+        assertEquals(List.of("204  1.1 []", "end "), parseAll(false, "HTTP/1.1 204 \r\n\r\n"));
         assertEquals(
-                List.of("200 OK 1.0 []", "end until the end"), whole(false, "HTTP/1.0 200 OK\r\n\r\nuntil the end"));
-        Log log = new Log();
-        HttpParser parser = HttpParser.ofResponses(LIMITS, log);
-        parser.nextHasNoBody();
+                List.of("200 OK 1.0 []", "end until the end"), parseAll(false, "HTTP/1.0 200 OK\r\n\r\nuntil the end"));
+        RecordingSink sink = new RecordingSink();
+        HttpParser parser = HttpParser.ofResponses(LIMITS, sink);
+        parser.expectBodilessResponse();
         feed(parser, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-        assertEquals("end ", log.events.get(1));
+        assertEquals("end ", sink.events.get(1));
     }
 
     @Property(tries = 500, seed = "1")
     void anySplitOfTheBytesGivesTheSameEvents(@ForAll("messages") List<String> messages, @ForAll List<Integer> cuts)
             throws HttpException {
         byte[] bytes = String.join("", messages).getBytes(StandardCharsets.ISO_8859_1);
-        Log once = new Log();
-        feed(HttpParser.ofRequests(HttpLimits.DEFAULT, once), bytes);
-        Log split = new Log();
-        HttpParser parser = HttpParser.ofRequests(HttpLimits.DEFAULT, split);
-        int at = 0;
-        for (int i = 0; at < bytes.length; i++) {
+        RecordingSink wholeSink = new RecordingSink();
+        feed(HttpParser.ofRequests(HttpLimits.DEFAULT, wholeSink), bytes);
+        RecordingSink splitSink = new RecordingSink();
+        HttpParser parser = HttpParser.ofRequests(HttpLimits.DEFAULT, splitSink);
+        int start = 0;
+        for (int i = 0; start < bytes.length; i++) {
             int size = cuts.isEmpty() ? 1 : 1 + Math.floorMod(cuts.get(i % cuts.size()), 7);
-            int end = Math.min(bytes.length, at + size);
-            feed(parser, java.util.Arrays.copyOfRange(bytes, at, end));
-            at = end;
+            int end = Math.min(bytes.length, start + size);
+            feed(parser, java.util.Arrays.copyOfRange(bytes, start, end));
+            start = end;
         }
-        assertEquals(once.events, split.events);
-        assertEquals(2 * messages.size(), once.events.size());
+        assertEquals(wholeSink.events, splitSink.events);
+        assertEquals(2 * messages.size(), wholeSink.events.size());
     }
 
     @Property(tries = 500, seed = "1")
-    void whatIsWrittenIsReadAgain(@ForAll("bodies") String body, @ForAll("values") List<String> values)
+    void parsesWhatTheWriterWrites(@ForAll("bodies") String body, @ForAll("values") List<String> values)
             throws HttpException {
         Headers headers = new Headers();
         for (int i = 0; i < values.size(); i++) {
             headers.add("X-" + i, values.get(i));
         }
-        Log log = new Log();
+        RecordingSink sink = new RecordingSink();
         ByteBuffer bytes = HttpWriter.request("POST", "/x", "h:1", headers, body.getBytes(StandardCharsets.ISO_8859_1));
-        HttpParser.ofRequests(HttpLimits.DEFAULT, log).parse(bytes);
+        HttpParser.ofRequests(HttpLimits.DEFAULT, sink).parse(bytes);
         Headers expected = new Headers().add("Host", "h:1");
         for (int i = 0; i < values.size(); i++) {
             expected.add("X-" + i, values.get(i).strip());
         }
         expected.add("Content-Length", Integer.toString(body.length()));
-        assertEquals(List.of("POST /x 1.1 " + expected, "end " + body), log.events);
+        assertEquals(List.of("POST /x 1.1 " + expected, "end " + body), sink.events);
     }
 
     @Property(tries = 1000, seed = "1")
-    void noBytesBringItDown(@ForAll byte[] bytes) {
-        HttpParser parser = HttpParser.ofRequests(LIMITS, new Log());
+    void arbitraryBytesAreParsedOrRefused(@ForAll byte[] bytes) {
+        HttpParser parser = HttpParser.ofRequests(LIMITS, new RecordingSink());
         try {
             feed(parser, bytes);
         } catch (HttpException e) {
--- a/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The server and the client through real sockets on loopback. */
+/** Tests the server and the client over loopback sockets. */
 class HttpServerTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
+    private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
     private static final HttpLimits LIMITS = new HttpLimits(256, 16, 1024, 64, 4096, 300, 300, 400, 4);
-    private final BlockingQueue<Exchange> held = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Exchange> heldExchanges = new LinkedBlockingQueue<>();
     private EventLoop loop;
     private HttpServer server;
     private InetSocketAddress address;
@@ -36,7 +36,7 @@
     void start() {
         loop = new EventLoop("test", Clock.system(), new LoopLimits(1024, 4096, 1 << 16, 64, 16, 64), Tap.NONE).start();
         server = new HttpServer(loop, "server", LIMITS, this::handle);
-        address = loop.call(() -> server.listen(ANY));
+        address = loop.call(() -> server.listen(ANY_PORT));
     }
 
     @AfterEach
@@ -44,24 +44,24 @@
         loop.close();
     }
 
-    private void handle(Exchange x) {
-        switch (x.head().path()) {
-            case "/hold" -> held.add(x);
-            case "/echo" -> x.respond(200, "text/plain", new String(x.body(), StandardCharsets.UTF_8));
+    private void handle(Exchange exchange) {
+        switch (exchange.head().path()) {
+            case "/hold" -> heldExchanges.add(exchange);
+            case "/echo" -> exchange.respond(200, "text/plain", new String(exchange.body(), StandardCharsets.UTF_8));
             case "/chunks" -> {
-                BodyStream out = x.stream(200, new Headers());
+                BodyStream out = exchange.stream(200, new Headers());
                 out.write("ab".getBytes(StandardCharsets.UTF_8));
                 out.write("cde".getBytes(StandardCharsets.UTF_8));
                 out.end();
             }
             case "/flood" -> {
-                BodyStream out = x.stream(200, new Headers());
+                BodyStream out = exchange.stream(200, new Headers());
                 int written = 0;
                 while (out.write(new byte[8192]) && written < 100_000) {
                     written++;
                 }
             }
-            default -> x.respond(200, "text/plain", x.head().target());
+            default -> exchange.respond(200, "text/plain", exchange.head().target());
         }
     }
 
@@ -76,22 +76,22 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads to the end of the connection. */
-    private static String all(Socket socket) throws IOException {
+    /** Reads until the end of the connection. */
+    private static String readAll(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    private static String until(Socket socket, String mark) throws IOException {
-        StringBuilder out = new StringBuilder();
+    private static String readUntil(Socket socket, String mark) throws IOException {
+        StringBuilder received = new StringBuilder();
         InputStream in = socket.getInputStream();
-        while (out.indexOf(mark) < 0) {
-            int b = in.read();
-            if (b < 0) {
-                throw new IOException("ended after " + out);
+        while (received.indexOf(mark) < 0) {
+            int next = in.read();
+            if (next < 0) {
+                throw new IOException("connection ended after " + received);
             }
-            out.append((char) b);
+            received.append((char) next);
         }
-        return out.toString();
+        return received.toString();
     }
 
     private static List<Integer> statuses(String text) {
@@ -106,34 +106,34 @@
 
     @Test
     void answersPipelinedRequestsInOrder() throws Exception {
-        try (Socket s = connect()) {
+        try (Socket socket = connect()) {
             send(
-                    s,
+                    socket,
                     "GET /hold HTTP/1.1\r\nHost: h\r\n\r\nGET /two HTTP/1.1\r\nHost: h\r\n\r\n"
                             + "GET /three HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-            Exchange first = held.poll(10, TimeUnit.SECONDS);
+            Exchange first = heldExchanges.poll(10, TimeUnit.SECONDS);
             loop.execute(() -> first.respond(200, "text/plain", "one"));
-            String text = all(s);
+            String text = readAll(socket);
             assertEquals(List.of(200, 200, 200), statuses(text));
             assertTrue(text.indexOf("one") < text.indexOf("/two") && text.indexOf("/two") < text.indexOf("/three"));
         }
     }
 
     @Test
-    void holdsAPeerBackThatPipelinesWithoutEnd() throws Exception {
-        try (Socket s = connect()) {
-            send(s, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
-            Exchange first = held.poll(10, TimeUnit.SECONDS);
+    void appliesBackpressureToAPipeliningPeer() throws Exception {
+        try (Socket socket = connect()) {
+            send(socket, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
+            Exchange first = heldExchanges.poll(10, TimeUnit.SECONDS);
             String more = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n".repeat(400);
-            send(s, more);
+            send(socket, more);
             loop.execute(() -> first.respond(200, "text/plain", "one"));
-            send(s, "GET /last HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-            assertEquals(402, statuses(all(s)).size());
+            send(socket, "GET /last HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+            assertEquals(402, statuses(readAll(socket)).size());
         }
     }
 
     @Test
-    void refusesWithTheProtocolsOwnErrorsAndHarmsNoOther() throws Exception {
+    void refusesMalformedRequestsWithoutAffectingOtherConnections() throws Exception {
         try (Socket other = connect()) {
             String[][] cases = {
                 {"400", "GET / HTTP/1.1\r\nHost : h\r\n\r\n"},
@@ -143,20 +143,20 @@
                 {"501", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip\r\n\r\n"},
                 {"505", "GET / HTTP/3.0\r\n\r\n"}
             };
-            for (String[] one : cases) {
-                try (Socket s = connect()) {
-                    send(s, one[1]);
-                    String text = all(s);
-                    assertEquals(List.of(Integer.parseInt(one[0])), statuses(text), one[1]);
+            for (String[] statusAndRequest : cases) {
+                try (Socket socket = connect()) {
+                    send(socket, statusAndRequest[1]);
+                    String text = readAll(socket);
+                    assertEquals(List.of(Integer.parseInt(statusAndRequest[0])), statuses(text), statusAndRequest[1]);
                     assertTrue(text.contains("application/problem+json"));
                 }
             }
-            try (Socket s = connect()) {
-                send(s, "BREW / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-                assertEquals(List.of(501), statuses(all(s)));
+            try (Socket socket = connect()) {
+                send(socket, "BREW / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+                assertEquals(List.of(501), statuses(readAll(socket)));
             }
             send(other, "GET /still HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-            assertTrue(all(other).endsWith("/still"));
+            assertTrue(readAll(other).endsWith("/still"));
         }
     }
 
@@ -167,40 +167,40 @@
                 Socket idle = connect()) {
             send(head, "GET / HT");
             send(body, "POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
-            assertEquals(List.of(408), statuses(all(head)));
-            assertEquals(List.of(408), statuses(all(body)));
-            assertEquals("", all(idle));
+            assertEquals(List.of(408), statuses(readAll(head)));
+            assertEquals(List.of(408), statuses(readAll(body)));
+            assertEquals("", readAll(idle));
         }
     }
 
     @Test
-    void knowsExpectHeadChunksAndHalfClose() throws Exception {
-        try (Socket s = connect()) {
-            send(s, "POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n");
-            assertTrue(until(s, "\r\n\r\n").startsWith("HTTP/1.1 100 "));
-            send(s, "hello");
-            assertTrue(until(s, "hello").startsWith("HTTP/1.1 200 "));
-            send(s, "HEAD /abcdef HTTP/1.1\r\nHost: h\r\n\r\nGET /chunks HTTP/1.1\r\nHost: h\r\n\r\n");
-            String text = until(s, "0\r\n\r\n");
+    void handlesExpectHeadChunksAndHalfClose() throws Exception {
+        try (Socket socket = connect()) {
+            send(socket, "POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n");
+            assertTrue(readUntil(socket, "\r\n\r\n").startsWith("HTTP/1.1 100 "));
+            send(socket, "hello");
+            assertTrue(readUntil(socket, "hello").startsWith("HTTP/1.1 200 "));
+            send(socket, "HEAD /abcdef HTTP/1.1\r\nHost: h\r\n\r\nGET /chunks HTTP/1.1\r\nHost: h\r\n\r\n");
+            String text = readUntil(socket, "0\r\n\r\n");
             assertTrue(text.contains("Content-Length: 7\r\n"));
             assertFalse(text.contains("abcdef"));
             assertTrue(text.endsWith("2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n"));
-            send(s, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
-            Exchange x = held.poll(10, TimeUnit.SECONDS);
+            send(socket, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
+            Exchange exchange = heldExchanges.poll(10, TimeUnit.SECONDS);
             CompletableFuture<Boolean> gone = new CompletableFuture<>();
-            loop.execute(() -> x.onGone(() -> gone.complete(true)));
-            s.shutdownOutput();
+            loop.execute(() -> exchange.onGone(() -> gone.complete(true)));
+            socket.shutdownOutput();
             assertTrue(gone.get(10, TimeUnit.SECONDS));
-            assertFalse(loop.call(() -> x.respond(200, "text/plain", "late")));
+            assertFalse(loop.call(() -> exchange.respond(200, "text/plain", "late")));
         }
     }
 
     @Test
-    void aReaderThatTakesNothingIsResetAtTheBound() throws Exception {
-        try (Socket s = connect()) {
-            send(s, "GET /flood HTTP/1.1\r\nHost: h\r\n\r\n");
-            long until = System.nanoTime() + 20_000_000_000L;
-            while (loop.call(() -> loop.counters().pendingOverflows) == 0 && System.nanoTime() < until) {
+    void resetsAPeerThatReadsNothingAtTheLimit() throws Exception {
+        try (Socket socket = connect()) {
+            send(socket, "GET /flood HTTP/1.1\r\nHost: h\r\n\r\n");
+            long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+            while (loop.call(() -> loop.counters().pendingOverflows) == 0 && System.nanoTime() < deadlineNanos) {
                 Thread.onSpinWait();
             }
             assertEquals(1L, loop.call(() -> loop.counters().pendingOverflows));
@@ -209,31 +209,32 @@
     }
 
     @Test
-    void refusesConnectionsBeyondTheBoundCleanly() throws Exception {
-        List<Socket> all = new ArrayList<>();
+    void refusesConnectionsAboveTheLimitWith503() throws Exception {
+        List<Socket> sockets = new ArrayList<>();
         try {
             for (int i = 0; i < LIMITS.connections(); i++) {
-                Socket s = connect();
-                all.add(s);
-                send(s, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
-                assertTrue(held.poll(10, TimeUnit.SECONDS) != null);
+                Socket socket = connect();
+                sockets.add(socket);
+                send(socket, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
+                assertTrue(heldExchanges.poll(10, TimeUnit.SECONDS) != null);
             }
-            try (Socket s = connect()) {
-                assertEquals(List.of(503), statuses(all(s)));
+            try (Socket socket = connect()) {
+                assertEquals(List.of(503), statuses(readAll(socket)));
             }
         } finally {
-            for (Socket s : all) {
-                s.close();
+            for (Socket socket : sockets) {
+                socket.close();
             }
         }
     }
 
     private record Result(HttpHead head, String body, HttpClient.Failure failure) {}
 
-    private CompletableFuture<Result> call(HttpClient client, InetSocketAddress to, String path, double timeoutMs) {
+    private CompletableFuture<Result> call(
+            HttpClient client, InetSocketAddress address, String path, double timeoutMs) {
         CompletableFuture<Result> done = new CompletableFuture<>();
         loop.execute(() -> client.send(
-                to,
+                address,
                 "client",
                 "GET",
                 path,
@@ -246,7 +247,7 @@
     }
 
     @Test
-    void theClientPoolsConnectionsAndNamesItsFailures() throws Exception {
+    void clientPoolsConnectionsAndReportsFailures() throws Exception {
         HttpClient client = new HttpClient(loop, HttpLimits.DEFAULT, 2, 1000);
         assertEquals(
                 "/a",
@@ -267,7 +268,7 @@
             server.stopListening();
             return true;
         });
-        // the port is free in the next turn of the loop
+        // the port is released in the next turn of the loop
         HttpClient.Failure last = null;
         for (int i = 0; i < 100 && last != HttpClient.Failure.CONNECT_REFUSED; i++) {
             last = call(client, address, "/d", 1000).get(10, TimeUnit.SECONDS).failure();
