--- a/protocols/src/main/java/calicovale/protocols/net/Connection.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Connection.java
@@ -125,7 +125,7 @@
     }
 
     /** Returns the local address, or null if it is no longer known. */
-    public InetSocketAddress local() {
+    public InetSocketAddress localAddress() {
         if (channel == null) {
             return null;
         }
