--- a/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
+++ b/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
@@ -33,10 +33,10 @@
  * <p>A turn is one pass of the loop and has these phases. First, the queued messages run. Then the ready connections
  * are read one after the other, each until no more data is available or a limit is reached. Then new connections are
  * accepted. Then the deferred tasks run, first those of {@link Phase#ENDS}, then those of
- * {@link Phase#DECISIONS} with the expired timers in their order. Finally, connections with queued bytes that have become writable are
- * written to. Because reads come before timers, a response that reached the socket in time is not overtaken by its
- * own timeout after a stall of the process. Because the tasks for closed connections run before decisions, a decision
- * takes every close into account that had been read by then.
+ * {@link Phase#DECISIONS} with the expired timers in their order. Finally, connections with queued bytes that have
+ * become writable are written to. Because reads come before timers, a response that reached the socket in time is not
+ * overtaken by its own timeout after a stall of the process. Because the tasks for closed connections run before
+ * decisions, a decision takes every close into account that had been read by then.
  */
 public final class EventLoop implements Executor, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
