--- a/controller/src/main/java/calicovale/SessionController.java
+++ b/controller/src/main/java/calicovale/SessionController.java
@@ -4,1045 +4,1510 @@
 import java.util.*;
 
 /**
- * All decisions of one session manager: who plays, where and at what quality. Events, actions and settings
- * are in ControllerApi.java, the one interface file. Steps 1 to 5 of the design (normalized service capacity
- * under a weighted cap, Shikata and Hanayama) decide the ordinary path; each departure says when it acts.
- * Time comes from events only; equal events give equal actions.
+ * Takes all decisions of one session manager: which server plays a session, at which rung, and when a request is
+ * refused. The settings, the events it handles and the actions it calls are declared in {@link ControllerApi}.
+ *
+ * <p>A new session goes to the server with the largest share of normalized service capacity under a weighted cap
+ * (the rule of Shikata and Hanayama): normalized capacity times the class's worth, divided by the server's weighted
+ * load including the newcomer. In detail:
+ *
+ * <ul>
+ *   <li>each server has a normalized capacity, its link over the mean link;
+ *   <li>its weighted load is the sum of the worths of its sessions, including the newcomer, and an estimate of the
+ *       load that other session managers (peers) put on it;
+ *   <li>servers over the cap, or that the rules exclude, are left out;
+ *   <li>a price per kB, from own sessions and estimated room, gives the rung that a session may have;
+ *   <li>the newcomer goes to the largest share among servers where its rung fits.
+ * </ul>
+ *
+ * <p>Each method that departs from this rule states when it does so and why. Comments refer to these numbered rules:
+ * 1, one answer to each request in time; 2, no effect twice; 3, nothing new to a draining server; 4, a limited pace of
+ * set-ups at a cold server; 5, floors and seats; 6, a budget of further attempts.
+ *
+ * <p>Load is known from notes, load reports and delivered shares, which are late and noisy. Link and uplink use is
+ * therefore estimated, and a reading loses weight with its age. Playing sessions are lowered when a link or an uplink
+ * is short, and raised when there has been room for some time.
+ *
+ * <p>Time comes from events only and the seed feeds the only random source, so equal events give equal actions.
+ * The class is not thread-safe. Clock times (names that end in {@code At}, {@code now}) are in ms, rates in kB/s.
  */
 public final class SessionController {
-    // Constants: each with its unit (parts and counts have none) and its reason.
-    private static final double NEVER = Double.NEGATIVE_INFINITY, // clock time before all others
-            TIE = 0.02, // part by which shares may differ and still tie: readings are rougher than that
-            MARK = 0.92, // part of a link or uplink that set-ups may fill; true rates swing about the ladder
-            DOUBT = 0.3, // by which the mark is lower at an unheard server: links spread so about their average
-            EASE = 0.88, // part to which it is then brought: newcomers come before the next note, and floors hold
-            SHED = 1.02, // part asked above which playing sessions are lowered: really short, not nearly
-            RAISE = 0.74, // part asked up to which they are raised: well under MARK, or it would be undone
-            CALM_MS = 6000, // ms that room must have lasted before a raise: two rounds of notes
-            RAISE_PACE = 0.03, // raises per session and second: in all under 3 steps a session-minute
-            TICK_MS = 250, // ms between looks at all links: shorter than a note's lateness
-            NOTE_GAIN = 0.7, // weight of a new note: notes carry noise of several per cent
-            REPORT_GAIN = 0.4, // weight of an outcome's report: later and noisier than a note
-            REPORT_LATE_MS = 500, // ms by which such a report is late, about: stated nowhere
-            PRIOR_USE = 0.6, // part asked of a link while nothing at all has been heard
-            PRIOR_WEIGHT = 1, // its weight in mean links: matters only when next to nothing is heard
-            LEAST_TRUST = 0.001, // say of a reading under which it is dropped from the average: nothing by then
-            FADE_MS = 4000, // ms in which a reading older than two notes loses two thirds of its say
-            MOST_USE = 3, // highest part asked that is believed: above it a link is hopeless anyway
-            WHOLE_SHARE = 0.98, // share delivered that counts as whole (the wire's own figure)
-            SHORT_FRESH_MS = 2200, // ms for which a note of short delivery holds: they come once a second
-            BIAS_FALL = 0.01, // fall a second of a rack's correction while nothing short is heard
-            BIAS_FAST = 10, // how much faster it falls above BIAS_USUAL: trouble ends, differences stay
-            BIAS_USUAL = 1.3, // correction that an uplink may have for good: racks differ by a third
-            BIAS_LEAST = 0.5, // least correction of a rack
-            BIAS_MOST = 8, // most: troubles divide uplinks by up to eight
-            UNTESTED = 0.85, // part asked of an uplink above which whole delivery shows that it carries more
-            REACT_MS = 400, // ms for all managers' lowerings to show, beside a note's lateness
-            LOST_MS = 8000, // ms for which a lost attempt counts as load: a hung server must not look empty
-            SUSPEND_MS = 2500, // ms of the first suspension after a failed set-up; doubles with each,
-            SUSPEND_DOUBLINGS = 3, // so often at most: trouble lasts seconds
-            ALL_BAD = 0.6, // part of the servers suspended at which suspensions are void: the fault is elsewhere
-            COLD_MARGIN = 0.9, // part of a cold server's permitted pace that all managers together use
-            BLIND_MS = 4000, // ms after a start without hand-over in which any server may be cold unknown to us
-            AIM_PART = 0.45, // first time-outs as a part of the class's aim: two attempts fit in it
-            LEAST_TIMEOUT_MS = 250, // ms; shortest time-out of an attempt
-            TIMEOUT_DEVIATIONS = 8, // time-out over the usual set-up time, in its mean deviations
-            LEAST_LEFT_MS = 100, // ms left to the viewer under which no attempt is worth sending
-            RETRY_MS = 400, // ms; shortest retry-after, about a departure at a busy server; spread to twice
-            RACK_SHORT = 0.6, // part of a rack's used servers that is short when its uplink is
-            DEAD_SHARE = 0.2, // share delivered under which a server plays nothing, unless its link explains it
-            LIFE_S = 35, // s that a session lasts, before any has ended here
-            MOST_RIGHT = 1.5, // most by which notes correct a link against its weight: a third is usual
-            LAG = 0.1, // part served behind the whole at which the worst class weighs fully
-            TRIAL_MS = 4000, // ms between all managers' trials at a fully suspected server: trouble lasts seconds
-            FORGET_MS = 60_000, // ms after which a server that is gone is forgotten: no list runs so far behind
-            LATE_MS = 500, // ms by which a request is heard and an attempt arrives late: a connect takes 250
-            ASK_AGAIN_MS = 1500, // ms between calls for the list after a failed one
-            TENANT_S = 5; // s over which a tenant's rate is averaged
-
-    private final Settings cfg;
+    // Ratios, fractions, weights and counts have no unit.
+
+    // Clock time before all others: the event has not happened.
+    private static final double NEVER = Double.NEGATIVE_INFINITY;
+
+    // Shares closer than this fraction count as equal, because the readings behind them are less exact than that.
+    private static final double SHARE_TIE_FRACTION = 0.02;
+
+    // Fraction of a link or an uplink that set-ups may fill. The rest is kept free because the rates that sessions
+    // really play at vary around those of the ladder.
+    private static final double FILL_LIMIT_FRACTION = 0.92;
+
+    // Most by which FILL_LIMIT_FRACTION is lowered at a server without recent readings, because the use of single
+    // links spreads about that much around the average.
+    private static final double UNHEARD_FILL_REDUCTION = 0.3;
+
+    // Fraction of a link or an uplink to which lowering brings it. It is below FILL_LIMIT_FRACTION because newcomers
+    // arrive before the next reading and because sessions on their lowest rung cannot be lowered.
+    private static final double RELIEF_TARGET_FRACTION = 0.88;
+
+    // Use of a link or an uplink, over its rate, above which playing sessions are lowered. It is above 1 so that only a
+    // real
+    // shortage lowers them, not a nearly full link.
+    private static final double RELIEF_TRIGGER_RATIO = 1.02;
+
+    // Fraction of a link or an uplink up to which playing sessions are raised. It is well below FILL_LIMIT_FRACTION,
+    // because the raise would have to be undone otherwise.
+    private static final double RAISE_LIMIT_FRACTION = 0.74;
+
+    // Time in ms for which a session must have had room before it is raised: two rounds of notes.
+    private static final double RAISE_WAIT_MS = 6000;
+
+    // Raises by one rung per session and second. In all it keeps changes below 3 steps per session and minute.
+    private static final double RAISES_PER_SESSION_SECOND = 0.03;
+
+    // Mean time in ms between two checks of all links; shorter than the delay of a note.
+    private static final double TICK_INTERVAL_MS = 250;
+
+    // Weight of a new note in the moving average of a reading; notes carry noise of several per cent.
+    private static final double NOTE_SMOOTHING_WEIGHT = 0.7;
+
+    // Weight of an outcome's load report in that average; lower, because reports are later and noisier than notes.
+    private static final double REPORT_SMOOTHING_WEIGHT = 0.4;
+
+    // Approximate age in ms of a load report when it arrives; no setting states it.
+    private static final double REPORT_AGE_MS = 500;
+
+    // Fraction of a link that is taken as used before anything has been heard of any link.
+    private static final double PRIOR_USE_FRACTION = 0.6;
+
+    // Weight of that prior in mean links; it matters only while next to nothing has been heard.
+    private static final double PRIOR_WEIGHT_LINKS = 1;
+
+    // Weight below which a reading is left out of the average over all links, because it adds next to nothing.
+    private static final double MIN_READING_WEIGHT = 0.001;
+
+    // Time constant in ms of the decay of a reading that is older than two notes: after this time it has lost
+    // two thirds of its weight.
+    private static final double READING_DECAY_MS = 4000;
+
+    // Highest use of a link, over its rate, that a reading is believed to show; a link above that has no room anyway.
+    private static final double MAX_USE_RATIO = 3;
+
+    // Delivered share from which delivery counts as complete; the protocol of the notes uses the same figure.
+    private static final double FULL_DELIVERY_FRACTION = 0.98;
+
+    // Time in ms for which a note of short delivery holds; such notes come once a second.
+    private static final double SHORT_DELIVERY_VALID_MS = 2200;
+
+    // Fraction by which a rack's correction falls per second while no short delivery is heard.
+    private static final double CORRECTION_DECAY_PER_S = 0.01;
+
+    // Factor on that decay above USUAL_CORRECTION_RATIO, because faults end but differences between uplinks stay.
+    private static final double FAST_DECAY_FACTOR = 10;
+
+    // Correction that an uplink may have permanently: the uplinks of racks differ by a third.
+    private static final double USUAL_CORRECTION_RATIO = 1.3;
+
+    // Lowest correction of a rack's uplink.
+    private static final double MIN_CORRECTION_RATIO = 0.5;
+
+    // Highest correction of a rack's uplink: faults divide the rate of an uplink by up to eight.
+    private static final double MAX_CORRECTION_RATIO = 8;
+
+    // Estimated use of an uplink above which complete delivery shows that the uplink carries more than estimated.
+    private static final double UNTESTED_UPLINK_FRACTION = 0.85;
+
+    // Time in ms, beside the delay of a note, until the lowering by all managers shows in readings.
+    private static final double RELIEF_EFFECT_MS = 400;
+
+    // Time in ms for which a lost attempt counts as load, so that a server that hangs does not look empty.
+    private static final double LOST_ATTEMPT_LOAD_MS = 8000;
+
+    // Length in ms of the first suspension after a failed set-up; each further failure doubles it.
+    private static final double FIRST_SUSPENSION_MS = 2500;
+
+    // Most doublings of that length; no more, because faults last for seconds.
+    private static final double MAX_SUSPENSION_DOUBLINGS = 3;
+
+    // Fraction of the servers that must be unhealthy for suspensions to be ignored, because the fault is then
+    // elsewhere.
+    private static final double FLEET_FAULT_FRACTION = 0.6;
+
+    // Fraction of a cold server's permitted pace of set-ups that all managers together use.
+    private static final double COLD_PACE_FRACTION = 0.9;
+
+    // Time in ms after a start without hand-over in which any server may be cold without the controller knowing it.
+    private static final double UNKNOWN_COLD_MS = 4000;
+
+    // Longest time-out of an attempt, also of the first ones, as a fraction of the class's aim, so that two attempts
+    // fit in the aim.
+    private static final double TIMEOUT_AIM_FRACTION = 0.45;
+
+    // Shortest time-out of an attempt, in ms.
+    private static final double MIN_TIMEOUT_MS = 250;
+
+    // Margin of the time-out above the mean set-up time, in mean deviations of the set-up time.
+    private static final double TIMEOUT_DEVIATIONS = 8;
+
+    // Time in ms left to the viewer below which no attempt is worth sending.
+    private static final double MIN_REMAINING_MS = 100;
+
+    // Shortest retry-after in ms, about the time between two departures at a busy server. Each answer adds a random
+    // part of up to the same length.
+    private static final double MIN_RETRY_AFTER_MS = 400;
+
+    // Fraction of a rack's servers in use here that have short delivery when the cause is the rack's uplink.
+    private static final double SHORT_RACK_FRACTION = 0.6;
+
+    // Delivered share below which a server counts as failed, unless the use of its link or uplink explains it.
+    private static final double DEAD_DELIVERY_FRACTION = 0.2;
+
+    // Mean length of a session in s that is assumed before any has ended.
+    private static final double INITIAL_SESSION_S = 35;
+
+    // Largest factor by which readings correct a server's capacity against its weight; a third is usual.
+    private static final double MAX_CAPACITY_CORRECTION_RATIO = 1.5;
+
+    // Difference between the served fraction of all classes and that of one class at which its extra weight is full.
+    private static final double FULL_WEIGHT_LAG_FRACTION = 0.1;
+
+    // Time in ms between the trials of all managers together at a fully suspected server; faults last for seconds.
+    private static final double SUSPECTED_TRIAL_INTERVAL_MS = 4000;
+
+    // Time in ms after which a server that is gone is forgotten; no list of servers is that late.
+    private static final double FORGET_SERVER_MS = 60_000;
+
+    // Longest delay in ms with which a request is heard or an attempt arrives; a connect takes 250 ms.
+    private static final double BUDGET_WINDOW_MARGIN_MS = 500;
+
+    // Shortest time in ms between two requests for the list of servers after a failed one; spread to twice that.
+    private static final double LIST_RETRY_MS = 1500;
+
+    // Time constant in s of the average of a tenant's request rate.
+    private static final double TENANT_RATE_WINDOW_S = 5;
+
+    private final Settings config;
     private final Media media;
-    private final Actions out;
+    private final Actions hostActions;
     private final SplittableRandom random;
     private final TreeMap<Long, Server> servers = new TreeMap<>();
     private final TreeMap<Integer, Rack> racks = new TreeMap<>();
-    private final LinkedHashSet<Server> heardOf = new LinkedHashSet<>();
+    // Servers whose readings may still have weight in the average over all links.
+    private final LinkedHashSet<Server> serversWithReadings = new LinkedHashSet<>();
     private final LinkedHashMap<String, Session> sessions = new LinkedHashMap<>();
-    private final Map<String, Integer> seats = new HashMap<>();
-    private final ArrayDeque<Double> taken = new ArrayDeque<>();
-    private final ArrayDeque<Double> extras = new ArrayDeque<>();
-    private final double[][] kb, density;
-    private final double[] tenantRate, tenantAt, earned, offered, boost;
-    private final double meanWorth, cap, startedAt;
-    private double now, average, price, raiseTokens, tickedAt, setupDeviation, setupMs = -1, lifeS = LIFE_S;
-    private double heardPart, averagedAt = NEVER, pricedAt = NEVER, meanLink = 1, links, ownKb;
-    private long listVersion = -1, changes, held;
+    // Sessions per class and title, set-ups included.
+    private final Map<String, Integer> seatsTaken = new HashMap<>();
+    // Clock times for the budget of further attempts.
+    private final ArrayDeque<Double> requestTimes = new ArrayDeque<>();
+    private final ArrayDeque<Double> extraAttemptTimes = new ArrayDeque<>();
+    // Rate in kB/s, and worth per kB of the step up to a rung; both by class and rung.
+    private final double[][] rateKb;
+    private final double[][] worthPerKb;
+    // Requests per second by tenant, and the clock time of its last update.
+    private final double[] tenantRequestRate;
+    private final double[] tenantRateAt;
+    // By class: the worth that played, the worth at the highest rungs, and the resulting factor on the class's worth.
+    private final double[] earnedWorth;
+    private final double[] offeredWorth;
+    private final double[] classBoost;
+    private final double meanClassWorth;
+    // Most weighted load per unit of normalized capacity.
+    private final double loadCap;
+    private final double startedAt;
+    private double now;
+    private double averageLinkUse;
+    // Least worth per kB for which a step of a session's rung is given.
+    private double pricePerKb;
+    // Steps by which sessions may be raised now.
+    private double raiseTokens;
+    private double lastTickAt;
+    private double setupDeviationMs;
+    // Negative until the first set-up.
+    private double meanSetupMs = -1;
+    private double meanSessionS = INITIAL_SESSION_S;
+    // Fraction of all links' rate that recent readings cover.
+    private double heardFraction;
+    private double averagedAt = NEVER;
+    private double pricedAt = NEVER;
+    private double meanLinkKb = 1;
+    private double totalLinkKb;
+    // Demand in kB/s of all own sessions, set-ups included.
+    private double totalOwnKb;
+    private long listVersion = -1;
+    // Rises with each change of state, so that cached sums can be checked.
+    private long stateVersion;
+    // Number of own sessions, set-ups included.
+    private long placedSessions;
+    // Whether playing sessions were handed over to this controller.
     private boolean handedOver;
 
-    /** Starts a controller; {@code seed} feeds its only random source. */
+    /**
+     * Creates a controller and starts its first timer.
+     *
+     * @param settings what the deployment allows and offers
+     * @param seed seed of the controller's only random source
+     * @param nowMs clock time in ms
+     * @param actions receives the controller's actions, also while this constructor runs
+     * @throws IllegalArgumentException when settings or actions are null, there is no class, or the ladder is empty
+     *     or lacks a worth for each rung
+     */
     public SessionController(Settings settings, long seed, double nowMs, Actions actions) {
-        if (settings == null || actions == null) throw new IllegalArgumentException("settings and actions are needed");
-        cfg = settings;
+        if (settings == null || actions == null)
+            throw new IllegalArgumentException("settings and actions must not be null");
+        config = settings;
         media = settings.media();
-        out = actions;
+        hostActions = actions;
         now = nowMs;
-        startedAt = tickedAt = nowMs;
+        startedAt = lastTickAt = nowMs;
         random = new SplittableRandom(seed);
         int rungs = media.rungKb().size();
-        if (rungs == 0 || media.rungWorth().size() != rungs || cfg.classes().isEmpty())
-            throw new IllegalArgumentException("settings need classes and a ladder with worths");
-        kb = new double[cfg.classes().size()][rungs];
-        density = new double[cfg.classes().size()][rungs];
-        for (int c = 0; c < kb.length; c++) {
-            for (int r = 0; r < rungs; r++)
-                kb[c][r] = media.rungKb().get(r) * cfg.classes().get(c).scale();
-            for (int r = 0; r < rungs; r++) density[c][r] = slope(c, r);
+        if (rungs == 0 || media.rungWorth().size() != rungs || config.classes().isEmpty())
+            throw new IllegalArgumentException(
+                    "settings need at least one class, and a ladder with one worth for each rung");
+        rateKb = new double[config.classes().size()][rungs];
+        worthPerKb = new double[config.classes().size()][rungs];
+        for (int classIndex = 0; classIndex < rateKb.length; classIndex++) {
+            for (int rung = 0; rung < rungs; rung++)
+                rateKb[classIndex][rung] = media.rungKb().get(rung)
+                        * config.classes().get(classIndex).scale();
+            for (int rung = 0; rung < rungs; rung++) worthPerKb[classIndex][rung] = concaveHullSlope(classIndex, rung);
         }
-        meanWorth = cfg.classes().stream()
+        meanClassWorth = config.classes().stream()
                 .mapToDouble(SessionClass::worth)
                 .average()
                 .orElse(1);
-        OptionalDouble streams =
+        OptionalDouble meanStreams =
                 media.kindStreams().stream().mapToDouble(kind -> kind).average();
-        cap = streams.isPresent() ? streams.getAsDouble() * meanWorth : Double.MAX_VALUE;
-        earned = new double[kb.length];
-        offered = new double[kb.length];
-        boost = new double[kb.length];
-        Arrays.fill(boost, 1);
-        tenantRate = new double[Math.max(1, cfg.tenants().size())];
-        tenantAt = new double[tenantRate.length];
-        if (cfg.askForList()) out.subscribe();
-        out.timer(TICK_MS * (0.5 + random.nextDouble()), "tick");
-    }
-
-    /** Worth per kB of rung r's step on the ladder's concave hull, so that it never rises up the ladder. */
-    private double slope(int c, int r) {
-        SessionClass k = cfg.classes().get(c);
-        double least = Double.MAX_VALUE;
-        for (int low = -1; low < r; low++) {
+        loadCap = meanStreams.isPresent() ? meanStreams.getAsDouble() * meanClassWorth : Double.MAX_VALUE;
+        earnedWorth = new double[rateKb.length];
+        offeredWorth = new double[rateKb.length];
+        classBoost = new double[rateKb.length];
+        Arrays.fill(classBoost, 1);
+        tenantRequestRate = new double[Math.max(1, config.tenants().size())];
+        tenantRateAt = new double[tenantRequestRate.length];
+        if (config.askForList()) hostActions.subscribe();
+        hostActions.timer(TICK_INTERVAL_MS * (0.5 + random.nextDouble()), "tick");
+    }
+
+    /**
+     * Returns the worth per kB of the step to a rung on the ladder's concave hull. On the hull the worth per kB never
+     * rises from a rung to the next higher one.
+     */
+    private double concaveHullSlope(int classIndex, int rung) {
+        SessionClass sessionClass = config.classes().get(classIndex);
+        double slope = Double.MAX_VALUE;
+        for (int lowRung = -1; lowRung < rung; lowRung++) {
             double steepest = 0;
-            for (int high = r; high < kb[c].length; high++) {
-                double worth = media.rungWorth().get(high)
-                        - (low < 0 ? 0 : media.rungWorth().get(low));
-                double rate = kb[c][high] - (low < 0 ? 0 : kb[c][low]);
-                steepest = Math.max(steepest, worth / rate);
+            for (int highRung = rung; highRung < rateKb[classIndex].length; highRung++) {
+                double worthGain = media.rungWorth().get(highRung)
+                        - (lowRung < 0 ? 0 : media.rungWorth().get(lowRung));
+                double rateGainKb = rateKb[classIndex][highRung] - (lowRung < 0 ? 0 : rateKb[classIndex][lowRung]);
+                steepest = Math.max(steepest, worthGain / rateGainKb);
             }
-            least = Math.min(least, steepest);
+            slope = Math.min(slope, steepest);
         }
-        return least * k.worth();
+        return slope * sessionClass.worth();
     }
 
-    /** Takes one event; the actions it leads to have been called when this returns. */
+    /**
+     * Handles one event. All actions that it leads to have been called when this method returns.
+     *
+     * @param nowMs clock time in ms
+     * @throws IllegalArgumentException when the event is null, a request's class is not in the settings, or the
+     *     request's id is already in use
+     */
     public void handle(double nowMs, Event event) {
         now = nowMs;
-        changes++;
-        if (event instanceof Request e) onRequest(e);
-        else if (event instanceof Takeover e) onTakeover(e);
-        else if (event instanceof Started e) onStarted(e);
-        else if (event instanceof AttemptEnded e) onEnded(e);
-        else if (event instanceof Note e) onNote(e);
-        else if (event instanceof Departed e) onDeparted(e);
-        else if (event instanceof ServerList e) onList(e);
-        else if (event instanceof ProbeEnded e) onProbe(e);
-        else if (event instanceof Suspected e) onSuspected(e);
-        else if (event instanceof TimerFired e) onTimer(e);
-        else if (!(event instanceof PeerMessage)) throw new IllegalArgumentException("an event is needed");
+        stateVersion++;
+        if (event instanceof Request request) onRequest(request);
+        else if (event instanceof Takeover takeover) onTakeover(takeover);
+        else if (event instanceof Started started) onStarted(started);
+        else if (event instanceof AttemptEnded attemptEnded) onAttemptEnded(attemptEnded);
+        else if (event instanceof Note note) onNote(note);
+        else if (event instanceof Departed departed) onDeparted(departed);
+        else if (event instanceof ServerList serverList) onServerList(serverList);
+        else if (event instanceof ProbeEnded probeEnded) onProbeEnded(probeEnded);
+        else if (event instanceof Suspected suspected) onSuspected(suspected);
+        else if (event instanceof TimerFired timerFired) onTimerFired(timerFired);
+        else if (!(event instanceof PeerMessage)) throw new IllegalArgumentException("the event must not be null");
     }
 
     // --- Requests and attempts ---
 
-    private void onRequest(Request e) {
-        check(e);
-        taken.addLast(now);
-        Session s = new Session(e);
-        countTenant(e);
-        sessions.put(e.id(), s);
-        place(s);
-    }
-
-    private void check(Request e) {
-        if (e.sessionClass() >= cfg.classes().size())
-            throw new IllegalArgumentException("class " + e.sessionClass() + " is not in the settings");
-        if (sessions.containsKey(e.id())) throw new IllegalArgumentException("request " + e.id() + " is known already");
-    }
-
-    /** Sends the session to a server, or answers it at once. */
-    private void place(Session s) {
-        boolean first = s.attempts == 0;
-        double left = s.request.giveUpMs() - now;
-        // rule 5: sessions of one title and class, set-ups included
-        boolean seated = s.k.seats() <= 0 || seats.getOrDefault(s.seatKey(), 0) < s.k.seats();
-        boolean allowed = left >= LEAST_LEFT_MS && (first || mayRepeat(s)) && seated;
-        Server h = allowed ? choose(s) : null;
-        if (h == null) {
-            answer(s);
+    private void onRequest(Request request) {
+        checkRequest(request);
+        requestTimes.addLast(now);
+        Session session = new Session(request);
+        countTenantRequest(request);
+        sessions.put(request.id(), session);
+        place(session);
+    }
+
+    private void checkRequest(Request request) {
+        if (request.sessionClass() >= config.classes().size())
+            throw new IllegalArgumentException("class " + request.sessionClass() + " is not in the settings");
+        if (sessions.containsKey(request.id()))
+            throw new IllegalArgumentException("request " + request.id() + " is already in use");
+    }
+
+    /** Sends the session to a server, or gives its final answer when no server can take it. */
+    private void place(Session session) {
+        boolean firstAttempt = session.attempts == 0;
+        double remainingMs = session.request.giveUpMs() - now;
+        // Rule 5: the seats of a title and class count set-ups too.
+        boolean seatFree = session.sessionClass.seats() <= 0
+                || seatsTaken.getOrDefault(session.seatKey(), 0) < session.sessionClass.seats();
+        boolean allowed = remainingMs >= MIN_REMAINING_MS && (firstAttempt || mayAttemptAgain(session)) && seatFree;
+        Server server = allowed ? chooseServer(session) : null;
+        if (server == null) {
+            refuseOrFail(session);
             return;
         }
-        if (!first) extras.addLast(now);
-        s.server = h;
-        s.sentAt = h.lastSent = now;
-        s.tried.add(h.id);
-        s.attempts++;
-        h.out++;
-        count(s, +1);
-        if (s.rungSent || s.rung != s.k.lowestRung()) out.rung(s.request.id(), s.rung);
-        s.rungSent |= s.rung != s.k.lowestRung();
-        out.attempt(s.request.id(), h.id, Math.min(left, timeout(s)));
-    }
-
-    private double timeout(Session s) {
-        double usual = setupMs < 0 ? Double.MAX_VALUE : setupMs + TIMEOUT_DEVIATIONS * setupDeviation;
-        return Math.max(LEAST_TIMEOUT_MS, Math.min(AIM_PART * s.k.aimMs(), usual));
-    }
-
-    /** Rules 2 and 6: a further attempt only where none can have run, and within sendCap and the budget. */
-    private boolean mayRepeat(Session s) {
-        if (cfg.limits().attempts() > 0 && s.attempts >= cfg.limits().attempts()) return false;
-        boolean expired = s.k.effect() == Effect.TOKEN && now - s.tokenAt >= s.k.tokenMs();
-        if (s.mayHaveRun && (s.k.effect() == Effect.SIDE_EFFECT || expired)) return false;
-        if (cfg.rules().extraFree() < 0) return true;
-        // the rule counts where requests and attempts arrive: both ends of its window may lie off ours
-        double window = cfg.rules().extraWindowMs(), from = now - window;
-        double off = Math.min(LATE_MS, window / 10);
-        while (!extras.isEmpty() && extras.peekFirst() < from - off) extras.removeFirst();
-        while (!taken.isEmpty() && taken.peekFirst() <= from + off) taken.removeFirst();
-        return extras.size() + 1 <= cfg.rules().extraFree() + cfg.rules().extraRatio() * taken.size();
-    }
-
-    /** The final answer, at once: a refusal where that is harmless, else a failure. */
-    private void answer(Session s) {
-        sessions.remove(s.request.id());
-        if (s.doubted != null) judge(s.doubted, Outcome.ERROR);
-        boolean harmless = !s.mayHaveRun
-                || s.k.effect() == Effect.PURE
-                || s.k.effect() == Effect.TOKEN && s.k.group() == Group.ALL;
-        double after = RETRY_MS * (1 + random.nextDouble());
-        if (harmless) out.refuse(s.request.id(), Math.min(cfg.limits().retryAfterMs(), after));
-        else out.fail(s.request.id());
-    }
-
-    private void onStarted(Started e) {
-        Session s = sessions.get(e.id());
-        if (s == null || s.server == null) return;
-        s.playing = true;
-        s.startedAt = now;
-        if (s.doubted != null) judge(s.doubted, Outcome.ERROR);
-        s.server.out--;
-        s.server.strikes = Math.max(0, s.server.strikes - 1);
-        double usual = setupMs < 0 ? e.elapsedMs() / 2 : setupMs, gain = setupMs < 0 ? 1 : 0.1;
-        setupDeviation += gain * (Math.abs(e.elapsedMs() - usual) - setupDeviation);
-        setupMs = usual + gain * (e.elapsedMs() - usual);
-    }
-
-    private void onTakeover(Takeover e) {
-        check(e.request());
+        if (!firstAttempt) extraAttemptTimes.addLast(now);
+        session.server = server;
+        session.sentAt = server.lastAttemptAt = now;
+        session.triedServers.add(server.id);
+        session.attempts++;
+        server.pendingAttempts++;
+        countSession(session, +1);
+        if (session.rungSent || session.rung != session.sessionClass.lowestRung())
+            hostActions.rung(session.request.id(), session.rung);
+        session.rungSent |= session.rung != session.sessionClass.lowestRung();
+        hostActions.attempt(session.request.id(), server.id, Math.min(remainingMs, attemptTimeoutMs(session)));
+    }
+
+    /** Returns the time-out of the next attempt in ms, from the set-up times so far and the aim of the class. */
+    private double attemptTimeoutMs(Session session) {
+        double usualMs = meanSetupMs < 0 ? Double.MAX_VALUE : meanSetupMs + TIMEOUT_DEVIATIONS * setupDeviationMs;
+        return Math.max(MIN_TIMEOUT_MS, Math.min(TIMEOUT_AIM_FRACTION * session.sessionClass.aimMs(), usualMs));
+    }
+
+    /**
+     * Returns whether a further attempt is allowed: where an earlier one may have run, only if the class lets its
+     * effect happen twice (rule 2), and only within the limit on attempts and the budget (rule 6).
+     */
+    private boolean mayAttemptAgain(Session session) {
+        if (config.limits().attempts() > 0
+                && session.attempts >= config.limits().attempts()) return false;
+        boolean tokenExpired = session.sessionClass.effect() == Effect.TOKEN
+                && now - session.tokenStartedAt >= session.sessionClass.tokenMs();
+        if (session.mayHaveRun && (session.sessionClass.effect() == Effect.SIDE_EFFECT || tokenExpired)) return false;
+        if (config.rules().extraFree() < 0) return true;
+        // The rule counts requests and attempts where they arrive, so both ends of its window may differ from those
+        // seen here. The margin is on the strict side: attempts stay in the count longer, requests leave it earlier.
+        double windowMs = config.rules().extraWindowMs();
+        double windowStart = now - windowMs;
+        double marginMs = Math.min(BUDGET_WINDOW_MARGIN_MS, windowMs / 10);
+        while (!extraAttemptTimes.isEmpty() && extraAttemptTimes.peekFirst() < windowStart - marginMs)
+            extraAttemptTimes.removeFirst();
+        while (!requestTimes.isEmpty() && requestTimes.peekFirst() <= windowStart + marginMs)
+            requestTimes.removeFirst();
+        return extraAttemptTimes.size() + 1
+                <= config.rules().extraFree() + config.rules().extraRatio() * requestTimes.size();
+    }
+
+    /**
+     * Gives the final answer at once: a refusal where the viewer may safely repeat the request, otherwise a failure,
+     * which promises nothing about the effect.
+     */
+    private void refuseOrFail(Session session) {
+        sessions.remove(session.request.id());
+        if (session.deferredErrorServer != null) applyOutcome(session.deferredErrorServer, Outcome.ERROR);
+        boolean mayBeRepeated = !session.mayHaveRun
+                || session.sessionClass.effect() == Effect.PURE
+                || session.sessionClass.effect() == Effect.TOKEN && session.sessionClass.group() == Group.ALL;
+        double retryAfterMs = MIN_RETRY_AFTER_MS * (1 + random.nextDouble());
+        if (mayBeRepeated)
+            hostActions.refuse(session.request.id(), Math.min(config.limits().retryAfterMs(), retryAfterMs));
+        else hostActions.fail(session.request.id());
+    }
+
+    private void onStarted(Started event) {
+        Session session = sessions.get(event.id());
+        if (session == null || session.server == null) return;
+        session.playing = true;
+        session.startedAt = now;
+        if (session.deferredErrorServer != null) applyOutcome(session.deferredErrorServer, Outcome.ERROR);
+        session.server.pendingAttempts--;
+        session.server.failures = Math.max(0, session.server.failures - 1);
+        double usualMs = meanSetupMs < 0 ? event.elapsedMs() / 2 : meanSetupMs;
+        double smoothingWeight = meanSetupMs < 0 ? 1 : 0.1;
+        setupDeviationMs += smoothingWeight * (Math.abs(event.elapsedMs() - usualMs) - setupDeviationMs);
+        meanSetupMs = usualMs + smoothingWeight * (event.elapsedMs() - usualMs);
+    }
+
+    private void onTakeover(Takeover event) {
+        checkRequest(event.request());
         handedOver = true;
-        Session s = new Session(e.request());
-        s.server = server(e.server());
-        s.playing = s.rungSent = true;
-        s.attempts = 1;
-        s.startedAt = now;
-        s.rung = s.k.lowestRung();
-        sessions.put(e.request().id(), s);
-        count(s, +1);
-    }
-
-    private void onEnded(AttemptEnded e) {
-        Server h = servers.get(e.server());
-        Session s = sessions.get(e.id());
-        boolean known = s != null && s.server != null && s.server.id == e.server();
-        if (known) count(s, -1);
-        if (known && !s.playing) h.out--;
-        if (known) s.server = null;
-        if (h != null) {
-            report(h, e.load());
-            if (known && !s.playing && e.outcome() == Outcome.ERROR) doubt(s, h);
-            else judge(h, e.outcome());
+        Session session = new Session(event.request());
+        session.server = findOrAddServer(event.server());
+        session.playing = session.rungSent = true;
+        session.attempts = 1;
+        session.startedAt = now;
+        session.rung = session.sessionClass.lowestRung();
+        sessions.put(event.request().id(), session);
+        countSession(session, +1);
+    }
+
+    private void onAttemptEnded(AttemptEnded event) {
+        Server server = servers.get(event.server());
+        Session session = sessions.get(event.id());
+        boolean assigned = session != null && session.server != null && session.server.id == event.server();
+        if (assigned) countSession(session, -1);
+        if (assigned && !session.playing) server.pendingAttempts--;
+        if (assigned) session.server = null;
+        if (server != null) {
+            applyLoadReport(server, event.load());
+            if (assigned && !session.playing && event.outcome() == Outcome.ERROR) deferError(session, server);
+            else applyOutcome(server, event.outcome());
         }
-        if (!known) return;
-        if (!e.outcome().provesUnrun() && !s.mayHaveRun) {
-            s.mayHaveRun = true;
-            s.tokenServer = h;
-            s.tokenAt = s.sentAt;
+        if (!assigned) return;
+        if (!event.outcome().provesUnrun() && !session.mayHaveRun) {
+            session.mayHaveRun = true;
+            session.tokenServer = server;
+            session.tokenStartedAt = session.sentAt;
         }
-        if (s.playing && e.outcome() == Outcome.OK) lifeS += 0.05 * (e.elapsedMs() / 1000 - lifeS);
-        if (s.playing || s.departed || e.closed()) sessions.remove(e.id());
-        else place(s);
+        if (session.playing && event.outcome() == Outcome.OK)
+            meanSessionS += 0.05 * (event.elapsedMs() / 1000 - meanSessionS);
+        if (session.playing || session.departed || event.closed()) sessions.remove(event.id());
+        else place(session);
     }
 
-    private void onDeparted(Departed e) {
-        Session s = sessions.get(e.id());
-        if (s == null) return;
-        s.departed = true;
-        if (s.server == null) sessions.remove(e.id());
-        else if (!s.playing && cfg.limits().cancel()) out.cancel(e.id(), s.attempts - 1);
+    private void onDeparted(Departed event) {
+        Session session = sessions.get(event.id());
+        if (session == null) return;
+        session.departed = true;
+        if (session.server == null) sessions.remove(event.id());
+        else if (!session.playing && config.limits().cancel()) hostActions.cancel(event.id(), session.attempts - 1);
     }
 
-    // --- Choice: steps 2, 3 and 5 of the design ---
+    // --- Choice of a server ---
 
-    private Server choose(Session s) {
-        reprice();
-        List<Server> holders = new ArrayList<>();
-        for (Server h : servers.values()) {
-            boolean open = h.ready && holds(h, s.request) && !s.tried.contains(h.id);
-            if (open && groupAllows(s, h) && paceAllows(h)) holders.add(h);
+    /**
+     * Returns the server for the next attempt and sets the session's rung; null if there is none. Prefers a server
+     * where the wanted rung fits, then one where a lower rung fits, and last lowers playing sessions to make room.
+     */
+    private Server chooseServer(Session session) {
+        updatePrice();
+        List<Server> candidates = new ArrayList<>();
+        for (Server server : servers.values()) {
+            boolean open =
+                    server.ready && holdsTitle(server, session.request) && !session.triedServers.contains(server.id);
+            if (open && groupAllows(session, server) && coldPaceAllows(server)) candidates.add(server);
         }
-        List<Server> healthy = new ArrayList<>(holders);
-        healthy.removeIf(h -> !healthy(h));
-        if (!healthy.isEmpty() || !manyBad()) holders = healthy;
-        holders.removeIf(h -> load(h, s) / capacity(h) > cap);
-        if (cfg.zoneCost() > 0 && holders.stream().anyMatch(h -> h.zone == cfg.zone()))
-            holders.removeIf(h -> h.zone != cfg.zone());
-        int want = wanted(s);
-        double tied = 0;
-        double used = holders.stream().mapToDouble(this::tightness).average().orElse(1);
-        double mean = holders.stream()
-                .mapToDouble(h -> load(h, s) / capacity(h))
+        List<Server> healthyCandidates = new ArrayList<>(candidates);
+        healthyCandidates.removeIf(server -> !isHealthy(server));
+        if (!healthyCandidates.isEmpty() || !fleetWideFault()) candidates = healthyCandidates;
+        candidates.removeIf(server -> weightedLoad(server, session) / normalizedCapacity(server) > loadCap);
+        if (config.zoneCost() > 0 && candidates.stream().anyMatch(server -> server.zone == config.zone()))
+            candidates.removeIf(server -> server.zone != config.zone());
+        int wantedRung = affordableRung(session);
+        double tiedCapacity = 0;
+        double meanUse =
+                candidates.stream().mapToDouble(this::bottleneckUse).average().orElse(1);
+        double meanLoadRatio = candidates.stream()
+                .mapToDouble(server -> weightedLoad(server, session) / normalizedCapacity(server))
                 .average()
                 .orElse(1);
         Server best = null;
         double bestShare = 0;
-        boolean suspected = holders.stream().anyMatch(h -> !tried(h));
-        for (int pass = suspected ? -3 : 0; pass < 3 && best == null; pass++) {
-            for (Server h : holders) {
-                // first without suspected ones; peers alone never leave a viewer without a place
-                if (pass < 0 && !tried(h)) continue;
-                // where the wanted rung fits; then any; then any at servers that only doubt left out
-                int rung = fitting(h, s, want, (pass + 3) % 3 < 2 ? DOUBT : 0);
-                if (rung < ((pass + 3) % 3 == 0 ? want : 0)) continue;
-                // C_h as notes correct it: a link or uplink fuller than its count says is smaller
-                double seen = used / tightness(h) * load(h, s) / capacity(h) / mean;
-                double right = capacity(h) * Math.max(1 / MOST_RIGHT, Math.min(MOST_RIGHT, seen));
-                double share = right * s.k.worth() / load(h, s);
-                if (share < bestShare * (1 - TIE)) continue;
-                if (share > bestShare * (1 + TIE)) tied = 0;
-                tied += capacity(h);
-                if (random.nextDouble() * tied < capacity(h)) {
-                    best = h;
-                    s.rung = rung;
+        boolean someSuspected = candidates.stream().anyMatch(server -> !suspicionAllows(server));
+        for (int pass = someSuspected ? -3 : 0; pass < 3 && best == null; pass++) {
+            for (Server server : candidates) {
+                // Passes below 0 leave out suspected servers that are not due for a trial. The later passes include
+                // them, so that claims of peers alone never leave a viewer without a server.
+                if (pass < 0 && !suspicionAllows(server)) continue;
+                // Of three passes, the first needs the wanted rung to fit, the second takes any rung, and the third
+                // also takes servers that only the lower fill limit for missing readings excluded.
+                int rung = highestFittingRung(
+                        server, session, wantedRung, (pass + 3) % 3 < 2 ? UNHEARD_FILL_REDUCTION : 0);
+                if (rung < ((pass + 3) % 3 == 0 ? wantedRung : 0)) continue;
+                // Readings correct the capacity: a link or uplink that is fuller than its load suggests has a lower
+                // rate than its weight says.
+                double observedRatio = meanUse
+                        / bottleneckUse(server)
+                        * weightedLoad(server, session)
+                        / normalizedCapacity(server)
+                        / meanLoadRatio;
+                double correctedCapacity = normalizedCapacity(server)
+                        * Math.max(
+                                1 / MAX_CAPACITY_CORRECTION_RATIO,
+                                Math.min(MAX_CAPACITY_CORRECTION_RATIO, observedRatio));
+                double share = correctedCapacity * session.sessionClass.worth() / weightedLoad(server, session);
+                if (share < bestShare * (1 - SHARE_TIE_FRACTION)) continue;
+                if (share > bestShare * (1 + SHARE_TIE_FRACTION)) tiedCapacity = 0;
+                tiedCapacity += normalizedCapacity(server);
+                if (random.nextDouble() * tiedCapacity < normalizedCapacity(server)) {
+                    best = server;
+                    session.rung = rung;
                 }
                 bestShare = Math.max(bestShare, share);
             }
         }
         if (best != null) return best;
-        // No rung fits: lower playing sessions of less worth per kB, if one holder's room can be made so.
-        holders.removeIf(h -> !h.rack.used());
-        holders.sort(Comparator.comparingDouble((Server h) -> -capacity(h) * s.k.worth() / load(h, s)));
-        for (Server h : holders) {
-            s.rung = s.k.lowestRung();
-            if (makeRoom(h, s)) return h;
+        // No rung fits: lower playing sessions of less worth per kB, if that makes enough room at one server.
+        candidates.removeIf(server -> !server.rack.hasOwnSessions());
+        candidates.sort(Comparator.comparingDouble((Server server) ->
+                -normalizedCapacity(server) * session.sessionClass.worth() / weightedLoad(server, session)));
+        for (Server server : candidates) {
+            session.rung = session.sessionClass.lowestRung();
+            if (makeRoom(server, session)) return server;
         }
         return null;
     }
 
     /**
-     * Whether a server that peers suspect may be tried now, milder than what is seen here itself. Against a
-     * group that agrees too quickly and leaves or comes back as one: managers take turns at it by the common
-     * clock, as at a cold server, so the sum of their trials is one in TRIAL_MS, the more often the weaker
-     * the claims; a trial that works outranks them here.
+     * Returns whether claims of peers allow an attempt at a server now. A suspected server still gets trials, unlike
+     * one that is suspended for failures seen here, because peers that agree too quickly would otherwise all stop
+     * using it, and later all return, at the same time. Managers take turns by the common clock, as at a cold server,
+     * so that all their trials together are one in {@link #SUSPECTED_TRIAL_INTERVAL_MS}, and more for weaker claims.
+     * A trial that works outweighs the claims here.
      */
-    private boolean tried(Server h) {
-        if (h.suspected <= 0) return true;
-        double turn = TRIAL_MS * h.suspected, round = turn * Math.max(1, cfg.controllers());
-        double phase = (now - turn * ((cfg.self() + h.id) % Math.max(1, cfg.controllers()))) % round;
-        return (phase + round) % round < turn && now - h.lastSent > turn && h.out == 0;
+    private boolean suspicionAllows(Server server) {
+        if (server.suspicionStrength <= 0) return true;
+        double turnMs = SUSPECTED_TRIAL_INTERVAL_MS * server.suspicionStrength;
+        double roundMs = turnMs * Math.max(1, config.controllers());
+        double phaseMs = (now - turnMs * ((config.self() + server.id) % Math.max(1, config.controllers()))) % roundMs;
+        return (phaseMs + roundMs) % roundMs < turnMs
+                && now - server.lastAttemptAt > turnMs
+                && server.pendingAttempts == 0;
     }
 
-    private void onSuspected(Suspected e) {
-        Server h = servers.get(e.server());
-        if (h != null) h.suspected = Math.max(0, Math.min(1, e.strength()));
+    private void onSuspected(Suspected event) {
+        Server server = servers.get(event.server());
+        if (server != null) server.suspicionStrength = Math.max(0, Math.min(1, event.strength()));
     }
 
-    private boolean holds(Server h, Request r) {
+    /** Returns whether the server's cell is among the cells that hold the title. */
+    private boolean holdsTitle(Server server, Request request) {
         int cells = media.cells();
-        return cells <= 0 || r.span() >= cells || Math.floorMod(h.cell - r.homeCell(), cells) < r.span();
+        return cells <= 0
+                || request.span() >= cells
+                || Math.floorMod(server.cell - request.homeCell(), cells) < request.span();
     }
 
-    private boolean groupAllows(Session s, Server h) {
-        if (!s.mayHaveRun || s.k.effect() != Effect.TOKEN || s.k.group() == Group.ALL) return true;
-        return s.k.group() == Group.ZONE ? h.zone == s.tokenServer.zone : h.cell == s.tokenServer.cell;
+    /** Returns whether the server is in the group where the session's token holds, if an attempt may have run. */
+    private boolean groupAllows(Session session, Server server) {
+        if (!session.mayHaveRun
+                || session.sessionClass.effect() != Effect.TOKEN
+                || session.sessionClass.group() == Group.ALL) return true;
+        return session.sessionClass.group() == Group.ZONE
+                ? server.zone == session.tokenServer.zone
+                : server.cell == session.tokenServer.cell;
     }
 
     /**
-     * Rule 4. Managers take turns at a cold server by the common clock: each sends one set-up, in the first
-     * half of its own turn, so that in any window the sum of all stays under the budget without agreement.
+     * Returns whether the pace of set-ups at a cold server allows one now (rule 4). Managers take turns at a cold
+     * server by the common clock: each sends one set-up, in the first half of its own turn. So all managers together
+     * stay under the permitted pace in any window without messages between them.
      */
-    private boolean paceAllows(Server h) {
-        double warm = cfg.rules().warmAfterMs();
-        boolean cold = now - h.coldSince < warm;
-        if (!cold && (handedOver || now - startedAt >= BLIND_MS)) return true;
+    private boolean coldPaceAllows(Server server) {
+        double warmAfterMs = config.rules().warmAfterMs();
+        boolean cold = now - server.coldSince < warmAfterMs;
+        if (!cold && (handedOver || now - startedAt >= UNKNOWN_COLD_MS)) return true;
         double streams =
-                h.kind < media.kindStreams().size() ? media.kindStreams().get(h.kind) : 1;
-        double perMs = COLD_MARGIN * cfg.rules().tipMultiple() * cfg.rules().coldFrom() * streams / warm;
-        double turn = 1 / perMs;
-        double round = turn * Math.max(1, cfg.controllers());
-        if (!cold) return now - h.lastSent > round;
-        // shifted by the server, the same for all: a manager out of turn at one is in turn at another
-        double phase = (now - turn * ((cfg.self() + h.id) % Math.max(1, cfg.controllers()))) % round;
-        return (phase + round) % round < turn / 2 && now - h.lastSent > turn / 2;
-    }
-
-    /** Step 2: the weighted count with the newcomer, and with attempts lost of late. */
-    private double load(Server h, Session s) {
-        while (!h.lost.isEmpty() && now - h.lost.peekFirst() > LOST_MS) h.lost.removeFirst();
-        double known = h.peerStreams >= 0 ? h.peerStreams : h.peerKb / meanKb();
-        double trust = trust(h.heardAt);
-        // Unheard servers are taken for level, newcomer included: with counts in proportion to links all
-        // managers would send to the one with the largest link.
-        double level = capacity(h) * (averageUse() * meanLink / meanKb() * meanWorth + s.k.worth());
-        double peers = trust * known * meanWorth + (1 - trust) * Math.max(0, level - h.ownWeight - s.k.worth());
-        return h.ownWeight + peers + h.lost.size() * meanWorth + s.k.worth();
-    }
-
-    private double meanKb() {
-        return ownKb > 0 ? ownKb / held : media.rungKb().get(media.rungKb().size() / 2);
-    }
-
-    /** C_h: the link over the mean link. */
-    private double capacity(Server h) {
-        return h.link / meanLink;
+                server.kind < media.kindStreams().size() ? media.kindStreams().get(server.kind) : 1;
+        double setupsPerMs = COLD_PACE_FRACTION
+                * config.rules().tipMultiple()
+                * config.rules().coldFrom()
+                * streams
+                / warmAfterMs;
+        double turnMs = 1 / setupsPerMs;
+        double roundMs = turnMs * Math.max(1, config.controllers());
+        if (!cold) return now - server.lastAttemptAt > roundMs;
+        // The server's number shifts the turns, in the same way for all managers, so that a manager whose turn it is
+        // not at one server has its turn at another.
+        double phaseMs = (now - turnMs * ((config.self() + server.id) % Math.max(1, config.controllers()))) % roundMs;
+        return (phaseMs + roundMs) % roundMs < turnMs / 2 && now - server.lastAttemptAt > turnMs / 2;
     }
 
-    /** The rung that the present price leaves the viewer: the top one while room is not scarce. */
-    private int wanted(Session s) {
-        int rung = s.k.lowestRung();
-        while (rung < s.top() && density[s.c][rung + 1] * s.discount() >= price) rung++;
+    /**
+     * Returns the weighted load of a server: the worth of its sessions, including the newcomer and the load of peers,
+     * and recently lost attempts at the mean worth of a class.
+     */
+    private double weightedLoad(Server server, Session session) {
+        while (!server.lostAttemptTimes.isEmpty() && now - server.lostAttemptTimes.peekFirst() > LOST_ATTEMPT_LOAD_MS)
+            server.lostAttemptTimes.removeFirst();
+        double peerStreams = server.peerStreams >= 0 ? server.peerStreams : server.peerKb / meanSessionKb();
+        double peerWeight = readingWeight(server.evidenceAt);
+        // A server without readings is taken to carry the average load for its link, with the newcomer counted in
+        // that load. Otherwise all managers would send to the server with the largest link.
+        double levelLoad = normalizedCapacity(server)
+                * (averageLinkUse() * meanLinkKb / meanSessionKb() * meanClassWorth + session.sessionClass.worth());
+        double peerLoad = peerWeight * peerStreams * meanClassWorth
+                + (1 - peerWeight) * Math.max(0, levelLoad - server.ownWorth - session.sessionClass.worth());
+        return server.ownWorth
+                + peerLoad
+                + server.lostAttemptTimes.size() * meanClassWorth
+                + session.sessionClass.worth();
+    }
+
+    /** Returns the mean demand of an own session, or the rate of the middle rung while there is none, in kB/s. */
+    private double meanSessionKb() {
+        return totalOwnKb > 0
+                ? totalOwnKb / placedSessions
+                : media.rungKb().get(media.rungKb().size() / 2);
+    }
+
+    /** Returns the normalized service capacity of a server: the rate of its link over that of the mean link. */
+    private double normalizedCapacity(Server server) {
+        return server.linkKb / meanLinkKb;
+    }
+
+    /** Returns the highest rung whose steps are worth the present price; the top rung while room is not scarce. */
+    private int affordableRung(Session session) {
+        int rung = session.sessionClass.lowestRung();
+        while (rung < session.topRung()
+                && worthPerKb[session.classIndex][rung + 1] * session.worthFactor() >= pricePerKb) rung++;
         return rung;
     }
 
     /**
-     * The highest rung that fits up to the mark; -1: none. The mark is lower at an unheard server, the more
-     * so the less of the fleet is heard of and the more peers there are: an average says little of one link.
+     * Returns the highest rung, up to the wanted one, that fits under the fill limit; -1 if none does. The limit is
+     * lower at a server without recent readings, because an average says little about one link. It is the lower the
+     * less of the fleet has recent readings and the more peers there are.
      */
-    private int fitting(Server h, Session s, int want, double doubt) {
-        double peers = 1 - 1.0 / Math.max(1, cfg.controllers());
-        double mark = MARK - doubt * peers * (1 - heardPart) * (1 - trust(h.heardAt));
-        int rung = want;
-        while (rung >= s.k.lowestRung() && !fits(h, added(h, s, rung), mark)) rung--;
-        return rung >= s.k.lowestRung() ? rung : -1;
+    private int highestFittingRung(Server server, Session session, int wantedRung, double unheardReduction) {
+        double peerFraction = 1 - 1.0 / Math.max(1, config.controllers());
+        double fillLimit = FILL_LIMIT_FRACTION
+                - unheardReduction * peerFraction * (1 - heardFraction) * (1 - readingWeight(server.evidenceAt));
+        int rung = wantedRung;
+        while (rung >= session.sessionClass.lowestRung()
+                && !fits(server, addedDemandKb(server, session, rung), fillLimit)) rung--;
+        return rung >= session.sessionClass.lowestRung() ? rung : -1;
     }
 
-    private double added(Server h, Session s, int rung) {
-        boolean joins = s.k.live() && h.streams.getOrDefault(s.streamKey(rung), 0) > 0;
-        return kb[s.c][rung] * (joins ? media.join() : 1);
+    /** Returns the demand in kB/s that the session would add to the link; less where it shares a live stream. */
+    private double addedDemandKb(Server server, Session session, int rung) {
+        boolean joins =
+                session.sessionClass.live() && server.streamSessions.getOrDefault(session.streamKey(rung), 0) > 0;
+        return rateKb[session.classIndex][rung] * (joins ? media.join() : 1);
     }
 
-    /** An uplink counts only where its use is told: guessed from delivery it made choices worse. */
-    private double tightness(Server h) {
-        return Math.max(0.05, Math.max(use(h), h.rack.toldAt > NEVER ? uplinkUse(h.rack) : 0));
+    /**
+     * Returns the use of the link or the uplink, whichever is higher. An uplink counts only if its use has been read,
+     * because an estimate from delivered shares made the choice of servers worse.
+     */
+    private double bottleneckUse(Server server) {
+        return Math.max(0.05, Math.max(linkUse(server), server.rack.readingAt > NEVER ? uplinkUse(server.rack) : 0));
     }
 
-    private boolean fits(Server h, double addedKb, double mark) {
-        return use(h) + addedKb / h.link <= mark && uplinkUse(h.rack) + h.rack.part(addedKb) <= MARK;
+    /** Returns whether the demand fits under the limit of the link and under that of the uplink. */
+    private boolean fits(Server server, double addedKb, double fillLimit) {
+        return linkUse(server) + addedKb / server.linkKb <= fillLimit
+                && uplinkUse(server.rack) + server.rack.uplinkFraction(addedKb) <= FILL_LIMIT_FRACTION;
     }
 
     // --- Estimates of links and uplinks ---
 
-    /** Part of the link asked: own sessions, and what peers ask as last seen. */
-    private double use(Server h) {
-        return (h.ownKb + peerKb(h)) / h.link;
+    /** Returns the demand on the link over its rate: that of own sessions and the estimated demand of peers. */
+    private double linkUse(Server server) {
+        return (server.ownKb + estimatedPeerKb(server)) / server.linkKb;
     }
 
-    /** Peers' demand. Readings fade to the average, or a server read as full would never be tried again. */
-    private double peerKb(Server h) {
-        double trust = trust(h.heardAt);
-        double unheard = trust > 0.99 ? 0 : Math.max(0, averageUse() * h.link - h.ownKb);
-        return trust * h.peerKb + (1 - trust) * unheard;
+    /**
+     * Returns the estimated demand of peers on the link, in kB/s. A reading loses weight against the average over all
+     * links as it ages, because a server once read as full would never be tried again otherwise.
+     */
+    private double estimatedPeerKb(Server server) {
+        double weight = readingWeight(server.evidenceAt);
+        double unheardKb = weight > 0.99 ? 0 : Math.max(0, averageLinkUse() * server.linkKb - server.ownKb);
+        return weight * server.peerKb + (1 - weight) * unheardKb;
     }
 
-    private double trust(double heardAt) {
-        double stale = now - heardAt - 2 * media.noteEveryMs();
-        return heardAt <= 0 ? 0 : stale <= 0 ? 1 : Math.exp(-stale / FADE_MS);
+    /** Returns the weight of a reading by its age: 1 for up to two intervals of notes, then exponentially less. */
+    private double readingWeight(double evidenceAt) {
+        double overdueMs = now - evidenceAt - 2 * media.noteEveryMs();
+        return evidenceAt <= 0 ? 0 : overdueMs <= 0 ? 1 : Math.exp(-overdueMs / READING_DECAY_MS);
     }
 
-    /** Part asked of the links heard of lately, with a little of the prior; refreshed once a batch. */
-    private double averageUse() {
-        if (averagedAt == now) return average;
+    /**
+     * Returns the mean use of the links that have recent readings, with a small weight of a prior. It is computed once
+     * for all events with the same clock time.
+     */
+    private double averageLinkUse() {
+        if (averagedAt == now) return averageLinkUse;
         averagedAt = now;
-        double asked = 0, heard = 0;
-        for (Iterator<Server> known = heardOf.iterator(); known.hasNext(); ) {
-            Server h = known.next();
-            // what peers suspect is broken, not full: it says nothing of links that are not heard of
-            double trust = h.ready && h.suspected <= 0 ? trust(h.heardAt) : 0;
-            asked += trust * (h.ownKb + h.peerKb);
-            heard += trust * h.link;
-            if (trust < LEAST_TRUST) known.remove();
+        double demandKb = 0, linkKb = 0;
+        for (Iterator<Server> iterator = serversWithReadings.iterator(); iterator.hasNext(); ) {
+            Server server = iterator.next();
+            // A server that peers suspect is probably broken, not full, so its use says nothing about other links.
+            double readingWeight = server.ready && server.suspicionStrength <= 0 ? readingWeight(server.evidenceAt) : 0;
+            demandKb += readingWeight * (server.ownKb + server.peerKb);
+            linkKb += readingWeight * server.linkKb;
+            if (readingWeight < MIN_READING_WEIGHT) iterator.remove();
         }
-        double uplinks = media.racks() > 0 && media.uplinkKb() > 0 ? racks.size() * media.uplinkKb() : links;
-        double prior = PRIOR_USE * Math.min(1, uplinks / Math.max(1, links));
-        if (handedOver) prior = Math.min(prior, ownKb * cfg.controllers() / Math.max(1, links));
-        double weight = PRIOR_WEIGHT * meanLink;
-        heardPart = Math.min(1, heard / Math.max(1, links));
-        average = links <= 0 ? prior : (asked + weight * prior) / (heard + weight);
-        return average;
+        double totalUplinkKb =
+                media.racks() > 0 && media.uplinkKb() > 0 ? racks.size() * media.uplinkKb() : totalLinkKb;
+        double priorUse = PRIOR_USE_FRACTION * Math.min(1, totalUplinkKb / Math.max(1, totalLinkKb));
+        if (handedOver) priorUse = Math.min(priorUse, totalOwnKb * config.controllers() / Math.max(1, totalLinkKb));
+        double priorWeightKb = PRIOR_WEIGHT_LINKS * meanLinkKb;
+        heardFraction = Math.min(1, linkKb / Math.max(1, totalLinkKb));
+        averageLinkUse = totalLinkKb <= 0 ? priorUse : (demandKb + priorWeightKb * priorUse) / (linkKb + priorWeightKb);
+        return averageLinkUse;
     }
 
+    /** Returns the corrected demand on the uplink over its rate; 0 where uplinks do not bind. */
     private double uplinkUse(Rack rack) {
-        return rack.uplinkKb <= 0 ? 0 : rack.bias * rack.asked(now) / rack.uplinkKb;
-    }
-
-    private void report(Server h, Map<String, Double> load) {
-        Double use = load.containsKey("x0") ? load.get("x0") : load.get("util");
-        if (use != null) heard(h, use, REPORT_LATE_MS, REPORT_GAIN, !load.containsKey("x0") && use >= 0.995);
-        if (load.containsKey("inflight")) h.peerStreams = Math.max(0, load.get("inflight") - h.sessions.size());
-        if (load.containsKey("x1")) heardUplink(h.rack, load.get("x1"), REPORT_LATE_MS, REPORT_GAIN);
+        return rack.uplinkKb <= 0 ? 0 : rack.correction * rack.demandKb(now) / rack.uplinkKb;
     }
 
-    /** A reading of the link's use, {@code late} ms old; {@code atLeast}: it is capped. */
-    private void heard(Server h, double use, double late, double gain, boolean atLeast) {
-        // read before the last lowering took effect: says nothing of now
-        if (now - late < Math.max(h.relievedAt, h.rack.relievedAt) + REACT_MS) return;
-        double peers = Math.max(0, Math.min(MOST_USE, use) * h.link - h.ownAt(now - late));
-        if (h.heardAt <= 0) h.peerKb = peers;
-        else if (!atLeast || peers > h.peerKb) h.peerKb += gain * (peers - h.peerKb);
-        h.toldAt = now;
-        hear(h);
-    }
-
-    private void hear(Server h) {
-        h.heardAt = now;
-        heardOf.add(h);
-        changes++;
+    /**
+     * Takes over a server's load report: {@code x0} or {@code util}, use of the link; {@code inflight}, streams;
+     * {@code x1}, use of the uplink. A {@code util} of nearly 1 is a lower bound, because it does not go above 1.
+     */
+    private void applyLoadReport(Server server, Map<String, Double> loadReport) {
+        Double linkUse = loadReport.containsKey("x0") ? loadReport.get("x0") : loadReport.get("util");
+        if (linkUse != null)
+            applyLinkReading(
+                    server,
+                    linkUse,
+                    REPORT_AGE_MS,
+                    REPORT_SMOOTHING_WEIGHT,
+                    !loadReport.containsKey("x0") && linkUse >= 0.995);
+        if (loadReport.containsKey("inflight"))
+            server.peerStreams = Math.max(0, loadReport.get("inflight") - server.sessions.size());
+        if (loadReport.containsKey("x1"))
+            applyUplinkReading(server.rack, loadReport.get("x1"), REPORT_AGE_MS, REPORT_SMOOTHING_WEIGHT);
     }
 
-    private void heardUplink(Rack rack, double use, double late, double gain) {
-        if (now - late < rack.relievedAt + REACT_MS) return;
-        double asked = rack.asked(now - late) / Math.max(1, rack.uplinkKb);
-        if (asked > 0.05) {
-            double bias = Math.max(BIAS_LEAST, Math.min(BIAS_MOST, use / asked));
-            rack.bias += (rack.toldAt > NEVER ? gain : 1) * (bias - rack.bias);
-            rack.toldAt = now;
+    /**
+     * Updates the estimated demand of peers from a reading of the link's use.
+     *
+     * @param linkUse demand over the link's rate
+     * @param ageMs age of the reading in ms
+     * @param smoothingWeight weight of the reading against earlier ones
+     * @param isLowerBound whether the real use may be higher
+     */
+    private void applyLinkReading(
+            Server server, double linkUse, double ageMs, double smoothingWeight, boolean isLowerBound) {
+        // A reading from before the last lowering took effect does not describe the present use.
+        if (now - ageMs < Math.max(server.lastReliefAt, server.rack.lastReliefAt) + RELIEF_EFFECT_MS) return;
+        double peerKb = Math.max(0, Math.min(MAX_USE_RATIO, linkUse) * server.linkKb - server.ownKbAt(now - ageMs));
+        if (server.evidenceAt <= 0) server.peerKb = peerKb;
+        else if (!isLowerBound || peerKb > server.peerKb) server.peerKb += smoothingWeight * (peerKb - server.peerKb);
+        server.readingAt = now;
+        recordEvidence(server);
+    }
+
+    /** Records that something about the use of the link was learned now. */
+    private void recordEvidence(Server server) {
+        server.evidenceAt = now;
+        serversWithReadings.add(server);
+        stateVersion++;
+    }
+
+    /** Updates the correction of a rack's uplink from a reading of the uplink's use that is {@code ageMs} old. */
+    private void applyUplinkReading(Rack rack, double uplinkUse, double ageMs, double smoothingWeight) {
+        if (now - ageMs < rack.lastReliefAt + RELIEF_EFFECT_MS) return;
+        double estimatedUse = rack.demandKb(now - ageMs) / Math.max(1, rack.uplinkKb);
+        if (estimatedUse > 0.05) {
+            double observedCorrection =
+                    Math.max(MIN_CORRECTION_RATIO, Math.min(MAX_CORRECTION_RATIO, uplinkUse / estimatedUse));
+            rack.correction += (rack.readingAt > NEVER ? smoothingWeight : 1) * (observedCorrection - rack.correction);
+            rack.readingAt = now;
         }
-        rack.heardAt = now;
+        rack.evidenceAt = now;
     }
 
-    private void onNote(Note e) {
-        Session s = sessions.get(e.id());
-        Server h = servers.get(e.server());
-        if (h == null) return;
-        boolean fresh = s != null && now - s.startedAt < media.noteDelayMs() / 2 && s.attempts > 0;
-        switch (e.kind()) {
+    private void onNote(Note note) {
+        Session session = sessions.get(note.id());
+        Server server = servers.get(note.server());
+        if (server == null) return;
+        boolean justStarted =
+                session != null && now - session.startedAt < media.noteDelayMs() / 2 && session.attempts > 0;
+        switch (note.kind()) {
             case RUNG -> {
-                int rung = (int) Math.max(0, Math.min(media.rungKb().size() - 1, e.value()));
-                if (s != null && s.server != null && rung != s.rung) shift(s, rung);
+                int rung = (int) Math.max(0, Math.min(media.rungKb().size() - 1, note.value()));
+                if (session != null && session.server != null && rung != session.rung) changeRung(session, rung);
             }
-            case LINK_USE -> heard(h, e.value(), fresh ? 0 : media.noteDelayMs(), NOTE_GAIN, false);
-            case UPLINK_USE -> heardUplink(h.rack, e.value(), fresh ? 0 : media.noteDelayMs(), NOTE_GAIN);
-            case DELIVERED_SHARE -> shortDelivery(h, e.value());
+            case LINK_USE ->
+                applyLinkReading(
+                        server, note.value(), justStarted ? 0 : media.noteDelayMs(), NOTE_SMOOTHING_WEIGHT, false);
+            case UPLINK_USE ->
+                applyUplinkReading(
+                        server.rack, note.value(), justStarted ? 0 : media.noteDelayMs(), NOTE_SMOOTHING_WEIGHT);
+            case DELIVERED_SHARE -> applyDeliveredShare(server, note.value());
         }
-        relieve(h);
-    }
-
-    /** Short delivery raises the estimate of what is short: the uplink if the rack is, else the link. */
-    private void shortDelivery(Server h, double share) {
-        h.shortAt = share >= WHOLE_SHARE ? NEVER : now;
-        if (share >= WHOLE_SHARE || h.suspected > 0) return;
-        if (now - media.noteDelayMs() < Math.max(h.relievedAt, h.rack.relievedAt) + 2 * REACT_MS) return;
-        double asked = Math.min(MOST_USE, 1 / Math.max(0.05, share));
-        double own = h.ownAt(now - media.noteDelayMs());
-        double explained = Math.max((own + peerKb(h)) / h.link, uplinkUse(h.rack));
-        // What notes on the link or uplink just showed to be full is exact; this share is smoothed and late.
-        boolean linkTold = told(h.toldAt), uplinkTold = told(h.rack.toldAt);
-        boolean shown = linkTold && use(h) >= WHOLE_SHARE || uplinkTold && uplinkUse(h.rack) >= WHOLE_SHARE;
-        if (shown || explained >= asked) return;
-        int near = 0, used = 0;
-        for (Server other : h.rack.servers) {
-            if (now - other.shortAt < SHORT_FRESH_MS) near++;
-            if (!other.sessions.isEmpty()) used++;
+        relieveOverload(server);
+    }
+
+    /**
+     * Raises the estimated use from a note of short delivery: that of the uplink if many servers of the rack have short
+     * delivery, otherwise that of the link. A server that delivers next to nothing is suspended instead.
+     */
+    private void applyDeliveredShare(Server server, double deliveredShare) {
+        server.shortDeliveryAt = deliveredShare >= FULL_DELIVERY_FRACTION ? NEVER : now;
+        if (deliveredShare >= FULL_DELIVERY_FRACTION || server.suspicionStrength > 0) return;
+        if (now - media.noteDelayMs() < Math.max(server.lastReliefAt, server.rack.lastReliefAt) + 2 * RELIEF_EFFECT_MS)
+            return;
+        double shownUse = Math.min(MAX_USE_RATIO, 1 / Math.max(0.05, deliveredShare));
+        double ownKb = server.ownKbAt(now - media.noteDelayMs());
+        double estimatedUse = Math.max((ownKb + estimatedPeerKb(server)) / server.linkKb, uplinkUse(server.rack));
+        // A link or uplink that recent notes showed to be full needs no correction: the notes are exact, while the
+        // delivered share is smoothed and late.
+        boolean linkReadingRecent = isRecent(server.readingAt);
+        boolean uplinkReadingRecent = isRecent(server.rack.readingAt);
+        boolean shownFull = linkReadingRecent && linkUse(server) >= FULL_DELIVERY_FRACTION
+                || uplinkReadingRecent && uplinkUse(server.rack) >= FULL_DELIVERY_FRACTION;
+        if (shownFull || estimatedUse >= shownUse) return;
+        int shortServers = 0;
+        int usedServers = 0;
+        for (Server other : server.rack.servers) {
+            if (now - other.shortDeliveryAt < SHORT_DELIVERY_VALID_MS) shortServers++;
+            if (!other.sessions.isEmpty()) usedServers++;
         }
-        // With a link told to have room it is the uplink, even if this is the rack's one server used here.
-        boolean most = near >= RACK_SHORT * used;
-        if (share < DEAD_SHARE && explained < asked / 2 && !(most && near >= 2)) {
-            strike(h);
-        } else if (most && (linkTold || near >= 2) && h.rack.uplinkKb > 0 && !uplinkTold) {
-            double bias = asked * h.rack.uplinkKb / Math.max(1, h.rack.asked(now));
-            h.rack.bias = Math.min(BIAS_MOST, Math.max(h.rack.bias, bias));
-            h.rack.heardAt = now;
+        // If a recent reading shows room on the link, the uplink is short, even if this is the only server of the rack
+        // in use here.
+        boolean rackShort = shortServers >= SHORT_RACK_FRACTION * usedServers;
+        if (deliveredShare < DEAD_DELIVERY_FRACTION
+                && estimatedUse < shownUse / 2
+                && !(rackShort && shortServers >= 2)) {
+            suspend(server);
+        } else if (rackShort
+                && (linkReadingRecent || shortServers >= 2)
+                && server.rack.uplinkKb > 0
+                && !uplinkReadingRecent) {
+            double correction = shownUse * server.rack.uplinkKb / Math.max(1, server.rack.demandKb(now));
+            server.rack.correction = Math.min(MAX_CORRECTION_RATIO, Math.max(server.rack.correction, correction));
+            server.rack.evidenceAt = now;
         } else {
-            atLeast(h, asked);
+            raiseLinkEstimate(server, shownUse);
         }
     }
 
-    private boolean told(double at) {
-        return now - at <= 2 * media.noteEveryMs();
+    /** Returns whether a reading is at most two intervals of notes old. */
+    private boolean isRecent(double readingAt) {
+        return now - readingAt <= 2 * media.noteEveryMs();
     }
 
-    /** Something showed that at least this part of the link is asked. */
-    private void atLeast(Server h, double use) {
-        h.peerKb = Math.max(peerKb(h), use * h.link - h.ownKb);
-        hear(h);
+    /** Raises the estimated demand of peers so that the use of the link is at least the given one. */
+    private void raiseLinkEstimate(Server server, double linkUse) {
+        server.peerKb = Math.max(estimatedPeerKb(server), linkUse * server.linkKb - server.ownKb);
+        recordEvidence(server);
     }
 
     // --- Rungs of playing sessions ---
 
-    /** The price of a kB: what own sessions' steps must be worth for all own demand to keep its share. */
-    private void reprice() {
-        if (now - pricedAt < TICK_MS) return;
+    /**
+     * Updates the price per kB: the worth per kB that a step must have so that the demand of own sessions stays within
+     * this manager's part of the room. It is 0 while there is room for all steps.
+     */
+    private void updatePrice() {
+        if (now - pricedAt < TICK_INTERVAL_MS) return;
         pricedAt = now;
-        double target = 0;
+        double targetKb = 0;
         for (Rack rack : racks.values()) {
-            double links = 0, asked = 0, own = 0;
-            for (Server h : rack.servers) own += h.ownKb;
-            if (own <= 0) continue;
-            for (Server h : rack.servers) {
-                if (h.ready && healthy(h)) {
-                    links += h.link * MARK;
-                    asked += h.ownKb + peerKb(h);
+            double linkRoomKb = 0;
+            double demandKb = 0;
+            double ownKb = 0;
+            for (Server server : rack.servers) ownKb += server.ownKb;
+            if (ownKb <= 0) continue;
+            for (Server server : rack.servers) {
+                if (server.ready && isHealthy(server)) {
+                    linkRoomKb += server.linkKb * FILL_LIMIT_FRACTION;
+                    demandKb += server.ownKb + estimatedPeerKb(server);
                 }
             }
-            double room = rack.uplinkKb > 0 ? Math.min(links, MARK * rack.uplinkKb / rack.bias) : links;
-            target += asked > 0 ? own * room / asked : room / Math.max(1, cfg.controllers());
+            double roomKb = rack.uplinkKb > 0
+                    ? Math.min(linkRoomKb, FILL_LIMIT_FRACTION * rack.uplinkKb / rack.correction)
+                    : linkRoomKb;
+            targetKb += demandKb > 0 ? ownKb * roomKb / demandKb : roomKb / Math.max(1, config.controllers());
         }
-        TreeMap<Double, Double> steps = new TreeMap<>(Comparator.reverseOrder());
-        double base = 0, prior = 0;
-        for (double[] rates : kb) prior += rates[0];
-        // by class and tenant, which share a discount: a decision must not cost a sort of all sessions
-        Map<Integer, int[]> counts = new TreeMap<>();
-        for (Session s : sessions.values()) {
-            if (s.server == null) continue;
-            base += kb[s.c][s.k.lowestRung()];
-            int group = s.request.tenant() * kb.length + s.c;
-            int[] n = counts.computeIfAbsent(group, k -> new int[kb[0].length]);
-            for (int r = s.k.lowestRung() + 1, top = s.top(); r <= top; r++) n[r]++;
+        TreeMap<Double, Double> rateKbByWorth = new TreeMap<>(Comparator.reverseOrder());
+        double floorKb = 0;
+        double oneSessionOfEachClassKb = 0;
+        for (double[] classRates : rateKb) oneSessionOfEachClassKb += classRates[0];
+        // Steps are counted by class and tenant, which have one worth factor, because sorting all sessions would make
+        // a decision too slow.
+        Map<Integer, int[]> countsByGroup = new TreeMap<>();
+        for (Session session : sessions.values()) {
+            if (session.server == null) continue;
+            floorKb += rateKb[session.classIndex][session.sessionClass.lowestRung()];
+            int group = session.request.tenant() * rateKb.length + session.classIndex;
+            int[] sessionCounts = countsByGroup.computeIfAbsent(group, key -> new int[rateKb[0].length]);
+            for (int rung = session.sessionClass.lowestRung() + 1, topRung = session.topRung(); rung <= topRung; rung++)
+                sessionCounts[rung]++;
         }
-        for (Map.Entry<Integer, int[]> group : counts.entrySet()) {
-            int c = group.getKey() % kb.length;
-            double discount = tenantWorth(group.getKey() / kb.length) * boost[c];
-            for (int r = 1; r < kb[c].length; r++) {
-                int n = group.getValue()[r];
-                if (n > 0) steps.merge(density[c][r] * discount, n * (kb[c][r] - kb[c][r - 1]), Double::sum);
+        for (Map.Entry<Integer, int[]> group : countsByGroup.entrySet()) {
+            int classIndex = group.getKey() % rateKb.length;
+            double worthFactor = tenantWorthFactor(group.getKey() / rateKb.length) * classBoost[classIndex];
+            for (int rung = 1; rung < rateKb[classIndex].length; rung++) {
+                int sessionCount = group.getValue()[rung];
+                if (sessionCount > 0)
+                    rateKbByWorth.merge(
+                            worthPerKb[classIndex][rung] * worthFactor,
+                            sessionCount * (rateKb[classIndex][rung] - rateKb[classIndex][rung - 1]),
+                            Double::sum);
             }
         }
-        double used = base;
-        price = 0;
-        if (base <= prior) return; // under a session of each class: too few to tell
-        for (Map.Entry<Double, Double> step : steps.entrySet()) {
-            used += step.getValue();
-            price = step.getKey();
-            if (used > target) return;
+        double usedKb = floorKb;
+        pricePerKb = 0;
+        // Demand of less than one session of each class is too little for a price.
+        if (floorKb <= oneSessionOfEachClassKb) return;
+        for (Map.Entry<Double, Double> step : rateKbByWorth.entrySet()) {
+            usedKb += step.getValue();
+            pricePerKb = step.getKey();
+            if (usedKb > targetKb) return;
         }
-        price = 0;
-    }
-
-    private void onTimer(TimerFired e) {
-        if (e.name().equals("list")) out.subscribe();
-        if (!e.name().equals("tick")) return;
-        double s = (now - tickedAt) / 1000;
-        tickedAt = now;
-        out.timer(TICK_MS * (0.8 + 0.4 * random.nextDouble()), "tick");
-        balance(s);
-        reprice();
-        raiseTokens = Math.min(kb[0].length, raiseTokens + RAISE_PACE * sessions.size() * s);
+        pricePerKb = 0;
+    }
+
+    private void onTimerFired(TimerFired event) {
+        if (event.name().equals("list")) hostActions.subscribe();
+        if (!event.name().equals("tick")) return;
+        double elapsedS = (now - lastTickAt) / 1000;
+        lastTickAt = now;
+        hostActions.timer(TICK_INTERVAL_MS * (0.8 + 0.4 * random.nextDouble()), "tick");
+        updateClassBoosts(elapsedS);
+        updatePrice();
+        raiseTokens = Math.min(rateKb[0].length, raiseTokens + RAISES_PER_SESSION_SECOND * sessions.size() * elapsedS);
         for (Rack rack : racks.values()) {
-            boolean silent = rack.toldAt == NEVER;
-            double quiet = now - rack.heardAt - (silent ? 0 : 2 * media.noteEveryMs());
-            double pace = rack.bias > BIAS_USUAL ? BIAS_FAST : 1;
-            boolean untested = silent && quiet > CALM_MS && rack.used() && uplinkUse(rack) > UNTESTED;
-            if (rack.bias > 1 && quiet > SHORT_FRESH_MS || untested)
-                rack.bias = Math.max(untested ? BIAS_LEAST : 1, rack.bias * (1 - BIAS_FALL * s * pace));
+            boolean noReading = rack.readingAt == NEVER;
+            double quietMs = now - rack.evidenceAt - (noReading ? 0 : 2 * media.noteEveryMs());
+            double decayFactor = rack.correction > USUAL_CORRECTION_RATIO ? FAST_DECAY_FACTOR : 1;
+            boolean untested = noReading
+                    && quietMs > RAISE_WAIT_MS
+                    && rack.hasOwnSessions()
+                    && uplinkUse(rack) > UNTESTED_UPLINK_FRACTION;
+            if (rack.correction > 1 && quietMs > SHORT_DELIVERY_VALID_MS || untested)
+                rack.correction = Math.max(
+                        untested ? MIN_CORRECTION_RATIO : 1,
+                        rack.correction * (1 - CORRECTION_DECAY_PER_S * elapsedS * decayFactor));
         }
-        for (Server h : servers.values()) {
-            if (!h.sessions.isEmpty()) relieve(h);
+        for (Server server : servers.values()) {
+            if (!server.sessions.isEmpty()) relieveOverload(server);
         }
-        raise();
+        raiseSessions();
     }
 
     /**
-     * Lowers own sessions where a link or uplink is really short, by own part of the excess: once on each
-     * piece of evidence, never on a guess. Peers hear the same notes and are taken to do their part.
+     * Lowers own sessions where a link or an uplink is short, by this manager's part of the excess. It does so once for
+     * each piece of evidence and never from the average alone. Peers receive the same notes and are assumed to
+     * lower their own part.
      */
-    private void relieve(Server h) {
-        double use = use(h);
-        if (use > SHED && h.heardAt > h.relievedAt) {
-            h.relievedAt = now;
-            h.peerKb *= EASE / use;
-            lower(new ArrayList<>(h.sessions), h.ownKb * (use - EASE) / use, Double.MAX_VALUE);
+    private void relieveOverload(Server server) {
+        double linkUse = linkUse(server);
+        if (linkUse > RELIEF_TRIGGER_RATIO && server.evidenceAt > server.lastReliefAt) {
+            server.lastReliefAt = now;
+            server.peerKb *= RELIEF_TARGET_FRACTION / linkUse;
+            lowerSessions(
+                    new ArrayList<>(server.sessions),
+                    server.ownKb * (linkUse - RELIEF_TARGET_FRACTION) / linkUse,
+                    Double.MAX_VALUE);
         }
-        Rack rack = h.rack;
-        double up = uplinkUse(rack);
-        if (up > SHED && rack.heardAt > rack.relievedAt) {
-            rack.relievedAt = now;
-            double own = 0;
+        Rack rack = server.rack;
+        double uplinkUse = uplinkUse(rack);
+        if (uplinkUse > RELIEF_TRIGGER_RATIO && rack.evidenceAt > rack.lastReliefAt) {
+            rack.lastReliefAt = now;
+            double ownKb = 0;
             for (Server other : rack.servers) {
-                own += other.ownKb;
-                other.peerKb = peerKb(other) * EASE / up;
+                ownKb += other.ownKb;
+                other.peerKb = estimatedPeerKb(other) * RELIEF_TARGET_FRACTION / uplinkUse;
             }
-            lower(rack.sessions(), own * (up - EASE) / up, Double.MAX_VALUE);
+            lowerSessions(
+                    rack.ownSessions(), ownKb * (uplinkUse - RELIEF_TARGET_FRACTION) / uplinkUse, Double.MAX_VALUE);
         }
     }
 
-    /** Lowers sessions, least worth per kB first, each with one change; returns the kB freed. */
-    private double lower(List<Session> from, double need, double under) {
-        double freed = 0;
-        changes++;
-        Set<Session> changed = new LinkedHashSet<>();
-        while (freed < need) {
-            Session worst = null;
-            for (Session s : from) {
-                boolean can = s.playing && s.rung > s.k.lowestRung() && s.step() < under;
-                if (can && (worst == null || s.step() < worst.step())) worst = s;
+    /**
+     * Lowers playing sessions, the least worth per kB first, with one action for each session.
+     *
+     * @param neededKb demand in kB/s to be freed
+     * @param worthLimit only steps of less worth per kB are taken; {@link Double#MAX_VALUE} for all
+     * @return the demand in kB/s that was freed
+     */
+    private double lowerSessions(List<Session> candidates, double neededKb, double worthLimit) {
+        double freedKb = 0;
+        stateVersion++;
+        Set<Session> changedSessions = new LinkedHashSet<>();
+        while (freedKb < neededKb) {
+            Session cheapest = null;
+            for (Session session : candidates) {
+                boolean mayLower = session.playing
+                        && session.rung > session.sessionClass.lowestRung()
+                        && session.stepWorthPerKb() < worthLimit;
+                if (mayLower && (cheapest == null || session.stepWorthPerKb() < cheapest.stepWorthPerKb()))
+                    cheapest = session;
             }
-            if (worst == null) break;
-            // a part smaller than a step is rounded by chance: else a hundred managers shed a step each
-            double step = kb[worst.c][worst.rung] - kb[worst.c][worst.rung - 1];
-            if (under == Double.MAX_VALUE && random.nextDouble() * step > need - freed) break;
-            double before = worst.server.ownKb;
-            shift(worst, worst.rung - 1);
-            worst.changedAt = now;
-            changed.add(worst);
-            freed += before - worst.server.ownKb;
+            if (cheapest == null) break;
+            // A remainder smaller than a step is rounded up or down at random, because otherwise each of a hundred
+            // managers would lower by a whole step.
+            double stepKb = rateKb[cheapest.classIndex][cheapest.rung] - rateKb[cheapest.classIndex][cheapest.rung - 1];
+            if (worthLimit == Double.MAX_VALUE && random.nextDouble() * stepKb > neededKb - freedKb) break;
+            double ownKbBefore = cheapest.server.ownKb;
+            changeRung(cheapest, cheapest.rung - 1);
+            cheapest.rungChangedAt = now;
+            changedSessions.add(cheapest);
+            freedKb += ownKbBefore - cheapest.server.ownKb;
         }
-        for (Session s : changed) out.rung(s.request.id(), s.rung);
-        return freed;
-    }
-
-    /** Lowers playing sessions whose last steps are worth less a kB than the newcomer, if that is enough. */
-    private boolean makeRoom(Server h, Session s) {
-        double value = density[s.c][s.k.lowestRung()] * s.discount();
-        double addedKb = added(h, s, s.k.lowestRung()), up = h.rack.uplinkKb;
-        double overLink = (use(h) - MARK) * h.link + addedKb;
-        double overUp = up <= 0 ? 0 : (uplinkUse(h.rack) - MARK) * up / h.rack.bias + addedKb;
-        List<Session> all = h.rack.sessions();
-        if (lowerable(h.sessions, value) < overLink || lowerable(all, value) < overUp) return false;
-        double freed = overLink > 0 ? lower(new ArrayList<>(h.sessions), overLink, value) : 0;
-        if (overUp > freed) lower(all, overUp - freed, value);
+        for (Session session : changedSessions) hostActions.rung(session.request.id(), session.rung);
+        return freedKb;
+    }
+
+    /**
+     * Lowers playing sessions whose last steps are worth less per kB than the newcomer's lowest rung, if that makes
+     * enough room on link and uplink. Returns whether it did.
+     */
+    private boolean makeRoom(Server server, Session session) {
+        double newcomerWorthPerKb =
+                worthPerKb[session.classIndex][session.sessionClass.lowestRung()] * session.worthFactor();
+        double addedKb = addedDemandKb(server, session, session.sessionClass.lowestRung());
+        double uplinkKb = server.rack.uplinkKb;
+        double excessLinkKb = (linkUse(server) - FILL_LIMIT_FRACTION) * server.linkKb + addedKb;
+        double excessUplinkKb = uplinkKb <= 0
+                ? 0
+                : (uplinkUse(server.rack) - FILL_LIMIT_FRACTION) * uplinkKb / server.rack.correction + addedKb;
+        List<Session> rackSessions = server.rack.ownSessions();
+        if (lowerableKb(server.sessions, newcomerWorthPerKb) < excessLinkKb
+                || lowerableKb(rackSessions, newcomerWorthPerKb) < excessUplinkKb) return false;
+        double freedKb = excessLinkKb > 0
+                ? lowerSessions(new ArrayList<>(server.sessions), excessLinkKb, newcomerWorthPerKb)
+                : 0;
+        if (excessUplinkKb > freedKb) lowerSessions(rackSessions, excessUplinkKb - freedKb, newcomerWorthPerKb);
         return true;
     }
 
-    private double lowerable(Iterable<Session> from, double under) {
-        double can = 0;
-        for (Session s : from) {
-            for (int r = s.rung; s.playing && r > s.k.lowestRung(); r--)
-                can += density[s.c][r] * s.discount() < under ? kb[s.c][r] - kb[s.c][r - 1] : 0;
+    /** Returns the demand in kB/s that steps of less worth per kB than the limit have in playing sessions. */
+    private double lowerableKb(Iterable<Session> candidates, double worthLimit) {
+        double totalKb = 0;
+        for (Session session : candidates) {
+            for (int rung = session.rung; session.playing && rung > session.sessionClass.lowestRung(); rung--)
+                totalKb += worthPerKb[session.classIndex][rung] * session.worthFactor() < worthLimit
+                        ? rateKb[session.classIndex][rung] - rateKb[session.classIndex][rung - 1]
+                        : 0;
         }
-        return can;
+        return totalKb;
     }
 
-    /** Raises own sessions to what the price leaves them, in one change, sparingly, where room has lasted. */
-    private void raise() {
-        List<Session> low = new ArrayList<>();
-        for (Session s : sessions.values()) {
-            double last = !s.playing
+    /**
+     * Raises own sessions up to the rung that the price allows, each in one change, where there has been room for some
+     * time. Tokens limit the number of steps.
+     */
+    private void raiseSessions() {
+        List<Session> raisable = new ArrayList<>();
+        for (Session session : sessions.values()) {
+            double lastChangeAt = !session.playing
                     ? now
                     : Math.max(
-                            Math.max(s.changedAt, s.startedAt),
-                            Math.max(s.server.relievedAt, s.server.rack.relievedAt));
-            if (now - last > CALM_MS && s.rung < wanted(s)) low.add(s);
+                            Math.max(session.rungChangedAt, session.startedAt),
+                            Math.max(session.server.lastReliefAt, session.server.rack.lastReliefAt));
+            if (now - lastChangeAt > RAISE_WAIT_MS && session.rung < affordableRung(session)) raisable.add(session);
         }
-        low.sort(Comparator.comparingDouble(s -> -density[s.c][s.rung + 1] * s.discount()));
-        for (Session s : low) {
-            int rung = wanted(s);
-            while (rung > s.rung && !roomFor(s, rung)) rung--;
-            if (rung == s.rung) continue;
-            if (raiseTokens < rung - s.rung) return;
-            raiseTokens -= rung - s.rung;
-            shift(s, rung);
-            s.changedAt = now;
-            out.rung(s.request.id(), rung);
+        raisable.sort(Comparator.comparingDouble(
+                session -> -worthPerKb[session.classIndex][session.rung + 1] * session.worthFactor()));
+        for (Session session : raisable) {
+            int rung = affordableRung(session);
+            while (rung > session.rung && !hasRoomToRaise(session, rung)) rung--;
+            if (rung == session.rung) continue;
+            if (raiseTokens < rung - session.rung) return;
+            raiseTokens -= rung - session.rung;
+            changeRung(session, rung);
+            session.rungChangedAt = now;
+            hostActions.rung(session.request.id(), rung);
         }
     }
 
-    private boolean roomFor(Session s, int rung) {
-        double more = kb[s.c][rung] - kb[s.c][s.rung];
-        return use(s.server) + more / s.server.link <= RAISE
-                && uplinkUse(s.server.rack) + s.server.rack.part(more) <= RAISE;
+    /** Returns whether link and uplink stay under the limit for raises with the session at the given rung. */
+    private boolean hasRoomToRaise(Session session, int rung) {
+        double addedKb = rateKb[session.classIndex][rung] - rateKb[session.classIndex][session.rung];
+        return linkUse(session.server) + addedKb / session.server.linkKb <= RAISE_LIMIT_FRACTION
+                && uplinkUse(session.server.rack) + session.server.rack.uplinkFraction(addedKb) <= RAISE_LIMIT_FRACTION;
     }
 
-    private void shift(Session s, int rung) {
-        count(s, -1);
-        s.rung = rung;
-        count(s, +1);
+    /** Sets the rung of a session and updates the counts of its server. */
+    private void changeRung(Session session, int rung) {
+        countSession(session, -1);
+        session.rung = rung;
+        countSession(session, +1);
     }
 
-    // --- Health ---
+    // --- Health of servers ---
 
-    private boolean healthy(Server h) {
-        return now >= h.suspendedUntil && (h.strikes == 0 || h.out == 0);
+    /** Returns whether a server is not suspended. After failures it takes one attempt at a time. */
+    private boolean isHealthy(Server server) {
+        return now >= server.suspendedUntil && (server.failures == 0 || server.pendingAttempts == 0);
     }
 
-    private boolean manyBad() {
-        long all = servers.values().stream().filter(h -> h.ready).count();
-        return servers.values().stream().filter(h -> h.ready && !healthy(h)).count() >= ALL_BAD * all;
+    /** Returns whether so many servers look unhealthy that the fault is not theirs. */
+    private boolean fleetWideFault() {
+        long readyServers =
+                servers.values().stream().filter(server -> server.ready).count();
+        return servers.values().stream()
+                        .filter(server -> server.ready && !isHealthy(server))
+                        .count()
+                >= FLEET_FAULT_FRACTION * readyServers;
     }
 
-    /** Judges a server by how an attempt ended: symptoms, whatever their cause. */
-    private void judge(Server h, Outcome outcome) {
+    /** Updates the health of a server by how an attempt or a probe ended, whatever the cause. */
+    private void applyOutcome(Server server, Outcome outcome) {
         switch (outcome) {
             case TIMEOUT, ERROR -> {
-                h.lost.addLast(now);
-                strike(h);
+                server.lostAttemptTimes.addLast(now);
+                suspend(server);
             }
             case CONNECT_FAILED, RESET -> {
-                // its start may only be seen so: cold from the last failure on
-                h.coldSince = Math.max(h.coldSince, now);
-                strike(h);
+                // A restart may show in no other way, so the server counts as cold from the last failure on.
+                server.coldSince = Math.max(server.coldSince, now);
+                suspend(server);
             }
             case FULL -> {
-                if (media.fullFrom() <= 0) h.suspendedUntil = Math.max(h.suspendedUntil, now + SUSPEND_MS);
-                else atLeast(h, media.fullFrom());
+                if (media.fullFrom() <= 0)
+                    server.suspendedUntil = Math.max(server.suspendedUntil, now + FIRST_SUSPENSION_MS);
+                else raiseLinkEstimate(server, media.fullFrom());
             }
             default -> {}
         }
     }
 
     /**
-     * An error is the server's fault once the same request plays elsewhere, or is tried no more. Against
-     * requests that no server can use, which would have the whole fleet suspended; it also keeps apart one
-     * viewer's spoilt title. It hurts where one request meets two failing servers: the next one tells.
+     * Defers an error until the cause is clear. The first error of a request counts against its server once the same
+     * request plays elsewhere or gets its final answer; after a second error neither server is blamed. Otherwise
+     * requests that no server can serve, such as those for one viewer's broken title, would suspend the whole fleet.
+     * The cost is that a request that meets two failing servers suspends neither; a later request does.
      */
-    private void doubt(Session s, Server h) {
-        s.doubted = s.erred ? null : h;
-        s.erred = true;
+    private void deferError(Session session, Server server) {
+        session.deferredErrorServer = session.hadError ? null : server;
+        session.hadError = true;
     }
 
-    private void strike(Server h) {
-        if (now > h.struckAt) {
-            h.struckAt = now;
-            h.strikes = Math.min(h.strikes + 1, 2 + (int) SUSPEND_DOUBLINGS);
+    /** Counts a failure and suspends the server; the length doubles with each failure. Counts once per clock time. */
+    private void suspend(Server server) {
+        if (now > server.lastFailureAt) {
+            server.lastFailureAt = now;
+            server.failures = Math.min(server.failures + 1, 2 + (int) MAX_SUSPENSION_DOUBLINGS);
         }
-        double length = SUSPEND_MS * (1 << (int) Math.min(SUSPEND_DOUBLINGS, h.strikes - 1));
-        h.suspendedUntil = Math.max(h.suspendedUntil, now + length);
+        double suspensionMs =
+                FIRST_SUSPENSION_MS * (1 << (int) Math.min(MAX_SUSPENSION_DOUBLINGS, server.failures - 1));
+        server.suspendedUntil = Math.max(server.suspendedUntil, now + suspensionMs);
     }
 
-    private void onProbe(ProbeEnded e) {
-        Server h = server(e.server());
-        report(h, e.load());
-        judge(h, e.outcome());
+    private void onProbeEnded(ProbeEnded event) {
+        Server server = findOrAddServer(event.server());
+        applyLoadReport(server, event.load());
+        applyOutcome(server, event.outcome());
     }
 
-    // --- The list ---
+    // --- List of servers ---
 
-    private void onList(ServerList e) {
-        boolean failed = e.scope() == ListScope.FAILED;
-        if (failed && cfg.askForList()) out.timer(ASK_AGAIN_MS * (1 + random.nextDouble()), "list");
+    private void onServerList(ServerList event) {
+        boolean failed = event.scope() == ListScope.FAILED;
+        if (failed && config.askForList()) hostActions.timer(LIST_RETRY_MS * (1 + random.nextDouble()), "list");
         if (failed) return;
-        boolean older = e.version() < listVersion;
-        listVersion = Math.max(listVersion, e.version());
-        Set<Long> named = new HashSet<>();
-        for (ServerEntry entry : e.servers()) {
-            named.add(entry.server());
-            Server h = server(entry.server());
-            boolean newStart = entry.startedMs() > h.coldSince;
-            if (newStart) h.coldSince = entry.startedMs();
-            // an older list may take a server away, never bring one back
+        boolean outdated = event.version() < listVersion;
+        listVersion = Math.max(listVersion, event.version());
+        Set<Long> listedIds = new HashSet<>();
+        for (ServerEntry entry : event.servers()) {
+            listedIds.add(entry.server());
+            Server server = findOrAddServer(entry.server());
+            boolean restarted = entry.startedMs() > server.coldSince;
+            if (restarted) server.coldSince = entry.startedMs();
+            // An older list may withdraw a server but not make one ready again.
             boolean ready = entry.state() == ServerState.READY;
-            if (!older || !ready || newStart || !h.listed) h.ready = ready;
-            h.listed = true;
-            h.kind = entry.kind();
-            h.zone = entry.zone();
-            h.cell = entry.cell();
-            h.link = Math.max(1, media.linkKbPerWeight() * (entry.weight() > 0 ? entry.weight() : 1));
-            rackOf(h, media.racks() > 0 ? entry.cell() % media.racks() : 0);
+            if (!outdated || !ready || restarted || !server.listed) server.ready = ready;
+            server.listed = true;
+            server.kind = entry.kind();
+            server.zone = entry.zone();
+            server.cell = entry.cell();
+            server.linkKb = Math.max(1, media.linkKbPerWeight() * (entry.weight() > 0 ? entry.weight() : 1));
+            assignRack(server, media.racks() > 0 ? entry.cell() % media.racks() : 0);
         }
-        if (e.scope() != ListScope.CHANGES) for (Server h : servers.values()) h.ready &= named.contains(h.id);
-        forgetGone();
-        links = servers.values().stream()
-                .filter(h -> h.ready)
-                .mapToDouble(h -> h.link)
+        if (event.scope() != ListScope.CHANGES)
+            for (Server server : servers.values()) server.ready &= listedIds.contains(server.id);
+        forgetGoneServers();
+        totalLinkKb = servers.values().stream()
+                .filter(server -> server.ready)
+                .mapToDouble(server -> server.linkKb)
                 .sum();
-        meanLink = Math.max(
+        meanLinkKb = Math.max(
                 1,
-                links
+                totalLinkKb
                         / Math.max(
                                 1,
-                                servers.values().stream().filter(h -> h.ready).count()));
-    }
-
-    /** Against fleets whose servers are replaced all day under new names: they would be held for good. */
-    private void forgetGone() {
-        for (Iterator<Server> all = servers.values().iterator(); all.hasNext(); ) {
-            Server h = all.next();
-            if (h.ready || !h.listed || !h.sessions.isEmpty()) h.unusedSince = now;
-            if (now - h.unusedSince < FORGET_MS) continue;
-            all.remove();
-            h.rack.servers.remove(h);
-            heardOf.remove(h);
+                                servers.values().stream()
+                                        .filter(server -> server.ready)
+                                        .count()));
+    }
+
+    /**
+     * Forgets servers that have been gone for some time and play nothing. Otherwise a fleet whose servers are replaced
+     * under new names would fill the memory.
+     */
+    private void forgetGoneServers() {
+        for (Iterator<Server> iterator = servers.values().iterator(); iterator.hasNext(); ) {
+            Server server = iterator.next();
+            if (server.ready || !server.listed || !server.sessions.isEmpty()) server.unusedSince = now;
+            if (now - server.unusedSince < FORGET_SERVER_MS) continue;
+            iterator.remove();
+            server.rack.servers.remove(server);
+            serversWithReadings.remove(server);
         }
     }
 
-    /** How many servers are held, for the host's counts. */
+    /** Returns the number of servers held in memory, for the host's metrics. */
     public int serversHeld() {
         return servers.size();
     }
 
-    private Server server(long id) {
-        Server h = servers.get(id);
-        if (h == null) {
-            h = new Server(id);
-            h.link = Math.max(1, media.linkKbPerWeight());
-            h.unusedSince = now;
-            servers.put(id, h);
-            rackOf(h, 0);
+    /** Returns the server with this id; adds it with default properties if it is unknown. */
+    private Server findOrAddServer(long id) {
+        Server server = servers.get(id);
+        if (server == null) {
+            server = new Server(id);
+            server.linkKb = Math.max(1, media.linkKbPerWeight());
+            server.unusedSince = now;
+            servers.put(id, server);
+            assignRack(server, 0);
         }
-        return h;
+        return server;
     }
 
-    private void rackOf(Server h, int number) {
-        Rack rack = racks.computeIfAbsent(number, n -> new Rack(media.racks() > 0 ? media.uplinkKb() : 0));
-        if (h.rack != rack) {
-            if (h.rack != null) h.rack.servers.remove(h);
-            h.rack = rack;
-            rack.servers.add(h);
+    /** Moves the server to the rack with this number, which is created if it is new. */
+    private void assignRack(Server server, int rackNumber) {
+        Rack rack = racks.computeIfAbsent(rackNumber, key -> new Rack(media.racks() > 0 ? media.uplinkKb() : 0));
+        if (server.rack != rack) {
+            if (server.rack != null) server.rack.servers.remove(server);
+            server.rack = rack;
+            rack.servers.add(server);
         }
     }
 
     // --- Counts ---
 
-    /** Adds a session to its server's counts, or takes it off. */
-    private void count(Session s, int sign) {
-        Server h = s.server;
-        double before = h.ownKb;
-        String key = s.k.live() ? s.streamKey(s.rung) : null;
-        int sharing = key == null ? 0 : h.streams.getOrDefault(key, 0);
-        boolean joins = key != null && (sign > 0 ? sharing > 0 : sharing > 1);
-        h.ownKb = Math.max(0, h.ownKb + sign * kb[s.c][s.rung] * (joins ? media.join() : 1));
-        h.ownWeight = Math.max(0, h.ownWeight + sign * s.k.worth());
-        if (key != null) h.streams.merge(key, sign, Integer::sum);
-        if (sign > 0) h.sessions.add(s);
-        else h.sessions.remove(s);
-        if (s.k.seats() > 0) seats.merge(s.seatKey(), sign, Integer::sum);
-        h.remember(now, h.ownKb - before);
-        ownKb += h.ownKb - before;
-        held += sign;
-        changes++;
-    }
-
-    /** Counts a new viewer against its tenant's share; returns and repeats belong to their first try. */
-    private void countTenant(Request e) {
-        if (e.tenant() >= tenantRate.length || e.retry() || e.returning() || e.moved()) return;
-        double kept = Math.exp(-(now - tenantAt[e.tenant()]) / 1000 / TENANT_S);
-        tenantRate[e.tenant()] = tenantRate[e.tenant()] * kept + 1 / TENANT_S;
-        tenantAt[e.tenant()] = now;
-    }
-
-    /** A tenant's mean worth as a part of the class's: which sessions lie beyond its share is not told. */
-    private double tenantWorth(int tenant) {
-        if (tenant >= cfg.tenants().size()) return 1;
-        double quota = cfg.tenants().get(tenant).quotaPerSecond() / Math.max(1, cfg.controllers());
-        double rate = tenantRate[tenant] * Math.exp(-(now - tenantAt[tenant]) / 1000 / TENANT_S);
-        double inside = quota <= 0 || rate <= quota ? 1 : quota / rate;
-        return inside + cfg.overShareWorth() * (1 - inside);
-    }
-
-    /** The result counts the worst class once more: steps of a class served less weigh more, as is stated. */
-    private void balance(double s) {
+    /**
+     * Adds a session to the counts of its server, or removes it.
+     *
+     * @param sign +1 to add, -1 to remove
+     */
+    private void countSession(Session session, int sign) {
+        Server server = session.server;
+        double ownKbBefore = server.ownKb;
+        String streamKey = session.sessionClass.live() ? session.streamKey(session.rung) : null;
+        int sharingSessions = streamKey == null ? 0 : server.streamSessions.getOrDefault(streamKey, 0);
+        boolean joins = streamKey != null && (sign > 0 ? sharingSessions > 0 : sharingSessions > 1);
+        server.ownKb = Math.max(
+                0, server.ownKb + sign * rateKb[session.classIndex][session.rung] * (joins ? media.join() : 1));
+        server.ownWorth = Math.max(0, server.ownWorth + sign * session.sessionClass.worth());
+        if (streamKey != null) server.streamSessions.merge(streamKey, sign, Integer::sum);
+        if (sign > 0) server.sessions.add(session);
+        else server.sessions.remove(session);
+        if (session.sessionClass.seats() > 0) seatsTaken.merge(session.seatKey(), sign, Integer::sum);
+        server.recordDemandChange(now, server.ownKb - ownKbBefore);
+        totalOwnKb += server.ownKb - ownKbBefore;
+        placedSessions += sign;
+        stateVersion++;
+    }
+
+    /** Counts a new viewer in its tenant's request rate; repeats, moves and returning viewers were counted before. */
+    private void countTenantRequest(Request request) {
+        if (request.tenant() >= tenantRequestRate.length || request.retry() || request.returning() || request.moved())
+            return;
+        double decay = Math.exp(-(now - tenantRateAt[request.tenant()]) / 1000 / TENANT_RATE_WINDOW_S);
+        tenantRequestRate[request.tenant()] = tenantRequestRate[request.tenant()] * decay + 1 / TENANT_RATE_WINDOW_S;
+        tenantRateAt[request.tenant()] = now;
+    }
+
+    /**
+     * Returns the mean worth of a tenant's sessions as a fraction of the class's worth. It is a mean because nothing
+     * says which of its sessions are beyond the tenant's quota.
+     */
+    private double tenantWorthFactor(int tenant) {
+        if (tenant >= config.tenants().size()) return 1;
+        double quotaPerSecond = config.tenants().get(tenant).quotaPerSecond() / Math.max(1, config.controllers());
+        double requestsPerSecond =
+                tenantRequestRate[tenant] * Math.exp(-(now - tenantRateAt[tenant]) / 1000 / TENANT_RATE_WINDOW_S);
+        double withinQuota =
+                quotaPerSecond <= 0 || requestsPerSecond <= quotaPerSecond ? 1 : quotaPerSecond / requestsPerSecond;
+        return withinQuota + config.overShareWorth() * (1 - withinQuota);
+    }
+
+    /**
+     * Updates the factors on the worth of classes. The result counts the worst-served class once more, by a weight in
+     * the settings, so the steps of a class that is served less than the average weigh more.
+     */
+    private void updateClassBoosts(double elapsedS) {
         for (Session session : sessions.values()) {
             if (!session.playing) continue;
-            double worth = session.k.worth() * s;
-            earned[session.c] += worth * media.rungWorth().get(session.rung);
-            offered[session.c] += worth * media.rungWorth().get(session.top());
+            double worth = session.sessionClass.worth() * elapsedS;
+            earnedWorth[session.classIndex] += worth * media.rungWorth().get(session.rung);
+            offeredWorth[session.classIndex] += worth * media.rungWorth().get(session.topRung());
         }
-        double got = Arrays.stream(earned).sum(), asked = Arrays.stream(offered).sum();
-        for (int c = 0; c < kb.length; c++) {
-            double lag = offered[c] <= 0 ? 0 : got / asked - earned[c] / offered[c];
-            double weight = cfg.worstClassWeight() / (1 - cfg.worstClassWeight()) * asked / offered[c];
-            boost[c] = lag <= 0 ? 1 : 1 + Math.min(1, weight) * Math.min(1, lag / LAG);
+        double totalEarned = Arrays.stream(earnedWorth).sum();
+        double totalOffered = Arrays.stream(offeredWorth).sum();
+        for (int classIndex = 0; classIndex < rateKb.length; classIndex++) {
+            double lag = offeredWorth[classIndex] <= 0
+                    ? 0
+                    : totalEarned / totalOffered - earnedWorth[classIndex] / offeredWorth[classIndex];
+            double weight = config.worstClassWeight()
+                    / (1 - config.worstClassWeight())
+                    * totalOffered
+                    / offeredWorth[classIndex];
+            classBoost[classIndex] =
+                    lag <= 0 ? 1 : 1 + Math.min(1, weight) * Math.min(1, lag / FULL_WEIGHT_LAG_FRACTION);
         }
     }
 
-    /** One request, from its arrival to its end. */
+    /** A request and the session that results from it, from the arrival of the request to its end. */
     private final class Session {
         final Request request;
-        final int c;
-        final SessionClass k;
-        final Set<Long> tried = new HashSet<>();
-        Server server, tokenServer, doubted;
-        double tokenAt, sentAt, startedAt, changedAt = NEVER;
-        int attempts, rung;
-        boolean rungSent, playing, mayHaveRun, departed, erred;
+        final int classIndex;
+        final SessionClass sessionClass;
+        final Set<Long> triedServers = new HashSet<>();
+        // Server of the pending attempt or of the playing session; null without one.
+        Server server;
+        // Server and start of the first attempt that may have run.
+        Server tokenServer;
+        double tokenStartedAt;
+        // Server whose error is not yet counted against it; null without one.
+        Server deferredErrorServer;
+        double sentAt;
+        double startedAt;
+        double rungChangedAt = NEVER;
+        int attempts;
+        int rung;
+        boolean rungSent;
+        boolean playing;
+        boolean mayHaveRun;
+        boolean departed;
+        boolean hadError;
 
         Session(Request request) {
             this.request = request;
-            this.c = request.sessionClass();
-            this.k = cfg.classes().get(c);
+            this.classIndex = request.sessionClass();
+            this.sessionClass = config.classes().get(classIndex);
         }
 
-        /** What a second of it is worth beside the class's worth. */
-        double discount() {
-            return tenantWorth(request.tenant()) * boost[c];
+        /** Returns the factor on the class's worth from the tenant's quota and the boost of the class. */
+        double worthFactor() {
+            return tenantWorthFactor(request.tenant()) * classBoost[classIndex];
         }
 
-        int top() {
-            return Math.min(request.top(), Math.min(k.highestRung(), kb[c].length - 1));
+        /** Returns the highest rung that viewer, class and ladder allow. */
+        int topRung() {
+            return Math.min(request.top(), Math.min(sessionClass.highestRung(), rateKb[classIndex].length - 1));
         }
 
-        /** Worth per kB of the step that it stands on. */
-        double step() {
-            return density[c][rung] * discount();
+        /** Returns the worth per kB of the step to its present rung. */
+        double stepWorthPerKb() {
+            return worthPerKb[classIndex][rung] * worthFactor();
         }
 
+        /** Returns the key of the title's seats in the class. */
         String seatKey() {
-            return c + " " + request.title();
+            return classIndex + " " + request.title();
         }
 
-        String streamKey(int at) {
-            return at + " " + c + " " + request.title();
+        /** Returns the key of the live stream that sessions of one class, title and rung share. */
+        String streamKey(int atRung) {
+            return atRung + " " + classIndex + " " + request.title();
         }
     }
 
-    /** One server as seen from here. */
+    /** One server, with the demand of own sessions and the estimates about it. */
     private static final class Server {
         final long id;
         final Set<Session> sessions = new LinkedHashSet<>();
-        final Map<String, Integer> streams = new HashMap<>();
-        final ArrayDeque<Double> lost = new ArrayDeque<>();
-        final ArrayDeque<double[]> changes = new ArrayDeque<>();
+        final Map<String, Integer> streamSessions = new HashMap<>();
+        final ArrayDeque<Double> lostAttemptTimes = new ArrayDeque<>();
+        final ArrayDeque<double[]> demandChanges = new ArrayDeque<>();
         Rack rack;
-        boolean listed, ready;
-        int kind, zone, cell, out, strikes;
-        double link, ownKb, ownWeight, peerKb, peerStreams = -1, heardAt, shortAt = NEVER;
-        double struckAt = NEVER, suspendedUntil = NEVER, suspected;
-        double coldSince = NEVER, lastSent = NEVER, relievedAt = NEVER, toldAt = NEVER, unusedSince;
+        boolean listed;
+        boolean ready;
+        int kind;
+        int zone;
+        int cell;
+        int pendingAttempts;
+        // Recent failures; a set-up that works takes one off.
+        int failures;
+        double linkKb;
+        // Demand and worth of own sessions, set-ups included.
+        double ownKb;
+        double ownWorth;
+        // Demand of peers when something was last learned of it.
+        double peerKb;
+        // Streams of peers; negative while no report has given them.
+        double peerStreams = -1;
+        // Last time at which anything was learned of the use of the link; 0: never.
+        double evidenceAt;
+        // Last reading of the use of the link, from a note or a report.
+        double readingAt = NEVER;
+        double shortDeliveryAt = NEVER;
+        double lastFailureAt = NEVER;
+        double suspendedUntil = NEVER;
+        // Strength of the claims of peers, 0 to 1.
+        double suspicionStrength;
+        double coldSince = NEVER;
+        double lastAttemptAt = NEVER;
+        // Last time at which own sessions were lowered because the link was short.
+        double lastReliefAt = NEVER;
+        double unusedSince;
 
         Server(long id) {
             this.id = id;
         }
 
-        void remember(double at, double change) {
-            changes.addLast(new double[] {at, change});
-            while (changes.peekFirst()[0] < at - 6000) changes.removeFirst();
+        /** Records a change of own demand in kB/s; changes of the last 6 s are kept. */
+        void recordDemandChange(double atMs, double changeKb) {
+            demandChanges.addLast(new double[] {atMs, changeKb});
+            while (demandChanges.peekFirst()[0] < atMs - 6000) demandChanges.removeFirst();
         }
 
-        /** Own demand at an earlier time: readings are late. */
-        double ownAt(double at) {
-            double own = ownKb;
-            for (double[] change : changes) own -= change[0] > at ? change[1] : 0;
-            return Math.max(0, own);
+        /** Returns the demand of own sessions at an earlier clock time, to compare with readings that are late. */
+        double ownKbAt(double atMs) {
+            double ownKbThen = ownKb;
+            for (double[] change : demandChanges) ownKbThen -= change[0] > atMs ? change[1] : 0;
+            return Math.max(0, ownKbThen);
         }
     }
 
-    /** One rack: its uplink, and how far its use stands from what the links' estimates say. */
+    /** One rack with its uplink. */
     private final class Rack {
         final List<Server> servers = new ArrayList<>();
         final double uplinkKb;
-        double bias = 1;
-        double heardAt, toldAt = NEVER, relievedAt = NEVER, sum;
-        long sumOf = -1;
+        // Use of the uplink over the use that the estimates of the rack's links give.
+        double correction = 1;
+        // Last time at which anything was learned of the use of the uplink.
+        double evidenceAt;
+        // Last reading of the use of the uplink.
+        double readingAt = NEVER;
+        // Last time at which own sessions were lowered because the uplink was short.
+        double lastReliefAt = NEVER;
+        double cachedDemandKb;
+        // State version for which the cached demand holds.
+        long cachedVersion = -1;
 
         Rack(double uplinkKb) {
             this.uplinkKb = uplinkKb;
         }
 
-        /** All demand on the uplink; kept until something changes, since each request asks for each rack. */
-        double asked(double at) {
-            if (at == now && sumOf == changes) return sum;
-            double asked = 0;
-            for (Server h : servers) asked += h.ready || h.ownKb > 0 ? h.ownAt(at) + peerKb(h) : 0;
-            if (at != now) return asked;
-            sumOf = changes;
-            return sum = asked;
+        /**
+         * Returns the estimated demand on the uplink at a clock time, in kB/s, without the correction. The present
+         * value is cached until the state changes, because each request reads it for each rack.
+         */
+        double demandKb(double atMs) {
+            if (atMs == now && cachedVersion == stateVersion) return cachedDemandKb;
+            double totalKb = 0;
+            for (Server server : servers)
+                totalKb += server.ready || server.ownKb > 0 ? server.ownKbAt(atMs) + estimatedPeerKb(server) : 0;
+            if (atMs != now) return totalKb;
+            cachedVersion = stateVersion;
+            return cachedDemandKb = totalKb;
         }
 
-        boolean used() {
-            return servers.stream().anyMatch(h -> !h.sessions.isEmpty());
+        /** Returns whether an own session plays or is set up in the rack. */
+        boolean hasOwnSessions() {
+            return servers.stream().anyMatch(server -> !server.sessions.isEmpty());
         }
 
-        List<Session> sessions() {
-            return servers.stream().flatMap(h -> h.sessions.stream()).toList();
+        List<Session> ownSessions() {
+            return servers.stream().flatMap(server -> server.sessions.stream()).toList();
         }
 
-        double part(double kbs) {
-            return uplinkKb <= 0 ? 0 : bias * kbs / uplinkKb;
+        /** Returns the corrected fraction of the uplink that a demand takes; 0 where uplinks do not bind. */
+        double uplinkFraction(double addedKb) {
+            return uplinkKb <= 0 ? 0 : correction * addedKb / uplinkKb;
         }
     }
 }
