--- a/controller/src/main/java/calicovale/SessionController.java
+++ b/controller/src/main/java/calicovale/SessionController.java
@@ -1436,8 +1436,6 @@
         double peerStreams = -1;
         // Last time at which anything was learned of the use of the link; 0: never.
         double evidenceAt;
-        // Last reading of the use of the link, from a note or a report.
-        double readingAt = NEVER;
         double shortDeliveryAt = NEVER;
         double lastFailureAt = NEVER;
         double suspendedUntil = NEVER;
@@ -1447,6 +1445,8 @@
         double lastAttemptAt = NEVER;
         // Last time at which own sessions were lowered because the link was short.
         double lastReliefAt = NEVER;
+        // Last reading of the use of the link, from a note or a report.
+        double readingAt = NEVER;
         double unusedSince;
 
         Server(long id) {
