--- a/controller/src/main/java/calicovale/ControllerApi.java
+++ b/controller/src/main/java/calicovale/ControllerApi.java
@@ -123,7 +123,7 @@
      * @param kindStreams most streams that a server of each kind runs
      * @param join demand that a further viewer of a shared live stream adds, as a fraction of the stream's rate
      * @param fullFrom use of its link from which a server refuses set-ups; 0: never
-     * @param missingCost percentage points of worth lost for each percentage point of the rate that is missing
+     * @param missingCost points of worth lost for each point of the rate that is missing
      * @param changeCostS cost of a change of rung, in seconds of the class's worth
      * @param noteDelayMs age in ms of notes on playing sessions when they arrive
      * @param noteEveryMs time in ms between notes of the use of a link; 0: there are none
@@ -159,8 +159,8 @@
      * @param askForList whether the list of servers comes only after {@link Actions#subscribe()}
      * @param worstClassWeight weight of the worst-served class in the result, below 1; 0: no weight
      * @param moveCost cost of moving every session once, as a fraction of all worth
-     * @param zoneCost cost of serving every session across zones, as a fraction of all worth; 0: zones do not matter
-     * @param probeCost cost of one probe for each session, as a fraction of all worth
+     * @param zoneCost cost of serving every session across zones; 0: servers of other zones are not avoided
+     * @param probeCost cost of one probe for each session
      */
     public record Settings(
             int self,
