--- a/manager/src/main/java/calicovale/manager/ManagerMain.java
+++ b/manager/src/main/java/calicovale/manager/ManagerMain.java
@@ -13,10 +13,10 @@
  */
 public final class ManagerMain {
     /** The variable that names the configuration. */
-    public static final String CONFIG = "PROXY_CONFIG";
+    public static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
-    private static final int FAILED = 1;
-    private static final int BAD_INPUT = 2;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_BAD_INPUT = 2;
 
     private ManagerMain() {}
 
@@ -27,24 +27,24 @@
             config = ManagerConfig.read(file);
         } catch (InvalidDocumentException e) {
             e.faults().forEach(System.err::println);
-            return BAD_INPUT;
+            return EXIT_BAD_INPUT;
         }
         // handled before anything is heard of this process: a signal that came first would end it
         CompletableFuture<ManagerProcess> started = new CompletableFuture<>();
-        Signals.on("HUP", () -> started.thenAccept(process -> process.reload(file)));
-        Signals.on("TERM", () -> started.thenAccept(ManagerProcess::drain));
+        SignalHandlers.on("HUP", () -> started.thenAccept(process -> process.reload(file)));
+        SignalHandlers.on("TERM", () -> started.thenAccept(ManagerProcess::drain));
         try (ManagerProcess process = new ManagerProcess(config, file, Clock.system())) {
             started.complete(process);
-            return process.await() ? 0 : FAILED;
+            return process.await() ? 0 : EXIT_FAILED;
         }
     }
 
     /** Takes no arguments. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        String file = System.getenv(CONFIG);
+        String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
-            System.err.println(CONFIG + ": the path of a configuration is expected");
-            System.exit(BAD_INPUT);
+            System.err.println(CONFIG_VARIABLE + ": the path of a configuration is expected");
+            System.exit(EXIT_BAD_INPUT);
         }
         System.exit(run(Path.of(file)));
     }
--- a/manager/src/main/java/calicovale/manager/ManagerProcess.java
+++ b/manager/src/main/java/calicovale/manager/ManagerProcess.java
@@ -1,6 +1,6 @@
 package calicovale.manager;
 
-import calicovale.manager.bus.EventBus;
+import calicovale.manager.bus.EventBusClient;
 import calicovale.manager.config.ManagerConfig;
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.net.Clock;
@@ -22,33 +22,33 @@
 public final class ManagerProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ManagerProcess.class);
     /** Ms between lines of counts. */
-    private static final double COUNTS_MS = 10_000;
+    private static final double COUNTS_INTERVAL_MS = 10_000;
     /** Ms for which requests still come after a drain has begun. */
-    private static final double STILL_COME_MS = 700;
+    private static final double LATE_REQUESTS_MS = 700;
     /** Longest drain, in ms, for sessions that stand: they play on until the platform ends the process. */
-    private static final double MOST_DRAIN_MS = 600_000;
+    private static final double MAX_DRAIN_MS = 600_000;
     /** Ms between looks at a drain. */
-    private static final double DRAIN_LOOK_MS = 20;
+    private static final double DRAIN_CHECK_INTERVAL_MS = 20;
     /** Ms for which viewers may read the last answers before the process ends: a close with unread input would undo them. */
-    private static final double LINGER_MS = 300;
+    private static final double LINGER_TIMEOUT_MS = 300;
     /** Ms before a configuration that could not be read is read again, doubling, and how often: it may be half written. */
-    private static final double READ_AGAIN_MS = 50;
+    private static final double FIRST_REREAD_DELAY_MS = 50;
 
-    private static final int READS = 7;
+    private static final int MAX_REREADS = 7;
     /** Bounds of the loop: some hundreds of connections, each message 16 KiB at most. */
-    private static final LoopLimits LIMITS = new LoopLimits(1 << 10, 1 << 16, 1 << 18, 512, 64, 1);
+    private static final LoopLimits LOOP_LIMITS = new LoopLimits(1 << 10, 1 << 16, 1 << 18, 512, 64, 1);
 
     private final ManagerConfig config;
     private final EventLoop loop;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private SessionManager manager;
-    private EventBus bus;
+    private SessionCoordinator coordinator;
+    private EventBusClient bus;
     private InetSocketAddress address;
     private boolean draining;
     private volatile boolean drained;
-    private Timer readAgain;
+    private Timer rereadTimer;
     private final Path file;
-    private String stamp;
+    private String fileStamp;
 
     /** Starts a manager; it listens once this returns. */
     public ManagerProcess(ManagerConfig config, Clock clock) throws IOException {
@@ -59,8 +59,8 @@
     public ManagerProcess(ManagerConfig config, Path file, Clock clock) throws IOException {
         this.config = config;
         this.file = file;
-        stamp = stamp(file);
-        loop = new EventLoop("manager", clock, LIMITS, Tap.NONE).start();
+        fileStamp = stampOf(file);
+        loop = new EventLoop("manager", clock, LOOP_LIMITS, Tap.NONE).start();
         // a process that lives and serves nobody is worse than one that is started anew
         loop.whenEnded(ended::countDown);
         // what was told while this process came up counts as told: nothing is sent before it is known
@@ -69,7 +69,7 @@
         try {
             loop.call(() -> begin(() -> caughtUp.complete(null)));
             caughtUp.join();
-            address = loop.call(() -> manager.open(config.listen()));
+            address = loop.call(() -> coordinator.open(config.listen()));
         } catch (IllegalStateException e) {
             loop.close();
             throw new IOException(e.getMessage(), e);
@@ -77,24 +77,24 @@
     }
 
     private boolean begin(Runnable caughtUp) {
-        manager = new SessionManager(loop, config);
-        bus = new EventBus(
+        coordinator = new SessionCoordinator(loop, config);
+        bus = new EventBusClient(
                 loop,
                 new SplittableRandom(config.seed()),
-                manager.log(LOG),
+                coordinator.log(LOG),
                 config.bus(),
                 config.knownOffset(),
                 config.platform().controller().rules().drainGraceMs(),
-                manager::onBus,
-                this::busLost);
+                coordinator::handleBusEvent,
+                this::rereadIfChanged);
         bus.open(caughtUp);
-        loop.schedule(COUNTS_MS, this::tellCounts);
+        loop.schedule(COUNTS_INTERVAL_MS, this::logCounts);
         return true;
     }
 
-    private void tellCounts() {
-        loop.schedule(COUNTS_MS, this::tellCounts);
-        LOG.info("counts {}", manager.counts());
+    private void logCounts() {
+        loop.schedule(COUNTS_INTERVAL_MS, this::logCounts);
+        LOG.info("counts {}", coordinator.counts());
     }
 
     /** Its loop, for tests that force an order of events. */
@@ -109,25 +109,25 @@
 
     /** What has been counted. */
     public java.util.Map<String, Long> counts() {
-        return loop.call(manager::counts);
+        return loop.call(coordinator::counts);
     }
 
     /** The configuration was replaced: where the event bus is may have changed; all else holds until a restart. */
     public void reload(Path file) {
-        loop.execute(() -> read(file, 0));
+        loop.execute(() -> readConfig(file, 0));
     }
 
     /**
      * The bus broke off or does not answer: if the file has changed since, its address may have. Against a SIGHUP that never comes:
      * a process that was started with it ignored cannot have it handled.
      */
-    private void busLost() {
-        if (file != null && !stamp(file).equals(stamp)) {
-            read(file, 0);
+    private void rereadIfChanged() {
+        if (file != null && !stampOf(file).equals(fileStamp)) {
+            readConfig(file, 0);
         }
     }
 
-    private static String stamp(Path file) {
+    private static String stampOf(Path file) {
         if (file == null) {
             return "";
         }
@@ -138,20 +138,21 @@
         }
     }
 
-    private void read(Path file, int tries) {
-        stamp = stamp(file);
-        if (readAgain != null) {
-            readAgain.cancel();
-            readAgain = null;
+    private void readConfig(Path file, int rereads) {
+        fileStamp = stampOf(file);
+        if (rereadTimer != null) {
+            rereadTimer.cancel();
+            rereadTimer = null;
         }
         try {
-            ManagerConfig next = ManagerConfig.read(file);
-            LOG.info("configuration read again, the bus is at {}", next.bus());
-            bus.moveTo(next.bus());
+            ManagerConfig newConfig = ManagerConfig.read(file);
+            LOG.info("configuration read again, the bus is at {}", newConfig.bus());
+            bus.changeAddress(newConfig.bus());
         } catch (InvalidDocumentException e) {
             LOG.error("the new configuration is not taken, the old one stays: {}", e.faults());
-            if (tries < READS) {
-                readAgain = loop.schedule(READ_AGAIN_MS * (1 << tries), () -> read(file, tries + 1));
+            if (rereads < MAX_REREADS) {
+                rereadTimer =
+                        loop.schedule(FIRST_REREAD_DELAY_MS * (1 << rereads), () -> readConfig(file, rereads + 1));
             }
         }
     }
@@ -162,26 +163,26 @@
             if (!draining) {
                 draining = true;
                 LOG.info("drains");
-                manager.drain(STILL_COME_MS);
-                look(loop.clock().millis());
+                coordinator.drain(LATE_REQUESTS_MS);
+                checkDrain(loop.clock().millis());
             }
         });
     }
 
-    private void look(double since) {
-        double passed = loop.clock().millis() - since;
-        if (passed < MOST_DRAIN_MS && (passed < STILL_COME_MS || !manager.quiet())) {
-            loop.schedule(DRAIN_LOOK_MS, () -> look(since));
+    private void checkDrain(double sinceMs) {
+        double elapsedMs = loop.clock().millis() - sinceMs;
+        if (elapsedMs < MAX_DRAIN_MS && (elapsedMs < LATE_REQUESTS_MS || !coordinator.isQuiet())) {
+            loop.schedule(DRAIN_CHECK_INTERVAL_MS, () -> checkDrain(sinceMs));
             return;
         }
-        LOG.info("ends, counts {}", manager.counts());
-        manager.finish();
+        LOG.info("ends, counts {}", coordinator.counts());
+        coordinator.closeViewers();
         linger(loop.clock().millis());
     }
 
-    private void linger(double since) {
-        if (manager.viewers() > 0 && loop.clock().millis() - since < LINGER_MS) {
-            loop.schedule(DRAIN_LOOK_MS, () -> linger(since));
+    private void linger(double sinceMs) {
+        if (coordinator.viewerLinkCount() > 0 && loop.clock().millis() - sinceMs < LINGER_TIMEOUT_MS) {
+            loop.schedule(DRAIN_CHECK_INTERVAL_MS, () -> linger(sinceMs));
         } else {
             drained = true;
             ended.countDown();
--- a/manager/src/main/java/calicovale/manager/Signals.java
+++ b/manager/src/main/java/calicovale/manager/SignalHandlers.java
@@ -7,33 +7,36 @@
  * Owns the handling of signals. The platform's only way to them is a class that the compiler warns of whatever is said, so it is
  * reached by name, as terminal libraries do.
  */
-final class Signals {
+final class SignalHandlers {
 
-    private Signals() {}
+    private SignalHandlers() {}
 
     /** Calls {@code body}, on a thread of its own, whenever the signal comes. */
-    static void on(String name, Runnable body) {
+    static void on(String signalName, Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object proxy =
-                    Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handler = Proxy.newProxyInstance(
+                    handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, (self, method, args) -> {
                         if (method.getName().equals("handle")) {
-                            body.run();
+                            action.run();
                             return null;
                         }
                         return method.getName().equals("equals")
                                 ? (Object) (self == args[0])
-                                : method.getName().equals("hashCode") ? (Object) System.identityHashCode(self) : name;
+                                : method.getName().equals("hashCode")
+                                        ? (Object) System.identityHashCode(self)
+                                        : signalName;
                     });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
+            signalClass
+                    .getMethod("handle", signalClass, handlerClass)
+                    .invoke(null, signalClass.getConstructor(String.class).newInstance(signalName), handler);
         } catch (ClassNotFoundException
                 | NoSuchMethodException
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            throw new IllegalStateException("signal " + name + " cannot be handled", e);
+            throw new IllegalStateException("signal " + signalName + " cannot be handled", e);
         }
     }
 }
--- a/manager/src/main/java/calicovale/manager/bus/Addresses.java
+++ b/manager/src/main/java/calicovale/manager/bus/Addresses.java
@@ -9,22 +9,23 @@
 
 /** Owns the reading of addresses: IPv4 in numbers only, so that none can cause a look-up of a name on the loop. */
 public final class Addresses {
-    private static final Pattern FORM = Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
+    private static final Pattern IPV4_AND_PORT =
+            Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
 
     private Addresses() {}
 
     /** Reads {@code a.b.c.d:port}. */
-    public static InetSocketAddress read(String text) throws BadValueException {
-        Matcher m = FORM.matcher(text);
+    public static InetSocketAddress parse(String text) throws BadValueException {
+        Matcher matcher = IPV4_AND_PORT.matcher(text);
         byte[] host = new byte[4];
-        boolean fits = m.matches();
-        for (int i = 0; fits && i < 4; i++) {
-            int part = Integer.parseInt(m.group(i + 1));
-            fits = part <= 255;
+        boolean valid = matcher.matches();
+        for (int i = 0; valid && i < 4; i++) {
+            int part = Integer.parseInt(matcher.group(i + 1));
+            valid = part <= 255;
             host[i] = (byte) part;
         }
-        int port = fits ? Integer.parseInt(m.group(5)) : 0;
-        if (!fits || port < 1 || port > 65535) {
+        int port = valid ? Integer.parseInt(matcher.group(5)) : 0;
+        if (!valid || port < 1 || port > 65535) {
             throw new BadValueException("'" + text + "' is not an address, such as 10.0.0.4:3868");
         }
         try {
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -14,10 +14,10 @@
  *
  * @param offset its number
  * @param generation the list's version
- * @param whole whether it holds the whole list
+ * @param complete whether it holds the whole list
  * @param entries what it holds
  */
-public record BusEvent(long offset, long generation, boolean whole, List<Entry> entries) {
+public record BusEvent(long offset, long generation, boolean complete, List<Entry> entries) {
 
     /** A video server's state. */
     public enum Lifecycle {
@@ -42,17 +42,17 @@
             double startedAtMs) {}
 
     /** Reads one from its line; null: the line holds the last number alone. */
-    public static BusEvent readLine(String line) throws BadValueException {
+    public static BusEvent parseLine(String line) throws BadValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
-            return node.has("topology") ? read(node) : null;
+            return node.has("topology") ? parse(node) : null;
         } catch (JsonProcessingException e) {
             throw new BadValueException("an event that is no JSON: " + e.getOriginalMessage());
         }
     }
 
     /** The number that a line holds, whatever else it has. */
-    static long number(String line) throws BadValueException {
+    static long parseOffset(String line) throws BadValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             JsonNode offset = node.isObject() ? node.path("offset") : node;
@@ -66,7 +66,7 @@
     }
 
     /** Reads one. */
-    public static BusEvent read(JsonNode node) throws BadValueException {
+    public static BusEvent parse(JsonNode node) throws BadValueException {
         JsonNode topology = node.path("topology");
         JsonNode list = topology.path("instances");
         if (!node.path("offset").canConvertToLong() || !list.isArray()) {
@@ -74,7 +74,7 @@
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonNode entry : list) {
-            entries.add(entry(entry));
+            entries.add(parseEntry(entry));
         }
         return new BusEvent(
                 node.path("offset").asLong(),
@@ -83,7 +83,7 @@
                 List.copyOf(entries));
     }
 
-    private static Entry entry(JsonNode node) throws BadValueException {
+    private static Entry parseEntry(JsonNode node) throws BadValueException {
         String id = node.path("instanceId").asText("");
         if (id.isEmpty()) {
             throw new BadValueException("an instance without 'instanceId'");
@@ -94,13 +94,13 @@
         } catch (IllegalArgumentException e) {
             throw new BadValueException("instance " + id + ": 'lifecycle' is " + node.path("lifecycle"));
         }
-        String at = node.path("hostPort").asText("");
-        if (at.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
+        String hostPort = node.path("hostPort").asText("");
+        if (hostPort.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
             throw new BadValueException("instance " + id + ": no 'hostPort'");
         }
         return new Entry(
                 id,
-                at.isEmpty() ? null : Addresses.read(at),
+                hostPort.isEmpty() ? null : Addresses.parse(hostPort),
                 node.path("zone").asText(""),
                 node.path("machineType").asText(""),
                 Math.max(0, node.path("cell").asInt()),
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -25,9 +25,9 @@
  * @param listen where viewers connect
  * @param bus where the event bus is
  * @param seed for random numbers
- * @param memoryMb its limit of memory
- * @param sockets its limit of descriptors
- * @param known the events up to now, in order
+ * @param memoryLimitMb its limit of memory
+ * @param descriptorLimit its limit of descriptors
+ * @param knownEvents the events up to now, in order
  * @param knownOffset the number of the last of them
  * @param platform the platform's settings
  */
@@ -36,12 +36,12 @@
         InetSocketAddress listen,
         InetSocketAddress bus,
         long seed,
-        int memoryMb,
-        int sockets,
-        List<BusEvent> known,
+        int memoryLimitMb,
+        int descriptorLimit,
+        List<BusEvent> knownEvents,
         long knownOffset,
         PlatformSettings platform) {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     /** Reads a file; all its faults are told at once. */
     public static ManagerConfig read(Path file) throws InvalidDocumentException {
@@ -69,32 +69,32 @@
     }
 
     private static ManagerConfig read(JsonNode node, List<String> faults) {
-        Map<String, String> own = new HashMap<>();
-        Map<String, String> settings = new HashMap<>();
+        Map<String, String> ownValues = new HashMap<>();
+        Map<String, String> platformValues = new HashMap<>();
         node.properties().forEach(field -> {
             if (!field.getKey().equals("settings") && !field.getKey().equals("known")) {
-                flatten(field.getKey(), field.getValue(), own);
+                flatten(field.getKey(), field.getValue(), ownValues);
             }
         });
-        flatten("", node.path("settings"), settings);
-        Values values = collecting("", own, faults);
+        flatten("", node.path("settings"), platformValues);
+        Values values = collectingValues("", ownValues, faults);
         try {
             long seed = 0;
             String hex = values.text("seed", "0");
             try {
-                seed = Long.parseUnsignedLong(hex, HEX);
+                seed = Long.parseUnsignedLong(hex, HEX_RADIX);
             } catch (NumberFormatException e) {
                 faults.add("'seed' must be up to 16 hex digits, not '" + hex + "'");
             }
-            PlatformSettings platform = PlatformSettings.read(collecting("settings: ", settings, faults));
+            PlatformSettings platform = PlatformSettings.read(collectingValues("settings: ", platformValues, faults));
             if (platform.classes().isEmpty()
                     || platform.controller().media().rungKb().isEmpty()) {
                 faults.add("settings: classes and a ladder are expected");
             }
             return new ManagerConfig(
                     values.text("name", ""),
-                    address(values, "listen", faults),
-                    address(values, "bus", faults),
+                    readAddress(values, "listen", faults),
+                    readAddress(values, "bus", faults),
                     seed,
                     values.integer("limits.memory_mb"),
                     values.integer("limits.sockets"),
@@ -106,19 +106,20 @@
         }
     }
 
-    private static Values collecting(String place, Map<String, String> values, List<String> faults) {
+    private static Values collectingValues(String prefix, Map<String, String> values, List<String> faults) {
         return new Values(values) {
             @Override
             protected void fault(String what) {
-                faults.add(place + what);
+                faults.add(prefix + what);
             }
         };
     }
 
-    private static InetSocketAddress address(Values values, String key, List<String> faults) throws BadValueException {
+    private static InetSocketAddress readAddress(Values values, String key, List<String> faults)
+            throws BadValueException {
         String text = values.text(key);
         try {
-            return text.isEmpty() ? null : Addresses.read(text);
+            return text.isEmpty() ? null : Addresses.parse(text);
         } catch (BadValueException e) {
             faults.add("'" + key + "': " + e.getMessage());
             return null;
@@ -129,7 +130,7 @@
         List<BusEvent> events = new ArrayList<>();
         for (JsonNode event : node.path("known").path("batch")) {
             try {
-                events.add(BusEvent.read(event));
+                events.add(BusEvent.parse(event));
             } catch (BadValueException e) {
                 faults.add("known: " + e.getMessage());
             }
--- a/manager/src/main/java/calicovale/manager/servers/Attempt.java
+++ b/manager/src/main/java/calicovale/manager/servers/Attempt.java
@@ -8,7 +8,7 @@
     final Session session;
     final ServerLink link;
     final double sentAtMs;
-    Timer overdue;
+    Timer timeout;
 
     Attempt(Session session, ServerLink link, double sentAtMs) {
         this.session = session;
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -21,107 +21,107 @@
     /** Whether it stands and what waited for that has been written. */
     boolean open;
     /** Whether nothing more is to be sent or heard on it: what it brought cannot be read, or it goes to an old process. */
-    boolean useless;
+    boolean unusable;
 
     final double openedAtMs;
-    double usedAtMs;
-    double heardAtMs;
+    double lastUsedAtMs;
+    double lastReceivedAtMs;
     /** When the message that has not ended yet began; 0: none. */
     double partialSinceMs;
 
     private final ServerPool pool;
     private final SignalParser parser = new SignalParser();
-    private final List<Message> waiting = new ArrayList<>();
-    private boolean stood;
-    private boolean ignored;
+    private final List<Message> queued = new ArrayList<>();
+    private boolean everOpen;
+    private boolean failed;
 
     ServerLink(ServerPool pool, VideoServer server, double nowMs) {
         this.pool = pool;
         this.server = server;
         openedAtMs = nowMs;
-        usedAtMs = nowMs;
-        heardAtMs = nowMs;
+        lastUsedAtMs = nowMs;
+        lastReceivedAtMs = nowMs;
     }
 
     /** Sends a message, now or once the link stands. */
     void send(Message message) {
-        usedAtMs = pool.nowMs();
+        lastUsedAtMs = pool.nowMs();
         if (open) {
             connection.write(message.encode());
         } else {
-            waiting.add(message);
+            queued.add(message);
         }
     }
 
     /** Takes a set-up back that was not written yet; false if it was. */
-    boolean unsend(long session) {
-        waiting.removeIf(m -> m.session() == session);
-        return !stood;
+    boolean discardUnsent(long sessionId) {
+        queued.removeIf(m -> m.session() == sessionId);
+        return !everOpen;
     }
 
     /** Messages that wait for the link to stand. */
-    boolean waits() {
-        return !waiting.isEmpty();
+    boolean hasQueued() {
+        return !queued.isEmpty();
     }
 
     @Override
-    public void onOpen(Connection c) {
+    public void onOpen(Connection opened) {
         // what waits goes out with the decisions: a viewer's close may lie unread on another connection
-        pool.decide(() -> stands(c));
+        pool.deferDecision(() -> opened(opened));
     }
 
-    private void stands(Connection c) {
-        if (c.isClosed()) {
+    private void opened(Connection openedConnection) {
+        if (openedConnection.isClosed()) {
             return;
         }
         open = true;
-        stood = true;
-        heardAtMs = pool.nowMs();
-        List<Message> all = List.copyOf(waiting);
-        waiting.clear();
-        for (Message message : all) {
-            c.write(message.encode());
+        everOpen = true;
+        lastReceivedAtMs = pool.nowMs();
+        List<Message> messages = List.copyOf(queued);
+        queued.clear();
+        for (Message message : messages) {
+            openedConnection.write(message.encode());
         }
-        if (!c.isClosed()) {
-            pool.opened(this);
+        if (!openedConnection.isClosed()) {
+            pool.linkOpened(this);
         }
     }
 
     @Override
-    public void onBytes(Connection c, ByteBuffer bytes) {
-        heardAtMs = pool.nowMs();
-        usedAtMs = heardAtMs;
-        server.heardAtMs = heardAtMs;
-        server.tries = 0;
+    public void onBytes(Connection source, ByteBuffer bytes) {
+        lastReceivedAtMs = pool.nowMs();
+        lastUsedAtMs = lastReceivedAtMs;
+        server.lastReceivedAtMs = lastReceivedAtMs;
+        server.reconnectAttempts = 0;
         try {
             parser.feed(bytes, message -> {
-                pool.decide(() -> take(message));
+                pool.deferDecision(() -> handle(message));
                 return true;
             });
         } catch (SignalException e) {
-            useless = true;
-            pool.decide(() -> spoilt(e.getMessage()));
+            unusable = true;
+            pool.deferDecision(() -> fail(e.getMessage()));
         }
         if (!parser.midMessage()) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0) {
-            partialSinceMs = heardAtMs;
+            partialSinceMs = lastReceivedAtMs;
         }
     }
 
-    private void take(Message message) {
-        String fault = ignored ? null : pool.take(this, message);
+    private void handle(Message message) {
+        String fault = failed ? null : pool.handle(this, message);
         if (fault != null) {
-            spoilt(fault);
+            fail(fault);
         }
     }
 
     /** Nothing more on it is of use, whatever it brought behind. */
-    void spoilt(String why) {
-        if (!ignored) {
-            ignored = true;
-            useless = true;
-            pool.spoilt(this, why);
+    void fail(String reason) {
+        if (!failed) {
+            failed = true;
+            unusable = true;
+            pool.linkFailed(this, reason);
         }
     }
 
@@ -130,13 +130,13 @@
      * within a write, and what came before the close is heard first.
      */
     @Override
-    public void onClosed(Connection c, IOException cause) {
+    public void onClosed(Connection closed, IOException cause) {
         open = false;
         List<Message> releases =
-                waiting.stream().filter(m -> m.type() == MessageType.REL).toList();
-        waiting.clear();
-        pool.dropped(this);
-        pool.decide(() ->
-                pool.closed(this, stood, cause instanceof ConnectFailedException failed ? failed : null, releases));
+                queued.stream().filter(m -> m.type() == MessageType.REL).toList();
+        queued.clear();
+        pool.linkRemoved(this);
+        pool.deferDecision(() -> pool.linkClosed(
+                this, everOpen, cause instanceof ConnectFailedException failed ? failed : null, releases));
     }
 }
--- a/manager/src/main/java/calicovale/manager/servers/ServerNumbers.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerNumbers.java
@@ -14,7 +14,7 @@
     private final Map<Long, String> names = new HashMap<>();
 
     /** The number of a name; where two names share one, the later gets the next free. */
-    long of(String name) {
+    long numberOf(String name) {
         Long known = numbers.get(name);
         if (known != null) {
             return known;
--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -7,11 +7,11 @@
 import calicovale.ControllerApi.ServerList;
 import calicovale.ControllerApi.ServerState;
 import calicovale.host.PlatformSettings;
-import calicovale.manager.LimitedLog;
+import calicovale.manager.RateLimitedLog;
 import calicovale.manager.bus.BusEvent;
 import calicovale.manager.sessions.Session;
 import calicovale.manager.sessions.Session.State;
-import calicovale.manager.sessions.SessionTable;
+import calicovale.manager.sessions.SessionStateTable;
 import calicovale.protocols.net.ConnectFailedException;
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.signal.Cause;
@@ -34,70 +34,70 @@
  */
 public final class ServerPool {
     /** What links to servers are called in the loop. */
-    private static final String SERVER = "server";
+    private static final String CONNECTION_KIND = "server";
     /** Ms between looks at links that say nothing or only half a message. */
-    private static final double SWEEP_MS = 100;
+    private static final double SWEEP_INTERVAL_MS = 100;
     /** Ms for which a message may stand half read: a whole one is 16 KiB at most. */
-    private static final double PARTIAL_MS = 250;
+    private static final double PARTIAL_MESSAGE_TIMEOUT_MS = 250;
     /** Links of one server that are kept when nothing is out on them. */
-    private static final int KEPT_IDLE = 2;
+    private static final int MAX_SPARE_IDLE_LINKS = 2;
     /** Ms after which further idle links are closed. */
-    private static final double SPARE_IDLE_MS = 3000;
+    private static final double SPARE_IDLE_TIMEOUT_MS = 3000;
     /** Refusals one after the other, over so many ms, that show that the process is gone. */
-    private static final int REFUSALS = 3;
+    private static final int REFUSALS_BEFORE_DEAD = 3;
 
-    private static final double REFUSED_MS = 300;
+    private static final double REFUSED_BEFORE_DEAD_MS = 300;
     /** Ms between the first tries to reach a server where sessions stand, and most between later ones. */
-    private static final double AGAIN_MS = 150;
+    private static final double FIRST_RECONNECT_DELAY_MS = 150;
 
-    private static final double MOST_AGAIN_MS = 1000;
+    private static final double MAX_RECONNECT_DELAY_MS = 1000;
     /** Links one after the other that releases are tried on, where none comes up. */
-    private static final int RESENDS = 3;
+    private static final int MAX_RELEASE_RESENDS = 3;
     /** Part by which looks and tries are spread: managers hear of a server's trouble at the same time. */
-    private static final double SPREAD = 0.2;
+    private static final double JITTER = 0.2;
     /** Ms of silence after which a server that cannot be reached is taken for gone: releases are due 8 s after the end. */
-    private static final double VANISHED_MS = 6500;
+    private static final double SILENT_BEFORE_DEAD_MS = 6500;
     /** Ms for which it was then tried at least. */
-    private static final double UNREACHABLE_MS = 1000;
+    private static final double UNREACHABLE_BEFORE_DEAD_MS = 1000;
 
     /** Hears what becomes of attempts and sessions. */
     public interface Listener {
         /** The session plays. */
-        void started(Session s, double elapsedMs, byte[] description);
+        void attemptSucceeded(Session session, double elapsedMs, byte[] description);
 
         /** The attempt ended and no session stands by it. */
-        void failed(Session s, long server, Outcome outcome, double elapsedMs, Map<String, Double> load);
+        void attemptFailed(Session session, long server, Outcome outcome, double elapsedMs, Map<String, Double> load);
 
         /** A session that stood came to its end. */
-        void ended(Session s, long server, Outcome outcome, Map<String, Double> load);
+        void sessionEnded(Session session, long server, Outcome outcome, Map<String, Double> load);
 
         /** News on a session that stands. */
-        void note(Session s, NoteKind kind, double value);
+        void noteReceived(Session session, NoteKind kind, double value);
 
         /** A server released a session that is not held here. */
-        void releasedUnheld(long id);
+        void unknownSessionReleased(long sessionId);
     }
 
     private final EventLoop loop;
     private final RandomGenerator random;
-    private final ServerSettings settings;
+    private final ServerLinkSettings settings;
     private final PlatformSettings platform;
-    private final SessionTable table;
-    private final LimitedLog log;
+    private final SessionStateTable table;
+    private final RateLimitedLog log;
     private final Listener listener;
     private final ServerNumbers numbers = new ServerNumbers();
     private final Map<Long, VideoServer> servers = new TreeMap<>();
-    private final Map<Long, Attempt> out = new HashMap<>();
-    private int links;
+    private final Map<Long, Attempt> attemptsBySession = new HashMap<>();
+    private int linkCount;
 
     /** Starts with no server. */
     public ServerPool(
             EventLoop loop,
             RandomGenerator random,
-            ServerSettings settings,
+            ServerLinkSettings settings,
             PlatformSettings platform,
-            SessionTable table,
-            LimitedLog log,
+            SessionStateTable table,
+            RateLimitedLog log,
             Listener listener) {
         this.loop = loop;
         this.random = random;
@@ -106,29 +106,29 @@
         this.table = table;
         this.log = log;
         this.listener = listener;
-        loop.schedule(SWEEP_MS, this::sweep);
+        loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
     }
 
     double nowMs() {
         return loop.clock().millis();
     }
 
-    void decide(Runnable body) {
+    void deferDecision(Runnable body) {
         loop.defer(EventLoop.Phase.DECISIONS, body);
     }
 
     /** Messages that wait for a link to stand. */
-    public boolean waits() {
-        return servers.values().stream().anyMatch(s -> s.links.stream().anyMatch(ServerLink::waits));
+    public boolean hasQueuedMessages() {
+        return servers.values().stream().anyMatch(s -> s.links.stream().anyMatch(ServerLink::hasQueued));
     }
 
     /** Links that are open or being opened. */
-    public int links() {
-        return links;
+    public int linkCount() {
+        return linkCount;
     }
 
     /** Servers that are known. */
-    public int size() {
+    public int serverCount() {
         return servers.size();
     }
 
@@ -139,10 +139,10 @@
         List<ServerEntry> entries = new ArrayList<>();
         List<VideoServer> named = new ArrayList<>();
         for (BusEvent.Entry entry : event.entries()) {
-            VideoServer server = server(entry.id());
+            VideoServer server = serverNamed(entry.id());
             server.listed = true;
             named.add(server);
-            take(server, entry);
+            handle(server, entry);
             ServerState state =
                     switch (entry.lifecycle()) {
                         case IN_SERVICE -> ServerState.READY;
@@ -158,7 +158,7 @@
                     entry.startedAtMs(),
                     entry.weight()));
         }
-        if (event.whole()) {
+        if (event.complete()) {
             for (VideoServer server : servers.values()) {
                 server.gone |= !named.contains(server);
             }
@@ -166,11 +166,12 @@
         return new ServerList(scope, event.generation(), List.copyOf(entries));
     }
 
-    private void take(VideoServer server, BusEvent.Entry entry) {
+    private void handle(VideoServer server, BusEvent.Entry entry) {
         server.gone = entry.lifecycle() == BusEvent.Lifecycle.TERMINATED;
-        InetSocketAddress was = server.address;
-        boolean moved =
-                entry.address() != null && was != null && !entry.address().equals(was);
+        InetSocketAddress previousAddress = server.address;
+        boolean moved = entry.address() != null
+                && previousAddress != null
+                && !entry.address().equals(previousAddress);
         if (entry.address() != null) {
             server.address = entry.address();
         }
@@ -180,11 +181,11 @@
         if (moved || entry.startedAtMs() > server.startedAtMs) {
             server.startedAtMs = Math.max(server.startedAtMs, entry.startedAtMs());
             double startMs = moved ? Double.MAX_VALUE : entry.startedAtMs();
-            restarted(server, startMs);
+            endSessionsBefore(server, startMs);
             // a link to the process before leads to whoever answers there now, or to nobody
             for (ServerLink link : List.copyOf(server.links)) {
                 if (link.openedAtMs < startMs) {
-                    link.useless = true;
+                    link.unusable = true;
                     if (moved || link.attempts.isEmpty()) {
                         link.connection.close();
                     }
@@ -196,66 +197,66 @@
             if (other != server && server.address.equals(other.address)) {
                 other.address = null;
                 other.gone = true;
-                died(other, "its address has a new owner");
+                markDead(other, "its address has a new owner");
             }
         }
     }
 
     /** A new process runs under the server's name: what stood before its start is over. */
-    private void restarted(VideoServer server, double startMs) {
-        for (Session s : table.listStandingAt(server.number)) {
-            if (s.sinceMs() < startMs) {
+    private void endSessionsBefore(VideoServer server, double startMs) {
+        for (Session session : table.playingAt(server.number)) {
+            if (session.attemptSentAtMs() < startMs) {
                 log.count("server.restarted-under-session");
-                listener.ended(s, server.number, Outcome.RESET, Map.of());
+                listener.sessionEnded(session, server.number, Outcome.RESET, Map.of());
             }
         }
     }
 
-    private VideoServer server(String name) {
+    private VideoServer serverNamed(String name) {
         return servers.computeIfAbsent(
-                numbers.of(name), n -> new VideoServer(n, name, nowMs(), SPREAD * random.nextDouble()));
+                numbers.numberOf(name), n -> new VideoServer(n, name, nowMs(), JITTER * random.nextDouble()));
     }
 
     /** The number of the server of this name, whether or not the list has named it yet. */
-    public long number(String name) {
-        return server(name).number;
+    public long numberOf(String name) {
+        return serverNamed(name).number;
     }
 
     /** Whether the list has named a server. */
-    public boolean listed(long number) {
-        VideoServer server = servers.get(number);
+    public boolean isListed(long serverNumber) {
+        VideoServer server = servers.get(serverNumber);
         return server != null && server.listed;
     }
 
     // --- Attempts ---
 
     /** Sends a set-up; the session is out from now until the listener hears of it. */
-    public void attempt(Session s, long number, double timeoutMs) {
-        VideoServer server = servers.get(number);
-        double now = nowMs();
-        table.out(s, number, now);
-        ServerLink link = server == null || server.address == null || s.departed() ? null : linkFor(server);
-        Attempt attempt = new Attempt(s, link, now);
-        out.put(s.id(), attempt);
+    public void startAttempt(Session session, long serverNumber, double timeoutMs) {
+        VideoServer server = servers.get(serverNumber);
+        double nowMs = nowMs();
+        table.startAttempt(session, serverNumber, nowMs);
+        ServerLink link = server == null || server.address == null || session.departed() ? null : linkFor(server);
+        Attempt attempt = new Attempt(session, link, nowMs);
+        attemptsBySession.put(session.id(), attempt);
         if (link == null) {
             loop.schedule(0, () -> {
                 log.count("attempt.no-link");
                 // it never left, and the server has no part in that
-                end(attempt, Outcome.MOOT, Map.of());
+                endAttempt(attempt, Outcome.MOOT, Map.of());
             });
             return;
         }
-        link.attempts.put(s.id(), attempt);
-        attempt.overdue = loop.schedule(timeoutMs, () -> overdue(attempt));
-        Message setUp = Message.of(MessageType.IAM, s.id())
-                .with(Parameter.CLASS, s.sessionClass())
+        link.attempts.put(session.id(), attempt);
+        attempt.timeout = loop.schedule(timeoutMs, () -> attemptTimedOut(attempt));
+        Message setUp = Message.of(MessageType.IAM, session.id())
+                .with(Parameter.CLASS, session.sessionClass())
                 .with(Parameter.WAIT, String.valueOf(Math.max(1, (long) Math.ceil(timeoutMs))))
-                .with(Parameter.TITLE, s.title());
-        if (s.rung() >= 0) {
-            setUp.with(Parameter.RUNG, String.valueOf(s.rung()));
+                .with(Parameter.TITLE, session.title());
+        if (session.rung() >= 0) {
+            setUp.with(Parameter.RUNG, String.valueOf(session.rung()));
         }
-        if (s.description() != null) {
-            setUp.with(Parameter.DESCRIPTION, s.description());
+        if (session.description() != null) {
+            setUp.with(Parameter.DESCRIPTION, session.description());
         }
         link.send(setUp);
     }
@@ -263,24 +264,24 @@
     /** The link that carries a set-up: one with nothing out on it, else a new one, else the least loaded. */
     private ServerLink linkFor(VideoServer server) {
         ServerLink best = null;
-        double now = nowMs();
+        double nowMs = nowMs();
         for (ServerLink link : List.copyOf(server.links)) {
-            if (link.partialSinceMs > 0 || link.useless) {
+            if (link.partialSinceMs > 0 || link.unusable) {
                 continue;
             }
-            if (link.open && link.attempts.isEmpty() && now - link.usedAtMs > settings.idleMs()) {
+            if (link.open && link.attempts.isEmpty() && nowMs - link.lastUsedAtMs > settings.idleTimeoutMs()) {
                 link.connection.close();
             } else if (best == null
                     || rank(link) < rank(best)
-                    || rank(link) == rank(best) && link.usedAtMs > best.usedAtMs) {
+                    || rank(link) == rank(best) && link.lastUsedAtMs > best.lastUsedAtMs) {
                 best = link;
             }
         }
-        if (best != null && best.attempts.isEmpty() || links >= settings.mostLinks() && best != null) {
+        if (best != null && best.attempts.isEmpty() || linkCount >= settings.maxLinks() && best != null) {
             return best;
         }
-        if (links >= settings.mostLinks() && !freeOne()) {
-            log.say("server.no-link-free", links + " links");
+        if (linkCount >= settings.maxLinks() && !closeOldestIdleLink()) {
+            log.warn("server.no-link-free", linkCount + " links");
             return null;
         }
         return connect(server);
@@ -291,11 +292,13 @@
     }
 
     /** Closes the link that was idle for longest; false if none is. */
-    private boolean freeOne() {
+    private boolean closeOldestIdleLink() {
         ServerLink oldest = null;
         for (VideoServer server : servers.values()) {
             for (ServerLink link : server.links) {
-                if (link.open && link.attempts.isEmpty() && (oldest == null || link.usedAtMs < oldest.usedAtMs)) {
+                if (link.open
+                        && link.attempts.isEmpty()
+                        && (oldest == null || link.lastUsedAtMs < oldest.lastUsedAtMs)) {
                     oldest = link;
                 }
             }
@@ -309,22 +312,22 @@
     private ServerLink connect(VideoServer server) {
         ServerLink link = new ServerLink(this, server, nowMs());
         server.links.add(link);
-        links++;
-        link.connection = loop.connect(server.address, SERVER, settings.connectMs(), link);
+        linkCount++;
+        link.connection = loop.connect(server.address, CONNECTION_KIND, settings.connectTimeoutMs(), link);
         return link;
     }
 
-    private void overdue(Attempt attempt) {
+    private void attemptTimedOut(Attempt attempt) {
         ServerLink link = attempt.link;
-        if (link.unsend(attempt.session.id())) {
-            end(attempt, Outcome.CONNECT_FAILED, Map.of());
+        if (link.discardUnsent(attempt.session.id())) {
+            endAttempt(attempt, Outcome.CONNECT_FAILED, Map.of());
             return;
         }
         log.count("attempt.overdue");
         link.send(Message.release(attempt.session.id(), Cause.NORMAL));
-        boolean silent = link.heardAtMs < attempt.sentAtMs;
-        end(attempt, Outcome.TIMEOUT, Map.of());
-        if (silent) {
+        boolean linkSilent = link.lastReceivedAtMs < attempt.sentAtMs;
+        endAttempt(attempt, Outcome.TIMEOUT, Map.of());
+        if (linkSilent) {
             // what is out on it is given up by closing it, so no answer that comes late finds a viewer gone
             log.count("server.link-silent");
             link.connection.close();
@@ -332,83 +335,85 @@
     }
 
     /** Calls the attempt of a session off; the listener hears it as cancelled. */
-    public void cancel(Session s) {
-        Attempt attempt = out.get(s.id());
+    public void cancel(Session session) {
+        Attempt attempt = attemptsBySession.get(session.id());
         if (attempt == null) {
             return;
         }
-        if (attempt.link != null && !attempt.link.unsend(s.id())) {
-            attempt.link.send(Message.release(s.id(), Cause.NORMAL));
+        if (attempt.link != null && !attempt.link.discardUnsent(session.id())) {
+            attempt.link.send(Message.release(session.id(), Cause.NORMAL));
         }
-        end(attempt, Outcome.CANCELLED, Map.of());
+        endAttempt(attempt, Outcome.CANCELLED, Map.of());
     }
 
     /** Without effect on an attempt that has ended: its time, its link and its server may all tell of it in one turn. */
-    private void end(Attempt attempt, Outcome outcome, Map<String, Double> load) {
-        Session s = attempt.session;
-        if (out.get(s.id()) != attempt) {
+    private void endAttempt(Attempt attempt, Outcome outcome, Map<String, Double> load) {
+        Session session = attempt.session;
+        if (attemptsBySession.get(session.id()) != attempt) {
             return;
         }
-        long server = s.server();
+        long server = session.server();
         forget(attempt);
-        table.back(s);
-        listener.failed(s, server, outcome, nowMs() - attempt.sentAtMs, load);
+        table.attemptFailed(session);
+        listener.attemptFailed(session, server, outcome, nowMs() - attempt.sentAtMs, load);
     }
 
     private void forget(Attempt attempt) {
-        out.remove(attempt.session.id());
+        attemptsBySession.remove(attempt.session.id());
         if (attempt.link != null) {
             attempt.link.attempts.remove(attempt.session.id());
         }
-        if (attempt.overdue != null) {
-            attempt.overdue.cancel();
+        if (attempt.timeout != null) {
+            attempt.timeout.cancel();
         }
     }
 
     // --- Sessions that stand ---
 
     /** Tells the server a new rung. */
-    public void rung(Session s) {
-        tell(s.server(), Message.of(MessageType.RUNG, s.id()).with(Parameter.RUNG, String.valueOf(s.rung())));
+    public void sendRung(Session session) {
+        sendTo(
+                session.server(),
+                Message.of(MessageType.RUNG, session.id()).with(Parameter.RUNG, String.valueOf(session.rung())));
     }
 
     /** Ends a session at its server; the listener does not hear of it. */
-    public void release(Session s, int cause) {
-        tell(s.server(), Message.release(s.id(), cause));
+    public void sendRelease(Session session, int cause) {
+        sendTo(session.server(), Message.release(session.id(), cause));
     }
 
-    private void tell(long number, Message message) {
-        VideoServer server = servers.get(number);
+    private void sendTo(long serverNumber, Message message) {
+        VideoServer server = servers.get(serverNumber);
         if (server == null || server.address == null) {
             return;
         }
-        ServerLink any = null;
+        ServerLink best = null;
         for (ServerLink link : server.links) {
-            any = !link.useless && (any == null || link.open && !any.open) ? link : any;
+            best = !link.unusable && (best == null || link.open && !best.open) ? link : best;
         }
-        if (any == null && (links < settings.mostLinks() || freeOne())) {
-            any = connect(server);
+        if (best == null && (linkCount < settings.maxLinks() || closeOldestIdleLink())) {
+            best = connect(server);
         }
-        if (any != null) {
-            any.send(message);
+        if (best != null) {
+            best.send(message);
         }
     }
 
     /** A session was taken over: the server must have a link to send on. */
-    public void attend(long number) {
-        VideoServer server = servers.get(number);
+    public void ensureLink(long serverNumber) {
+        VideoServer server = servers.get(serverNumber);
         if (server != null && server.links.isEmpty()) {
-            reach(server);
+            openLinkIfNeeded(server);
         }
     }
 
     /** Opens a link to a server where sessions stand, unless one is being opened. */
-    private void reach(VideoServer server) {
+    private void openLinkIfNeeded(VideoServer server) {
         boolean connecting = server.links.stream().anyMatch(link -> !link.open);
         if (!connecting
                 && server.address != null
-                && table.standingAt(server.number) > 0
-                && (links < settings.mostLinks() || freeOne())) {
+                && table.playingCountAt(server.number) > 0
+                && (linkCount < settings.maxLinks() || closeOldestIdleLink())) {
             connect(server);
         }
     }
@@ -416,194 +421,204 @@
     // --- What comes on links ---
 
     /** Takes a message; what is wrong with it, or null. */
-    String take(ServerLink link, Message m) {
-        if (m.malformed()) {
-            return "a message that cannot be read: " + m;
+    String handle(ServerLink link, Message message) {
+        if (message.malformed()) {
+            return "a message that cannot be read: " + message;
         }
-        Session s = table.get(m.session());
-        boolean here = s != null && s.server() == link.server.number;
-        switch (m.type()) {
+        Session session = table.get(message.session());
+        boolean heldHere = session != null && session.server() == link.server.number;
+        switch (message.type()) {
             case MessageType.ACM, MessageType.RLC -> {
                 return null;
             }
             case MessageType.ANM -> {
-                return here && s.state() == State.OUT ? answer(link, s, m) : late(link, m, here);
+                return heldHere && session.state() == State.ATTEMPTING
+                        ? handleAnswer(link, session, message)
+                        : handleUnexpectedAnswer(link, message, heldHere);
             }
             case MessageType.REL -> {
-                link.send(Message.of(MessageType.RLC, m.session()));
-                if (here && s.state() == State.OUT) {
-                    refused(s, m);
-                } else if (here && s.state() == State.STANDING) {
-                    released(s, m);
+                link.send(Message.of(MessageType.RLC, message.session()));
+                if (heldHere && session.state() == State.ATTEMPTING) {
+                    handleRefusal(session, message);
+                } else if (heldHere && session.state() == State.PLAYING) {
+                    handleRelease(session, message);
                 } else {
                     log.count("server.release-of-none");
-                    if (s == null) {
-                        listener.releasedUnheld(m.session());
+                    if (session == null) {
+                        listener.unknownSessionReleased(message.session());
                     }
                 }
                 return null;
             }
             case MessageType.CPG -> {
-                if (here && s.state() == State.STANDING) {
-                    note(s, m);
+                if (heldHere && session.state() == State.PLAYING) {
+                    handleNote(session, message);
                 }
                 return null;
             }
             default -> {
-                return "a message of type " + m.type();
+                return "a message of type " + message.type();
             }
         }
     }
 
-    private String answer(ServerLink link, Session s, Message m) {
-        Attempt attempt = out.get(s.id());
-        byte[] description = m.value(Parameter.DESCRIPTION);
+    private String handleAnswer(ServerLink link, Session session, Message message) {
+        Attempt attempt = attemptsBySession.get(session.id());
+        byte[] description = message.value(Parameter.DESCRIPTION);
         if (attempt == null || attempt.link != link) {
-            return late(link, m, true);
+            return handleUnexpectedAnswer(link, message, true);
         }
         if (description == null) {
             return "an answer without a description";
         }
-        double elapsed = nowMs() - attempt.sentAtMs;
+        double elapsedMs = nowMs() - attempt.sentAtMs;
         forget(attempt);
-        table.stands(s);
-        listener.started(s, elapsed, description);
+        table.attemptSucceeded(session);
+        listener.attemptSucceeded(session, elapsedMs, description);
         return null;
     }
 
     /** An answer that nobody waits for, or once more: where nothing is held here by its number, it is released. */
-    private String late(ServerLink link, Message m, boolean here) {
+    private String handleUnexpectedAnswer(ServerLink link, Message message, boolean heldHere) {
         log.count("server.answer-of-none");
-        if (!here) {
-            link.send(Message.release(m.session(), Cause.NORMAL));
+        if (!heldHere) {
+            link.send(Message.release(message.session(), Cause.NORMAL));
         }
         return null;
     }
 
-    private void refused(Session s, Message m) {
-        Attempt attempt = out.get(s.id());
+    private void handleRefusal(Session session, Message message) {
+        Attempt attempt = attemptsBySession.get(session.id());
         Outcome outcome =
-                switch (m.cause()) {
+                switch (message.cause()) {
                     case Cause.NO_CIRCUIT -> Outcome.FULL;
                     case Cause.UNAVAILABLE -> Outcome.ERROR;
                     case Cause.TIMER_EXPIRY -> Outcome.MOOT;
                     default -> Outcome.RESET;
                 };
-        end(attempt, outcome, load(m));
+        endAttempt(attempt, outcome, loadReport(message));
     }
 
-    private void released(Session s, Message m) {
+    private void handleRelease(Session session, Message message) {
         Outcome outcome =
-                switch (m.cause()) {
+                switch (message.cause()) {
                     case Cause.NORMAL -> Outcome.OK;
                     case Cause.CANCELLED -> Outcome.CANCELLED;
                     default -> Outcome.RESET;
                 };
-        listener.ended(s, s.server(), outcome, load(m));
+        listener.sessionEnded(session, session.server(), outcome, loadReport(message));
     }
 
-    private void note(Session s, Message m) {
+    private void handleNote(Session session, Message message) {
         NoteKind kind =
-                switch (String.valueOf(m.text(Parameter.NOTE))) {
+                switch (String.valueOf(message.text(Parameter.NOTE))) {
                     case "quality" -> NoteKind.DELIVERED_SHARE;
                     case "profile" -> NoteKind.RUNG;
                     case "nic" -> NoteKind.LINK_USE;
                     case "tor" -> NoteKind.UPLINK_USE;
                     default -> null;
                 };
-        double value = Figures.number(m.text(Parameter.VALUE));
+        double value = ServerReportParser.nonNegativeNumber(message.text(Parameter.VALUE));
         if (kind == null || Double.isNaN(value)) {
             log.count("server.note-unknown");
             return;
         }
-        listener.note(s, kind, value);
+        listener.noteReceived(session, kind, value);
     }
 
-    private Map<String, Double> load(Message m) {
-        return Figures.report(m.text(Parameter.LOAD));
+    private Map<String, Double> loadReport(Message message) {
+        return ServerReportParser.loadReport(message.text(Parameter.LOAD));
     }
 
     // --- Links that open, close and say nothing ---
 
-    void opened(ServerLink link) {
+    void linkOpened(ServerLink link) {
         VideoServer server = link.server;
-        server.refusals = 0;
-        server.resends = 0;
+        server.consecutiveRefusals = 0;
+        server.releaseResends = 0;
         server.unreachableSinceMs = 0;
     }
 
     /** The link is gone: nothing more is sent on it, and what it counts for here is free. */
-    void dropped(ServerLink link) {
+    void linkRemoved(ServerLink link) {
         link.server.links.remove(link);
-        links--;
+        linkCount--;
     }
 
     /** A link brought what cannot be read, or stopped in the middle: nothing more on it is of use. */
-    void spoilt(ServerLink link, String why) {
-        log.say("server.spoilt", link.server + ": " + why);
-        link.connection.reset(new IOException(why));
+    void linkFailed(ServerLink link, String reason) {
+        log.warn("server.spoilt", link.server + ": " + reason);
+        link.connection.reset(new IOException(reason));
     }
 
-    void closed(ServerLink link, boolean stood, ConnectFailedException failed, List<Message> releases) {
+    void linkClosed(ServerLink link, boolean everOpen, ConnectFailedException connectFailure, List<Message> releases) {
         VideoServer server = link.server;
-        double now = nowMs();
-        boolean alive = server.anyOpen();
-        if (failed == null) {
+        double nowMs = nowMs();
+        boolean hasUsableLink = server.hasUsableLink();
+        if (connectFailure == null) {
             log.count("server.link-closed");
-        } else if (failed.local()) {
-            log.say("server.not-tried", failed.getMessage());
-        } else if (failed.timedOut()) {
+        } else if (connectFailure.local()) {
+            log.warn("server.not-tried", connectFailure.getMessage());
+        } else if (connectFailure.timedOut()) {
             log.count("server.unreachable");
             server.unreachableSinceMs =
-                    server.unreachableSinceMs > 0 ? server.unreachableSinceMs : now - settings.connectMs();
+                    server.unreachableSinceMs > 0 ? server.unreachableSinceMs : nowMs - settings.connectTimeoutMs();
         } else {
             log.count("server.refused");
-            server.refusedSinceMs = server.refusals++ == 0 ? now : server.refusedSinceMs;
+            server.refusedSinceMs = server.consecutiveRefusals++ == 0 ? nowMs : server.refusedSinceMs;
         }
         for (Attempt attempt : List.copyOf(link.attempts.values())) {
-            end(
+            endAttempt(
                     attempt,
-                    stood ? Outcome.RESET : failed != null && failed.local() ? Outcome.MOOT : Outcome.CONNECT_FAILED,
+                    everOpen
+                            ? Outcome.RESET
+                            : connectFailure != null && connectFailure.local() ? Outcome.MOOT : Outcome.CONNECT_FAILED,
                     Map.of());
         }
-        if (!releases.isEmpty() && !server.gone && server.resends++ < RESENDS) {
+        if (!releases.isEmpty() && !server.gone && server.releaseResends++ < MAX_RELEASE_RESENDS) {
             // what its viewer has ended would play on for nobody
             log.count("server.release-again");
-            loop.schedule(againMs(server), () -> releases.forEach(release -> tell(server.number, release)));
+            loop.schedule(reconnectDelayMs(server), () -> releases.forEach(release -> sendTo(server.number, release)));
         }
-        if (table.standingAt(server.number) == 0) {
+        if (table.playingCountAt(server.number) == 0) {
             return;
         }
         // links that stay open prove nothing once nothing comes on them: a machine that vanished does not close them
-        boolean lost = !alive || now - server.heardAtMs > settings.quietMs();
-        if (lost && server.refusals >= REFUSALS && now - server.refusedSinceMs >= REFUSED_MS) {
-            died(server, "its process is gone");
+        boolean silent = !hasUsableLink || nowMs - server.lastReceivedAtMs > settings.silenceTimeoutMs();
+        if (silent
+                && server.consecutiveRefusals >= REFUSALS_BEFORE_DEAD
+                && nowMs - server.refusedSinceMs >= REFUSED_BEFORE_DEAD_MS) {
+            markDead(server, "its process is gone");
         } else if (server.unreachableSinceMs > 0
-                && now - server.unreachableSinceMs > UNREACHABLE_MS
-                && now - server.heardAtMs > VANISHED_MS) {
-            died(server, "it cannot be reached");
-        } else if (lost && server.again == null) {
-            server.again = loop.schedule(failed == null ? 0 : againMs(server), () -> {
-                server.again = null;
-                if (!server.anyOpen() || loop.clock().millis() - server.heardAtMs > settings.quietMs()) {
-                    reach(server);
+                && nowMs - server.unreachableSinceMs > UNREACHABLE_BEFORE_DEAD_MS
+                && nowMs - server.lastReceivedAtMs > SILENT_BEFORE_DEAD_MS) {
+            markDead(server, "it cannot be reached");
+        } else if (silent && server.reconnectTimer == null) {
+            server.reconnectTimer = loop.schedule(connectFailure == null ? 0 : reconnectDelayMs(server), () -> {
+                server.reconnectTimer = null;
+                if (!server.hasUsableLink()
+                        || loop.clock().millis() - server.lastReceivedAtMs > settings.silenceTimeoutMs()) {
+                    openLinkIfNeeded(server);
                 }
             });
         }
     }
 
-    private double againMs(VideoServer server) {
-        double most = Math.min(MOST_AGAIN_MS, AGAIN_MS * (1 << Math.min(REFUSALS, server.tries++ / REFUSALS)));
-        return most * (1 - SPREAD * random.nextDouble());
+    private double reconnectDelayMs(VideoServer server) {
+        double maxDelayMs = Math.min(
+                MAX_RECONNECT_DELAY_MS,
+                FIRST_RECONNECT_DELAY_MS
+                        * (1 << Math.min(REFUSALS_BEFORE_DEAD, server.reconnectAttempts++ / REFUSALS_BEFORE_DEAD)));
+        return maxDelayMs * (1 - JITTER * random.nextDouble());
     }
 
-    private void died(VideoServer server, String why) {
-        List<Session> cut = table.listStandingAt(server.number);
-        if (!cut.isEmpty()) {
-            log.say("server.dead", server + ": " + why + ", " + cut.size() + " sessions are over");
+    private void markDead(VideoServer server, String reason) {
+        List<Session> ended = table.playingAt(server.number);
+        if (!ended.isEmpty()) {
+            log.warn("server.dead", server + ": " + reason + ", " + ended.size() + " sessions are over");
         }
-        for (Session s : cut) {
-            listener.ended(s, server.number, Outcome.RESET, Map.of());
+        for (Session session : ended) {
+            listener.sessionEnded(session, server.number, Outcome.RESET, Map.of());
         }
         for (ServerLink link : List.copyOf(server.links)) {
             link.connection.close();
@@ -611,31 +626,37 @@
     }
 
     private void sweep() {
-        loop.schedule(SWEEP_MS, this::sweep);
-        double now = nowMs();
+        loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
+        double nowMs = nowMs();
         for (VideoServer server : List.copyOf(servers.values())) {
-            int idle = 0;
+            int spareIdleLinks = 0;
             for (ServerLink link : List.copyOf(server.links)) {
-                if (link.partialSinceMs > 0 && now - link.partialSinceMs > PARTIAL_MS) {
-                    link.spoilt("half a message for " + (long) PARTIAL_MS + " ms");
+                if (link.partialSinceMs > 0 && nowMs - link.partialSinceMs > PARTIAL_MESSAGE_TIMEOUT_MS) {
+                    link.fail("half a message for " + (long) PARTIAL_MESSAGE_TIMEOUT_MS + " ms");
                 } else if (link.attempts.isEmpty()
-                        && (link.useless || link.open && now - link.usedAtMs > SPARE_IDLE_MS && ++idle > KEPT_IDLE)) {
+                        && (link.unusable
+                                || link.open
+                                        && nowMs - link.lastUsedAtMs > SPARE_IDLE_TIMEOUT_MS
+                                        && ++spareIdleLinks > MAX_SPARE_IDLE_LINKS)) {
                     link.connection.close();
                 }
             }
-            boolean stands = table.standingAt(server.number) > 0;
-            double quietMs = settings.quietMs() * (1 + server.spread);
-            if (stands && server.address == null && now - Math.max(server.heardAtMs, server.knownAtMs) > VANISHED_MS) {
-                died(server, server.listed ? "it has no address" : "the list does not name it");
-            } else if (stands && now - Math.max(server.heardAtMs, server.lookedAtMs) > quietMs) {
-                server.lookedAtMs = now;
+            boolean hasSessions = table.playingCountAt(server.number) > 0;
+            double silenceTimeoutMs = settings.silenceTimeoutMs() * (1 + server.silenceJitter);
+            if (hasSessions
+                    && server.address == null
+                    && nowMs - Math.max(server.lastReceivedAtMs, server.firstKnownAtMs) > SILENT_BEFORE_DEAD_MS) {
+                markDead(server, server.listed ? "it has no address" : "the list does not name it");
+            } else if (hasSessions
+                    && nowMs - Math.max(server.lastReceivedAtMs, server.lastCheckedAtMs) > silenceTimeoutMs) {
+                server.lastCheckedAtMs = nowMs;
                 log.count("server.looked-at");
-                reach(server);
-            } else if (stands && server.links.isEmpty() && server.again == null) {
-                reach(server);
+                openLinkIfNeeded(server);
+            } else if (hasSessions && server.links.isEmpty() && server.reconnectTimer == null) {
+                openLinkIfNeeded(server);
             }
             if ((server.gone || !server.listed)
-                    && !stands
+                    && !hasSessions
                     && server.links.stream().allMatch(link -> link.attempts.isEmpty())) {
                 forget(server);
             }
--- a/manager/src/main/java/calicovale/manager/servers/VideoServer.java
+++ b/manager/src/main/java/calicovale/manager/servers/VideoServer.java
@@ -16,34 +16,34 @@
     boolean gone;
     double startedAtMs;
     final Set<ServerLink> links = new LinkedHashSet<>();
-    final double knownAtMs;
-    double heardAtMs;
-    double lookedAtMs;
+    final double firstKnownAtMs;
+    double lastReceivedAtMs;
+    double lastCheckedAtMs;
     /** Part by which its silences are taken longer: managers that hear of it together must not look at it together. */
-    final double spread;
+    final double silenceJitter;
     /** Connections refused one after the other, and since when. */
-    int refusals;
+    int consecutiveRefusals;
 
     double refusedSinceMs;
     /** Since when connections do not come up; 0: they do, or none was tried. */
     double unreachableSinceMs;
 
-    Timer again;
+    Timer reconnectTimer;
     /** Tries to reach it since it was last heard. */
-    int tries;
+    int reconnectAttempts;
     /** Links that never stood, one after the other, with releases waiting on them. */
-    int resends;
+    int releaseResends;
 
-    VideoServer(long number, String name, double nowMs, double spread) {
+    VideoServer(long number, String name, double nowMs, double silenceJitter) {
         this.number = number;
         this.name = name;
-        this.spread = spread;
-        knownAtMs = nowMs;
-        heardAtMs = nowMs;
+        this.silenceJitter = silenceJitter;
+        firstKnownAtMs = nowMs;
+        lastReceivedAtMs = nowMs;
     }
 
-    boolean anyOpen() {
-        return links.stream().anyMatch(link -> link.open && !link.useless);
+    boolean hasUsableLink() {
+        return links.stream().anyMatch(link -> link.open && !link.unusable);
     }
 
     @Override
--- a/manager/src/main/java/calicovale/manager/sessions/Session.java
+++ b/manager/src/main/java/calicovale/manager/sessions/Session.java
@@ -2,43 +2,43 @@
 
 import calicovale.protocols.signal.Message;
 
-/** One session, from its set-up to its end. Its state is changed by the {@link SessionTable} alone. */
+/** One session, from its set-up to its end. Its state is changed by the {@link SessionStateTable} alone. */
 public final class Session {
 
     /** Where a session is on its way. */
     public enum State {
         /** Taken, no attempt is out. */
-        ASKED,
+        REQUESTED,
         /** One attempt is out. */
-        OUT,
+        ATTEMPTING,
         /** It plays. */
-        STANDING,
+        PLAYING,
         /** It is not held any more. */
-        OVER
+        ENDED
     }
 
     /** Where a set-up came from and its answer goes. */
-    public interface Origin {}
+    public interface Requester {}
 
     private final long id;
-    private final String name;
-    private final Origin origin;
+    private final String controllerId;
+    private final Requester requester;
     private final String sessionClass;
     private final String title;
     private final double giveUpMs;
     private byte[] description;
-    State state = State.ASKED;
+    State state = State.REQUESTED;
     long server = -1;
-    int attempts;
-    double sinceMs;
+    int attemptCount;
+    double attemptSentAtMs;
     private int rung = -1;
     private boolean departed;
-    private boolean told;
+    private boolean knownToController;
 
-    Session(long id, Origin origin, String sessionClass, String title, byte[] description, double giveUpMs) {
+    Session(long id, Requester requester, String sessionClass, String title, byte[] description, double giveUpMs) {
         this.id = id;
-        this.name = Message.name(id);
-        this.origin = origin;
+        this.controllerId = Message.name(id);
+        this.requester = requester;
         this.sessionClass = sessionClass;
         this.title = title;
         this.description = description;
@@ -51,13 +51,13 @@
     }
 
     /** Its number in 16 hex digits, by which the controller knows it. */
-    public String name() {
-        return name;
+    public String controllerId() {
+        return controllerId;
     }
 
     /** Where it came from. */
-    public Origin origin() {
-        return origin;
+    public Requester requester() {
+        return requester;
     }
 
     /** The class's name. */
@@ -91,13 +91,13 @@
     }
 
     /** The number of the last attempt, from 0; -1: none yet. */
-    public int attempt() {
-        return attempts - 1;
+    public int attemptNumber() {
+        return attemptCount - 1;
     }
 
     /** When the last attempt was sent. */
-    public double sinceMs() {
-        return sinceMs;
+    public double attemptSentAtMs() {
+        return attemptSentAtMs;
     }
 
     /** The rung in force or asked for; -1: the lowest of its class. */
@@ -106,8 +106,8 @@
     }
 
     /** Sets the rung. */
-    public void rung(int next) {
-        rung = next;
+    public void rung(int newRung) {
+        rung = newRung;
     }
 
     /** Whether its viewer has given it up: no answer is owed. */
@@ -116,18 +116,18 @@
     }
 
     /** Its viewer has given it up. */
-    public void depart() {
+    public void markDeparted() {
         departed = true;
     }
 
     /** Whether the controller has heard of it. */
-    public boolean told() {
-        return told;
+    public boolean knownToController() {
+        return knownToController;
     }
 
     /** The controller hears of it. */
-    public void tell() {
-        told = true;
+    public void markKnownToController() {
+        knownToController = true;
     }
 
     void dropDescription() {
@@ -136,6 +136,6 @@
 
     @Override
     public String toString() {
-        return name + " " + state;
+        return controllerId + " " + state;
     }
 }
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
@@ -11,35 +11,35 @@
 import java.util.Set;
 
 /** Owns one connection of a viewers' front and the set-ups that wait for an answer on it. */
-final class ViewerLink implements Connection.Handler, Session.Origin {
+final class ViewerLink implements Connection.Handler, Session.Requester {
     final Connection connection;
     final double openedAtMs;
     /** Sessions of this connection that are owed an answer. */
-    final Set<Session> owed = new LinkedHashSet<>();
+    final Set<Session> awaitingAnswer = new LinkedHashSet<>();
     /** Whether anything of use has come: a test or a set-up that could be read. */
-    boolean useful;
+    boolean hasSentValidMessage;
     /** Messages of use, and faults of the protocol. */
-    int good;
+    int validMessages;
 
-    int faults;
+    int protocolFaults;
     /** Sessions that stood by this connection. */
-    int carried;
+    int sessionsPlayed;
 
-    double usedAtMs;
+    double lastUsedAtMs;
     double partialSinceMs;
-    private final ViewerDesk desk;
+    private final ViewerGateway gateway;
     private final SignalParser parser = new SignalParser();
 
-    ViewerLink(ViewerDesk desk, Connection connection, double nowMs) {
-        this.desk = desk;
+    ViewerLink(ViewerGateway gateway, Connection connection, double nowMs) {
+        this.gateway = gateway;
         this.connection = connection;
         openedAtMs = nowMs;
-        usedAtMs = nowMs;
+        lastUsedAtMs = nowMs;
     }
 
     /** 0: it never said anything of use; 1: it asked; 2: what it asked for came to play. */
-    int worth() {
-        return carried > 0 ? 2 : useful ? 1 : 0;
+    int retentionRank() {
+        return sessionsPlayed > 0 ? 2 : hasSentValidMessage ? 1 : 0;
     }
 
     void send(Message message) {
@@ -47,25 +47,25 @@
     }
 
     @Override
-    public void onBytes(Connection c, ByteBuffer bytes) {
-        usedAtMs = desk.nowMs();
+    public void onBytes(Connection source, ByteBuffer bytes) {
+        lastUsedAtMs = gateway.nowMs();
         try {
             parser.feed(bytes, message -> {
-                desk.take(this, message);
-                return !c.isClosed();
+                gateway.handle(this, message);
+                return !source.isClosed();
             });
         } catch (SignalException e) {
-            desk.unreadable(this, e.getMessage());
+            gateway.rejectStream(this, e.getMessage());
         }
         if (!parser.midMessage()) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0) {
-            partialSinceMs = usedAtMs;
+            partialSinceMs = lastUsedAtMs;
         }
     }
 
     @Override
-    public void onClosed(Connection c, IOException cause) {
-        desk.closed(this);
+    public void onClosed(Connection closed, IOException cause) {
+        gateway.linkClosed(this);
     }
 }
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
@@ -5,21 +5,21 @@
 /**
  * The bounds and times of viewers' connections.
  *
- * @param mostLinks connections held at once
- * @param mostOwed set-ups that one connection may have open at once
+ * @param maxLinks connections held at once
+ * @param maxSetUpsPerLink set-ups that one connection may have open at once
  * @param retryAfterMs how long to stay away for who is refused by a bound; 0: viewers take no advice
- * @param speakMs a connection that has brought nothing of use by then is closed
+ * @param validMessageTimeoutMs a connection that has brought nothing of use by then is closed
  * @param classes the classes of session, in the settings' order
- * @param mostWaitMs for each class: the longest that a viewer may say it waits
+ * @param maxWaitMsByClass for each class: the longest that a viewer may say it waits
  * @param cells cells that a title's first may be one of; 0: not checked
  * @param rungs rungs of the ladder
  */
 public record ViewerSettings(
-        int mostLinks,
-        int mostOwed,
+        int maxLinks,
+        int maxSetUpsPerLink,
         double retryAfterMs,
-        double speakMs,
+        double validMessageTimeoutMs,
         List<String> classes,
-        List<Double> mostWaitMs,
+        List<Double> maxWaitMsByClass,
         int cells,
         int rungs) {}
--- a/manager/src/test/java/calicovale/manager/Rig.java
+++ b/manager/src/test/java/calicovale/manager/ManagerHarness.java
@@ -32,133 +32,134 @@
 import java.util.function.BooleanSupplier;
 
 /** A manager on loopback between stand-ins: video servers, the event bus and viewers, all told what to say by the test. */
-final class Rig implements AutoCloseable {
-    static final byte[] WANTED = "wanted".getBytes(StandardCharsets.US_ASCII);
-    static final byte[] GIVEN = "given".getBytes(StandardCharsets.US_ASCII);
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    private static final long WAIT_S = 10;
-    private static final int GRACE_MS = 2000;
-
-    final List<Box> boxes = new ArrayList<>();
-    final Bus bus = new Bus();
+final class ManagerHarness implements AutoCloseable {
+    static final byte[] VIEWER_DESCRIPTION = "wanted".getBytes(StandardCharsets.US_ASCII);
+    static final byte[] SERVER_DESCRIPTION = "given".getBytes(StandardCharsets.US_ASCII);
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final long TIMEOUT_S = 10;
+    private static final int DRAIN_GRACE_MS = 2000;
+
+    final List<FakeServer> servers = new ArrayList<>();
+    final FakeBus bus = new FakeBus();
     final ShiftedClock clock = new ShiftedClock();
-    private long readBefore;
+    private long bytesReadAtMark;
     final ManagerProcess process;
 
-    Rig(int servers) throws IOException, InvalidDocumentException {
-        this(servers, 256);
+    ManagerHarness(int serverCount) throws IOException, InvalidDocumentException {
+        this(serverCount, 256);
     }
 
-    Rig(int servers, int sockets) throws IOException, InvalidDocumentException {
-        this(servers, sockets, GRACE_MS);
+    ManagerHarness(int serverCount, int sockets) throws IOException, InvalidDocumentException {
+        this(serverCount, sockets, DRAIN_GRACE_MS);
     }
 
-    Rig(int servers, int sockets, int graceMs) throws IOException, InvalidDocumentException {
-        for (int i = 0; i < servers; i++) {
-            boxes.add(new Box());
+    ManagerHarness(int serverCount, int sockets, int graceMs) throws IOException, InvalidDocumentException {
+        for (int i = 0; i < serverCount; i++) {
+            servers.add(new FakeServer());
         }
         process = new ManagerProcess(
                 ManagerConfig.read(
                         "config",
                         config(bus.port(), sockets)
-                                .replace("\"drainGraceMs\":" + GRACE_MS, "\"drainGraceMs\":" + graceMs)),
+                                .replace("\"drainGraceMs\":" + DRAIN_GRACE_MS, "\"drainGraceMs\":" + graceMs)),
                 clock);
         // the worst order: what may start an attempt is read before the news of viewers
         process.loop().execute(() -> process.loop().readOrder(Comparator.comparing(Connection::accepted)));
     }
 
     /** What peers do while the loop stands still. */
-    interface Act {
+    interface PeerAction {
         void run() throws Exception;
     }
 
     /** The loop stands still while the peers act: all that they did is ready in its next turn. */
-    void inOneTurn(Act act) throws Exception {
-        Hold hold = new Hold();
-        process.loop().execute(hold);
-        hold.during(act);
+    void inOneLoopTurn(PeerAction action) throws Exception {
+        LoopPause pause = new LoopPause();
+        process.loop().execute(pause);
+        pause.runWhilePaused(action);
     }
 
     /**
      * What peers did in {@code before} is read and decided in one turn; in the same turn, before timers that fall due within
      * {@code thenMs}, the loop stands still again while they act.
      */
-    void afterDecisions(Act before, double thenMs, Act act) throws Exception {
-        Hold hold = new Hold();
-        Hold second = new Hold();
-        process.loop().execute(hold);
-        hold.during(() -> {
-            before.run();
-            hold.then = () -> {
-                process.loop().schedule(0, second);
-                clock.advance(thenMs);
+    void afterDecisions(PeerAction firstAction, double advanceMs, PeerAction action) throws Exception {
+        LoopPause firstPause = new LoopPause();
+        LoopPause secondPause = new LoopPause();
+        process.loop().execute(firstPause);
+        firstPause.runWhilePaused(() -> {
+            firstAction.run();
+            firstPause.afterwards = () -> {
+                process.loop().schedule(0, secondPause);
+                clock.advance(advanceMs);
             };
         });
-        second.during(act);
+        secondPause.runWhilePaused(action);
     }
 
     /** A message or timer at which the loop stands still. */
-    private static final class Hold implements Runnable {
+    private static final class LoopPause implements Runnable {
         private final CountDownLatch reached = new CountDownLatch(1);
-        private final CountDownLatch go = new CountDownLatch(1);
-        private volatile Runnable then = () -> {};
+        private final CountDownLatch released = new CountDownLatch(1);
+        private volatile Runnable afterwards = () -> {};
 
         @Override
         public void run() {
             reached.countDown();
             try {
-                go.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            then.run();
+            afterwards.run();
         }
 
-        void during(Act act) throws Exception {
+        void runWhilePaused(PeerAction action) throws Exception {
             reached.await();
             try {
-                act.run();
+                action.run();
             } finally {
-                go.countDown();
+                released.countDown();
             }
         }
     }
 
     /** The system's clock, which a test may stop and put forward: on a busy machine no time-out then falls due by itself. */
     static final class ShiftedClock implements Clock {
-        private final Clock real = Clock.system();
-        private final long fromNanos = real.nanos();
-        private final double fromMs = real.millis();
-        private volatile double aheadMs;
+        private final Clock systemClock = Clock.system();
+        private final long startNanos = systemClock.nanos();
+        private final double startMs = systemClock.millis();
+        private volatile double advancedMs;
         private volatile double stoppedAtMs = Double.NaN;
 
         void advance(double ms) {
-            aheadMs += ms;
+            advancedMs += ms;
         }
 
         void stop() {
-            stoppedAtMs = passedMs();
+            stoppedAtMs = elapsedMs();
         }
 
-        private double passedMs() {
-            return Double.isNaN(stoppedAtMs) ? (real.nanos() - fromNanos) / 1e6 : stoppedAtMs;
+        private double elapsedMs() {
+            return Double.isNaN(stoppedAtMs) ? (systemClock.nanos() - startNanos) / 1e6 : stoppedAtMs;
         }
 
         @Override
         public long nanos() {
-            return fromNanos + (long) ((passedMs() + aheadMs) * 1e6);
+            return startNanos + (long) ((elapsedMs() + advancedMs) * 1e6);
         }
 
         @Override
         public double millis() {
-            return fromMs + passedMs() + aheadMs;
+            return startMs + elapsedMs() + advancedMs;
         }
     }
 
     String config(int busPort, int sockets) {
-        StringBuilder known = new StringBuilder();
-        for (int i = 0; i < boxes.size(); i++) {
-            known.append(i == 0 ? "" : ",").append(entry("s-" + i, boxes.get(i).port(), "in_service", 0));
+        StringBuilder entries = new StringBuilder();
+        for (int i = 0; i < servers.size(); i++) {
+            entries.append(i == 0 ? "" : ",")
+                    .append(entry("s-" + i, servers.get(i).port(), "in_service", 0));
         }
         return """
                 {"name":"n0","listen":"127.0.0.1:%d","seed":"6444882f5c620abb","limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
@@ -173,12 +174,12 @@
                   "specifics":{"levelKb":[100,200,400],"ladderWorth":[0.3,0.6,1.0],"positions":12,"racks":1,"linkUnitKb":100000,
                                "rackLinkKb":1000000,"kindStreams":[1000],"lowestRung":[0,1],"highestRung":[2,2],"scaleByClass":[1,1],
                                "classLive":[false,false],"seats":[0,0],"join":1,"fullFrom":1,"seeMs":300,"tellMs":600}}}
-                """.formatted(freePort(), sockets, busPort, known);
+                """.formatted(freePort(), sockets, busPort, entries);
     }
 
     private static int freePort() {
-        try (ServerSocket any = new ServerSocket(0, 1, HERE)) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, LOOPBACK)) {
+            return socket.getLocalPort();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -196,11 +197,11 @@
     }
 
     Peer viewer() throws IOException {
-        return new Peer(new Socket(HERE, process.address().getPort()));
+        return new Peer(new Socket(LOOPBACK, process.address().getPort()));
     }
 
     /** A viewer whose connection has been accepted. */
-    Peer viewerWithin() throws IOException {
+    Peer acceptedViewer() throws IOException {
         Peer peer = viewer();
         peer.send(Message.of(MessageType.UPT, 9));
         if (peer.next().type() != MessageType.UPA) {
@@ -215,7 +216,7 @@
                 .with(Parameter.WAIT, "1500")
                 .with(Parameter.TITLE, "7f3a")
                 .with(Parameter.EXTRAS, extras)
-                .with(Parameter.DESCRIPTION, WANTED);
+                .with(Parameter.DESCRIPTION, VIEWER_DESCRIPTION);
     }
 
     static Message setUp(long id) {
@@ -223,18 +224,18 @@
     }
 
     /** Waits until a count has come so far. */
-    void await(String count, long least) throws InterruptedException {
-        until(() -> process.counts().getOrDefault(count, 0L) >= least);
+    void awaitCount(String counter, long minimum) throws InterruptedException {
+        waitUntil(() -> process.counts().getOrDefault(counter, 0L) >= minimum);
     }
 
     /** Counts what is read from here on. */
-    void readFrom() {
-        readBefore = bytesRead();
+    void markBytesRead() {
+        bytesReadAtMark = bytesRead();
     }
 
     /** Waits until so many bytes have been read. */
-    void awaitRead(long bytes) throws InterruptedException {
-        until(() -> bytesRead() >= readBefore + bytes);
+    void awaitBytesRead(long bytes) throws InterruptedException {
+        waitUntil(() -> bytesRead() >= bytesReadAtMark + bytes);
     }
 
     private long bytesRead() {
@@ -242,10 +243,10 @@
     }
 
     /** Waits for a state, with a generous bound. */
-    void until(BooleanSupplier state) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
-        while (!state.getAsBoolean()) {
-            if (System.nanoTime() > end) {
+    void waitUntil(BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new AssertionError("it did not come to that: " + process.counts());
             }
             Thread.sleep(2);
@@ -253,16 +254,16 @@
     }
 
     /** The server to which something has come. */
-    Box asked() throws InterruptedException {
-        until(() -> boxes.stream().anyMatch(b -> !b.came.isEmpty()));
-        return boxes.stream().filter(b -> !b.came.isEmpty()).findFirst().orElseThrow();
+    FakeServer serverWithMessage() throws InterruptedException {
+        waitUntil(() -> servers.stream().anyMatch(b -> !b.received.isEmpty()));
+        return servers.stream().filter(b -> !b.received.isEmpty()).findFirst().orElseThrow();
     }
 
     @Override
     public void close() throws IOException {
         process.close();
         bus.close();
-        for (Box box : boxes) {
+        for (FakeServer box : servers) {
             box.close();
         }
     }
@@ -270,63 +271,63 @@
     /** One connection, read message by message. */
     static final class Peer implements AutoCloseable {
         private final Socket socket;
-        private volatile CountDownLatch reader;
+        private volatile CountDownLatch readerEnded;
         private final SignalParser parser = new SignalParser();
-        private final Queue<Message> read = new ArrayDeque<>();
+        private final Queue<Message> received = new ArrayDeque<>();
 
         Peer(Socket socket) throws SocketException {
             this.socket = socket;
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             // what is sent is there when the call returns, not when the other side has acknowledged what came before
             socket.setTcpNoDelay(true);
         }
 
         void send(Message... messages) throws IOException {
-            for (Message m : messages) {
-                raw(m.encode().array());
+            for (Message message : messages) {
+                sendBytes(message.encode().array());
             }
         }
 
-        void raw(byte... bytes) throws IOException {
+        void sendBytes(byte... bytes) throws IOException {
             socket.getOutputStream().write(bytes);
         }
 
         /** The next message; null at the end. */
         Message next() throws IOException {
             byte[] buffer = new byte[4096];
-            while (read.isEmpty()) {
-                int n;
+            while (received.isEmpty()) {
+                int length;
                 try {
-                    n = socket.getInputStream().read(buffer);
+                    length = socket.getInputStream().read(buffer);
                 } catch (SocketException e) {
-                    n = -1;
+                    length = -1;
                 }
-                if (n < 0) {
+                if (length < 0) {
                     return null;
                 }
                 try {
-                    parser.feed(ByteBuffer.wrap(buffer, 0, n), read::add);
+                    parser.feed(ByteBuffer.wrap(buffer, 0, length), received::add);
                 } catch (SignalException e) {
                     throw new IOException(e);
                 }
             }
-            return read.poll();
+            return received.poll();
         }
 
         /** The next message of a type, past others. */
         Message next(int type) throws IOException {
-            Message m;
+            Message message;
             do {
-                m = next();
-            } while (m != null && m.type() != type);
-            return m;
+                message = next();
+            } while (message != null && message.type() != type);
+            return message;
         }
 
         /** Closes; the other side has it once this returns: the system closes no socket that a thread still reads. */
-        void hangUp() throws IOException {
+        void disconnect() throws IOException {
             socket.close();
             try {
-                if (reader != null && !reader.await(WAIT_S, TimeUnit.SECONDS)) {
+                if (readerEnded != null && !readerEnded.await(TIMEOUT_S, TimeUnit.SECONDS)) {
                     throw new IOException("the reader does not end");
                 }
             } catch (InterruptedException e) {
@@ -336,7 +337,7 @@
 
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
-            hangUp();
+            disconnect();
         }
 
         void halfClose() throws IOException {
@@ -352,40 +353,40 @@
 
         @Override
         public void close() throws IOException {
-            hangUp();
+            disconnect();
         }
     }
 
     /** A video server: what comes in is kept, the test answers. */
-    static final class Box implements AutoCloseable {
-        record Came(Peer peer, Message message) {}
+    static final class FakeServer implements AutoCloseable {
+        record Received(Peer peer, Message message) {}
 
-        final BlockingQueue<Came> came = new LinkedBlockingQueue<>();
+        final BlockingQueue<Received> received = new LinkedBlockingQueue<>();
         final List<Peer> peers = new CopyOnWriteArrayList<>();
-        private final ServerSocket server;
+        private final ServerSocket listeningSocket;
 
-        Box() throws IOException {
+        FakeServer() throws IOException {
             this(0);
         }
 
-        Box(int port) throws IOException {
-            server = new ServerSocket(port, 50, HERE);
-            start(() -> {
+        FakeServer(int port) throws IOException {
+            listeningSocket = new ServerSocket(port, 50, LOOPBACK);
+            startDaemon(() -> {
                 while (true) {
-                    Peer peer = new Peer(server.accept());
+                    Peer peer = new Peer(listeningSocket.accept());
                     peer.socket.setSoTimeout(0);
-                    peer.reader = new CountDownLatch(1);
+                    peer.readerEnded = new CountDownLatch(1);
                     peers.add(peer);
-                    start(() -> {
+                    startDaemon(() -> {
                         try {
-                            Message m;
-                            while ((m = peer.next()) != null) {
-                                if (m.type() != MessageType.RLC) {
-                                    came.add(new Came(peer, m));
+                            Message message;
+                            while ((message = peer.next()) != null) {
+                                if (message.type() != MessageType.RLC) {
+                                    received.add(new Received(peer, message));
                                 }
                             }
                         } finally {
-                            peer.reader.countDown();
+                            peer.readerEnded.countDown();
                         }
                     });
                 }
@@ -393,11 +394,11 @@
         }
 
         int port() {
-            return server.getLocalPort();
+            return listeningSocket.getLocalPort();
         }
 
-        Came next() throws InterruptedException {
-            Came next = came.poll(WAIT_S, TimeUnit.SECONDS);
+        Received next() throws InterruptedException {
+            Received next = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (next == null) {
                 throw new AssertionError("nothing came to the server");
             }
@@ -405,17 +406,19 @@
         }
 
         /** Takes the next set-up and answers that it stands. */
-        Came serve() throws InterruptedException, IOException {
-            Came set = next();
-            set.peer().send(Message.of(MessageType.ANM, set.message().session()).with(Parameter.DESCRIPTION, GIVEN));
-            return set;
+        Received acceptSetUp() throws InterruptedException, IOException {
+            Received setUp = next();
+            setUp.peer()
+                    .send(Message.of(MessageType.ANM, setUp.message().session())
+                            .with(Parameter.DESCRIPTION, SERVER_DESCRIPTION));
+            return setUp;
         }
 
         /** Waits until a connection has come. */
-        void awaitPeer() throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
+        void awaitConnection() throws InterruptedException {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             while (peers.isEmpty()) {
-                if (System.nanoTime() > end) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new AssertionError("no connection came");
                 }
                 Thread.sleep(1);
@@ -423,67 +426,67 @@
         }
 
         /** New connections are refused from now on, open ones stay. */
-        void listenNoMore() throws IOException {
-            server.close();
+        void stopListening() throws IOException {
+            listeningSocket.close();
         }
 
         /** Stops listening and resets all connections, as a killed process does. */
-        void die() throws IOException {
-            server.close();
+        void kill() throws IOException {
+            listeningSocket.close();
             for (Peer peer : peers) {
                 if (!peer.socket.isClosed()) {
                     peer.socket.setSoLinger(true, 0);
-                    peer.hangUp();
+                    peer.disconnect();
                 }
             }
         }
 
         @Override
         public void close() throws IOException {
-            die();
+            kill();
         }
     }
 
     /** The event bus: keeps what it is asked, writes what the test says to the newest connection. */
-    static final class Bus implements AutoCloseable {
-        final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        final ServerSocket server;
-        private volatile Socket newest;
+    static final class FakeBus implements AutoCloseable {
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        final ServerSocket listeningSocket;
+        private volatile Socket newestConnection;
         /** Written whenever it is asked. */
         volatile String answer = "";
 
-        volatile long answerAfterMs;
+        volatile long answerDelayMs;
 
-        Bus() throws IOException {
+        FakeBus() throws IOException {
             this(0);
         }
 
-        Bus(int port) throws IOException {
-            server = new ServerSocket(port, 50, HERE);
-            start(() -> {
+        FakeBus(int port) throws IOException {
+            listeningSocket = new ServerSocket(port, 50, LOOPBACK);
+            startDaemon(() -> {
                 while (true) {
-                    Socket socket = server.accept();
+                    Socket socket = listeningSocket.accept();
                     InputStream in = socket.getInputStream();
                     StringBuilder line = new StringBuilder();
                     for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
                         line.append((char) c);
                     }
-                    newest = socket;
+                    newestConnection = socket;
                     if (!answer.isEmpty()) {
-                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(answerAfterMs));
+                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(answerDelayMs));
                         write(answer);
                     }
-                    asked.add(line.toString());
+                    requests.add(line.toString());
                 }
             });
         }
 
         int port() {
-            return server.getLocalPort();
+            return listeningSocket.getLocalPort();
         }
 
-        String nextAsked() throws InterruptedException {
-            String line = asked.poll(WAIT_S, TimeUnit.SECONDS);
+        String nextRequest() throws InterruptedException {
+            String line = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (line == null) {
                 throw new AssertionError("the bus was not asked");
             }
@@ -491,31 +494,31 @@
         }
 
         void write(String text) throws IOException {
-            newest.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+            newestConnection.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         }
 
-        void breakOff() throws IOException {
-            newest.close();
+        void disconnect() throws IOException {
+            newestConnection.close();
         }
 
         @Override
         public void close() throws IOException {
-            server.close();
-            if (newest != null) {
-                newest.close();
+            listeningSocket.close();
+            if (newestConnection != null) {
+                newestConnection.close();
             }
         }
     }
 
     /** What a stand-in's thread does until its socket is closed. */
-    private interface Body {
+    private interface SocketTask {
         void run() throws IOException;
     }
 
-    private static void start(Body body) {
+    private static void startDaemon(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
-                body.run();
+                task.run();
             } catch (IOException e) {
                 return;
             }
--- a/manager/src/test/java/calicovale/manager/ProcessTest.java
+++ b/manager/src/test/java/calicovale/manager/ProcessTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicovale.manager.Rig.Bus;
-import calicovale.manager.Rig.Peer;
+import calicovale.manager.ManagerHarness.FakeBus;
+import calicovale.manager.ManagerHarness.Peer;
 import calicovale.protocols.signal.Message;
 import calicovale.protocols.signal.MessageType;
 import java.io.File;
@@ -26,46 +26,47 @@
 /** The real process, as the platform starts it: SIGHUP, SIGTERM and bad configurations. */
 @Timeout(60)
 class ProcessTest {
-    private static Process start(Path config) throws IOException {
-        return start(config, "unlimited", System.getProperty("java.class.path"), "");
+    private static Process startProcess(Path config) throws IOException {
+        return startProcess(config, "unlimited", System.getProperty("java.class.path"), "");
     }
 
-    private static Process start(Path config, String descriptors, String classPath, String before) throws IOException {
+    private static Process startProcess(Path config, String descriptorLimit, String classPath, String shellPrefix)
+            throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                before + "[ $1 = unlimited ] || ulimit -n $1; shift; exec \"$@\"",
+                shellPrefix + "[ $1 = unlimited ] || ulimit -n $1; shift; exec \"$@\"",
                 "sh",
-                descriptors,
+                descriptorLimit,
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx40m",
                 "-XX:+UseSerialGC",
                 "-cp",
                 classPath,
                 ManagerMain.class.getName());
-        builder.environment().put(ManagerMain.CONFIG, config.toString());
+        builder.environment().put(ManagerMain.CONFIG_VARIABLE, config.toString());
         return builder.redirectErrorStream(true)
                 .redirectOutput(config.resolveSibling("log").toFile())
                 .start();
     }
 
     @Test
-    void aHangupMovesTheBusAndTermEndsItWithNoughtOnceNothingIsHeld(@TempDir Path folder) throws Exception {
+    void sighupChangesTheBusAddressAndSigtermEndsTheIdleProcessWithStatusZero(@TempDir Path folder) throws Exception {
         Path config = folder.resolve("config.json");
-        try (Rig form = new Rig(1);
-                Bus first = new Bus();
-                Bus next = new Bus()) {
+        try (ManagerHarness form = new ManagerHarness(1);
+                FakeBus first = new FakeBus();
+                FakeBus next = new FakeBus()) {
             Files.writeString(config, form.config(first.port(), 256));
-            Process process = start(config);
+            Process process = startProcess(config);
             try {
-                assertEquals("from 1", first.nextAsked());
+                assertEquals("from 1", first.nextRequest());
                 Files.writeString(config, form.config(next.port(), 256));
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
                                 .start()
                                 .waitFor());
-                assertEquals("from 1", next.nextAsked());
+                assertEquals("from 1", next.nextRequest());
                 assertTrue(process.isAlive());
                 process.destroy();
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -79,23 +80,23 @@
     }
 
     @Test
-    void aProcessStartedWithHangupsIgnoredFindsTheBusWhereTheFileSays(@TempDir Path folder) throws Exception {
+    void aProcessStartedWithSighupIgnoredFindsTheNewBusAddressInTheFile(@TempDir Path folder) throws Exception {
         Path config = folder.resolve("config.json");
-        try (Rig form = new Rig(1);
-                Bus first = new Bus();
-                Bus next = new Bus()) {
+        try (ManagerHarness form = new ManagerHarness(1);
+                FakeBus first = new FakeBus();
+                FakeBus next = new FakeBus()) {
             Files.writeString(config, form.config(first.port(), 256));
-            Process process = start(config, "unlimited", System.getProperty("java.class.path"), "trap '' HUP; ");
+            Process process = startProcess(config, "unlimited", System.getProperty("java.class.path"), "trap '' HUP; ");
             try {
-                assertEquals("from 1", first.nextAsked());
+                assertEquals("from 1", first.nextRequest());
                 Files.writeString(config, form.config(next.port(), 256));
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
                                 .start()
                                 .waitFor());
-                first.breakOff();
-                assertEquals("from 1", next.nextAsked());
+                first.disconnect();
+                assertEquals("from 1", next.nextRequest());
             } finally {
                 process.destroyForcibly();
             }
@@ -103,32 +104,32 @@
     }
 
     @Test
-    void idleClientsThatTookAllDescriptorsWhileTheBusWasDownDoNotKeepItFromTheBus(@TempDir Path folder)
+    void idleClientsThatUseAllDescriptorsWhileTheBusIsDownDoNotPreventItsReconnect(@TempDir Path folder)
             throws Exception {
         Path config = folder.resolve("config.json");
         int port;
-        try (Bus none = new Bus()) {
+        try (FakeBus none = new FakeBus()) {
             port = none.port();
         }
         List<Peer> idle = new ArrayList<>();
-        try (Rig form = new Rig(1)) {
+        try (ManagerHarness form = new ManagerHarness(1)) {
             String text = form.config(port, 1024);
             Files.writeString(config, text);
             int listen = Integer.parseInt(text.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1"));
             // the system grants far fewer than the configuration says, so the manager's own bound does not help
-            Process process = start(config, "200", archives(folder), "");
+            Process process = startProcess(config, "200", classPathOfArchives(folder), "");
             try {
-                form.until(() -> answers(listen));
+                form.waitUntil(() -> answers(listen));
                 for (int i = 0; i < 220; i++) {
                     idle.add(new Peer(new Socket(InetAddress.getLoopbackAddress(), listen)));
                     idle.get(i).send(Message.of(MessageType.UPT, i + 1));
                 }
-                form.until(() -> descriptors(process.pid()) >= 200);
-                try (Bus bus = new Bus(port)) {
+                form.waitUntil(() -> openDescriptors(process.pid()) >= 200);
+                try (FakeBus bus = new FakeBus(port)) {
                     for (Peer peer : idle) {
-                        peer.hangUp();
+                        peer.disconnect();
                     }
-                    assertEquals("from 1", bus.nextAsked());
+                    assertEquals("from 1", bus.nextRequest());
                 }
                 assertTrue(process.isAlive());
             } catch (AssertionError e) {
@@ -143,7 +144,7 @@
     }
 
     /** The class path as the process has it in service: archives, which stay open, where folders need a descriptor for each class. */
-    private static String archives(Path folder) throws IOException {
+    private static String classPathOfArchives(Path folder) throws IOException {
         List<String> entries = new ArrayList<>();
         for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
             Path from = Path.of(entry);
@@ -173,16 +174,16 @@
         }
     }
 
-    private static int descriptors(long pid) {
+    private static int openDescriptors(long pid) {
         String[] open = new File("/proc/" + pid + "/fd").list();
         return open == null ? 0 : open.length;
     }
 
     @Test
-    void aBadConfigurationEndsItWithTwoAndEveryFault(@TempDir Path folder) throws Exception {
+    void anInvalidConfigurationEndsTheProcessWithStatusTwoAndAllFaults(@TempDir Path folder) throws Exception {
         Path config = folder.resolve("config.json");
         Files.writeString(config, "{\"listen\":\"here\"}");
-        Process process = start(config);
+        Process process = startProcess(config);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
         String log = Files.readString(folder.resolve("log"));
--- a/manager/src/test/java/calicovale/manager/config/ManagerConfigTest.java
+++ b/manager/src/test/java/calicovale/manager/config/ManagerConfigTest.java
@@ -17,12 +17,12 @@
                "specifics":{"levelKb":[1,2],"ladderWorth":[0.5,1],"kindStreams":[7],"lowestRung":[1],"seeMs":384.7}}}""";
 
     @Test
-    void readsAllThatIsStated() throws InvalidDocumentException {
+    void readsAllValues() throws InvalidDocumentException {
         ManagerConfig config = ManagerConfig.read("config", GOOD);
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(256, config.sockets());
+        assertEquals(256, config.descriptorLimit());
         assertEquals(3, config.knownOffset());
-        assertEquals(17, config.known().get(0).entries().get(0).startedAtMs());
+        assertEquals(17, config.knownEvents().get(0).entries().get(0).startedAtMs());
         assertEquals(List.of("a", "b"), config.platform().zones());
         assertEquals(List.of("talk"), config.platform().classes());
         var settings = config.platform().controller();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void tellsEveryFaultAtOnce() {
+    void reportsAllFaultsTogether() {
         String bad = GOOD.replace("127.0.0.1:3868", "host:3868")
                 .replace("\"sockets\":256", "\"sockets\":-1")
                 .replace("8c1f", "xyz")
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whatIsNoJsonIsSaidSo() {
+    void rejectsTextThatIsNotJson() {
         assertThrows(InvalidDocumentException.class, () -> ManagerConfig.read("config", "{"));
     }
 }
