--- a/manager/src/main/java/calicovale/manager/ManagerMain.java
+++ b/manager/src/main/java/calicovale/manager/ManagerMain.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Runs one session manager in the foreground: its configuration is the file that {@code PROXY_CONFIG} names. SIGHUP has the file
- * read again, SIGTERM drains.
+ * Runs one session manager in the foreground. {@code PROXY_CONFIG} names its configuration file; SIGHUP makes it
+ * read the file again, SIGTERM starts a drain.
  */
 public final class ManagerMain {
-    /** The variable that names the configuration. */
+    /** Environment variable with the path of the configuration file. */
     public static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
     private static final int EXIT_FAILED = 1;
@@ -20,7 +20,10 @@
 
     private ManagerMain() {}
 
-    /** Runs until a drain has ended and gives the exit status. */
+    /**
+     * Runs until a drain has ended. Returns the exit status: 0, 1 if the manager failed, 2 for an invalid
+     * configuration.
+     */
     public static int run(Path file) throws IOException, InterruptedException {
         ManagerConfig config;
         try {
@@ -29,7 +32,7 @@
             e.faults().forEach(System.err::println);
             return EXIT_BAD_INPUT;
         }
-        // handled before anything is heard of this process: a signal that came first would end it
+        // installed before the process is visible to others, because an unhandled signal would end it
         CompletableFuture<ManagerProcess> started = new CompletableFuture<>();
         SignalHandlers.on("HUP", () -> started.thenAccept(process -> process.reload(file)));
         SignalHandlers.on("TERM", () -> started.thenAccept(ManagerProcess::drain));
@@ -39,11 +42,11 @@
         }
     }
 
-    /** Takes no arguments. */
+    /** Runs the manager; takes no arguments. */
     public static void main(String[] args) throws IOException, InterruptedException {
         String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
-            System.err.println(CONFIG_VARIABLE + ": the path of a configuration is expected");
+            System.err.println(CONFIG_VARIABLE + ": variable is not set, the path of a configuration file is expected");
             System.exit(EXIT_BAD_INPUT);
         }
         System.exit(run(Path.of(file)));
--- a/manager/src/main/java/calicovale/manager/ManagerProcess.java
+++ b/manager/src/main/java/calicovale/manager/ManagerProcess.java
@@ -18,24 +18,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Owns one manager's loop and its parts, from start to drain. */
+/** One manager: its event loop, its connections and the client of the event bus, from start to the end of a drain. */
 public final class ManagerProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ManagerProcess.class);
-    /** Ms between lines of counts. */
+    /** Interval, in ms, between log lines of counters. */
     private static final double COUNTS_INTERVAL_MS = 10_000;
-    /** Ms for which requests still come after a drain has begun. */
+    /** Time, in ms, for which set-ups still come after a drain has begun. */
     private static final double LATE_REQUESTS_MS = 700;
-    /** Longest drain, in ms, for sessions that stand: they play on until the platform ends the process. */
+    /**
+     * Longest drain, in ms. Until then the process waits for the end of playing sessions, unless the platform kills
+     * it.
+     */
     private static final double MAX_DRAIN_MS = 600_000;
-    /** Ms between looks at a drain. */
+    /** Interval, in ms, between checks of a drain. */
     private static final double DRAIN_CHECK_INTERVAL_MS = 20;
-    /** Ms for which viewers may read the last answers before the process ends: a close with unread input would undo them. */
+    /**
+     * Time, in ms, for which viewers may read the last answers before the process ends. Closing a connection with
+     * unread input resets it, and answers on their way are lost.
+     */
     private static final double LINGER_TIMEOUT_MS = 300;
-    /** Ms before a configuration that could not be read is read again, doubling, and how often: it may be half written. */
+    /**
+     * Delay, in ms, before a configuration with faults is read again, because it may be only half written. It
+     * doubles each time, up to {@link #MAX_REREADS} times.
+     */
     private static final double FIRST_REREAD_DELAY_MS = 50;
 
     private static final int MAX_REREADS = 7;
-    /** Bounds of the loop: some hundreds of connections, each message 16 KiB at most. */
+    /** Bounds of the event loop, for some hundreds of connections and messages of at most 16 KiB. */
     private static final LoopLimits LOOP_LIMITS = new LoopLimits(1 << 10, 1 << 16, 1 << 18, 512, 64, 1);
 
     private final ManagerConfig config;
@@ -48,22 +57,26 @@
     private volatile boolean drained;
     private Timer rereadTimer;
     private final Path file;
+    /** Modification time and size of the file when it was last read; empty: unknown. */
     private String fileStamp;
 
-    /** Starts a manager; it listens once this returns. */
+    /** Starts a manager, which listens when this returns. */
     public ManagerProcess(ManagerConfig config, Clock clock) throws IOException {
         this(config, null, clock);
     }
 
-    /** Starts a manager whose configuration stands in {@code file}; it listens once this returns. */
+    /**
+     * Starts a manager, which listens when this returns and reads {@code file} again if it has changed when the bus
+     * is lost.
+     */
     public ManagerProcess(ManagerConfig config, Path file, Clock clock) throws IOException {
         this.config = config;
         this.file = file;
         fileStamp = stampOf(file);
         loop = new EventLoop("manager", clock, LOOP_LIMITS, Tap.NONE).start();
-        // a process that lives and serves nobody is worse than one that is started anew
+        // ends the process if the loop fails, so that the platform starts it again
         loop.whenEnded(ended::countDown);
-        // what was told while this process came up counts as told: nothing is sent before it is known
+        // events during the start count as received, so no set-up is accepted before they are known
         CompletableFuture<Void> caughtUp = new CompletableFuture<>();
         loop.whenEnded(() -> caughtUp.complete(null));
         try {
@@ -97,29 +110,29 @@
         LOG.info("counts {}", coordinator.counts());
     }
 
-    /** Its loop, for tests that force an order of events. */
+    /** Returns the event loop, for tests that force an order of events. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Where it listens. */
+    /** Returns the address on which viewers connect. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** What has been counted. */
+    /** Returns all counters. */
     public java.util.Map<String, Long> counts() {
         return loop.call(coordinator::counts);
     }
 
-    /** The configuration was replaced: where the event bus is may have changed; all else holds until a restart. */
+    /** Reads the configuration again and connects to the event bus that it names. Other changes need a restart. */
     public void reload(Path file) {
         loop.execute(() -> readConfig(file, 0));
     }
 
     /**
-     * The bus broke off or does not answer: if the file has changed since, its address may have. Against a SIGHUP that never comes:
-     * a process that was started with it ignored cannot have it handled.
+     * Reads the configuration again if the file has changed, because a lost bus may have a new address there.
+     * This covers a process that was started with SIGHUP ignored, which cannot install a handler for it.
      */
     private void rereadIfChanged() {
         if (file != null && !stampOf(file).equals(fileStamp)) {
@@ -146,10 +159,10 @@
         }
         try {
             ManagerConfig newConfig = ManagerConfig.read(file);
-            LOG.info("configuration read again, the bus is at {}", newConfig.bus());
+            LOG.info("configuration read again, the address of the event bus is {}", newConfig.bus());
             bus.changeAddress(newConfig.bus());
         } catch (InvalidDocumentException e) {
-            LOG.error("the new configuration is not taken, the old one stays: {}", e.faults());
+            LOG.error("the new configuration is invalid, the old one remains in use: {}", e.faults());
             if (rereads < MAX_REREADS) {
                 rereadTimer =
                         loop.schedule(FIRST_REREAD_DELAY_MS * (1 << rereads), () -> readConfig(file, rereads + 1));
@@ -157,7 +170,7 @@
         }
     }
 
-    /** Ends the process once nothing more comes, all that came is answered and nothing stands. */
+    /** Starts a drain: the process ends when no more set-ups come, all are answered and no session plays. */
     public void drain() {
         loop.execute(() -> {
             if (!draining) {
@@ -175,7 +188,7 @@
             loop.schedule(DRAIN_CHECK_INTERVAL_MS, () -> checkDrain(sinceMs));
             return;
         }
-        LOG.info("ends, counts {}", coordinator.counts());
+        LOG.info("drain finished, counts {}", coordinator.counts());
         coordinator.closeViewers();
         linger(loop.clock().millis());
     }
@@ -189,7 +202,7 @@
         }
     }
 
-    /** Waits for the end of a drain; false if the loop failed, and with it the manager. */
+    /** Waits for the end of the manager. Returns true after a drain, false if the event loop failed or was closed. */
     public boolean await() throws InterruptedException {
         ended.await();
         return drained;
--- a/manager/src/main/java/calicovale/manager/RateLimitedLog.java
+++ b/manager/src/main/java/calicovale/manager/RateLimitedLog.java
@@ -6,28 +6,33 @@
 import java.util.Map;
 import org.slf4j.Logger;
 
-/** Owns the counting and logging of what peers can cause at will: all is counted, one line of a kind a second is logged. */
+/** Counts and logs events that peers can cause at any rate: counts all of them, and logs one a second of each kind. */
 public final class RateLimitedLog {
+    /** Shortest interval, in ms, between log lines of one kind. */
     private static final double MIN_INTERVAL_MS = 1000;
 
     private final Logger log;
     private final Counters counters;
     private final Clock clock;
+    /** For each kind: the clock time of the last line, in ms, and the number of events since without a line. */
     private final Map<String, double[]> lastByKind = new HashMap<>();
 
-    /** Counts in {@code counters}. */
+    /** Creates a log that counts with {@code counters}. */
     public RateLimitedLog(Logger log, Counters counters, Clock clock) {
         this.log = log;
         this.counters = counters;
         this.clock = clock;
     }
 
-    /** Counts one of a kind; the kinds are few and known. */
+    /** Counts an event. The kinds are a small fixed set, so the counters stay bounded. */
     public void count(String kind) {
         counters.count(kind);
     }
 
-    /** Counts one of a kind and logs it, with how many went without a line. */
+    /**
+     * Counts an event and logs it as a warning, with the number of events of this kind that were not logged since the
+     * last.
+     */
     public void warn(String kind, Object detail) {
         counters.count(kind);
         double nowMs = clock.millis();
--- a/manager/src/main/java/calicovale/manager/SessionCoordinator.java
+++ b/manager/src/main/java/calicovale/manager/SessionCoordinator.java
@@ -37,38 +37,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the way of every session between viewers, controller and servers: what comes in becomes an event, an action becomes a
- * message. It decides nothing; whatever the controller gives up on is answered at once.
+ * Connects viewers, the controller and video servers: messages become events of the controller, its actions become
+ * messages. It makes no decisions of its own; a refusal or failure of the controller is sent to the viewer at once.
  */
 public final class SessionCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(SessionCoordinator.class);
-    /** Descriptors that are neither of viewers nor of servers: the process's own, its listener, the bus, and some in hand. */
+    /**
+     * File descriptors kept for other uses than connections of viewers and links to servers: those of the process
+     * itself, the listening socket, the event bus and a reserve.
+     */
     private static final int OWN_DESCRIPTORS = 40;
-    /** Part of the others that links to servers may have. */
+    /** Fraction of the remaining descriptors that links to servers may use; viewers' connections may use the others. */
     private static final double SERVER_LINKS_FRACTION = 0.35;
-    /** Sessions held for each MB of memory: one takes about 1 kB here and in the controller. */
+    /** Bound of held sessions for each MB of memory. A session takes about 1 kB here and in the controller. */
     private static final int SESSIONS_PER_MB = 100;
-    /** Bytes of heap for each session held, garbage included. */
+    /** Heap, in bytes, allowed for each held session, including garbage. */
     private static final long HEAP_BYTES_PER_SESSION = 4096;
-    /** Sessions handed over at servers that are not known: a bad client can name any. */
+    /** Upper bound of sessions handed over at unlisted servers, because a faulty client can name any server. */
     private static final int MAX_UNLISTED = 512;
-    /** Ends remembered of sessions that are not held. */
+    /** Number of the latest ends that are remembered for sessions that are not held. */
     private static final int MAX_UNKNOWN_ENDED = 1024;
-    /** Most ms that the platform leaves for answers at a drain, after the last set-up, and what is kept in hand of them. */
+    /**
+     * Upper bound, in ms, of the time that the platform leaves for answers after the last set-up of a drain;
+     * {@link #ANSWER_MARGIN_MS} of it is kept in reserve.
+     */
     private static final double MAX_ANSWER_MS = 3000;
 
     private static final double ANSWER_MARGIN_MS = 200;
-    /** Set-ups open at once on one connection: all of 90 a second with a hung server are fewer. */
+    /** Upper bound of unanswered set-ups on one connection; 90 set-ups a second with a hung server stay below it. */
     private static final int MAX_SET_UPS_PER_LINK = 128;
-    /** Ms in which a connection must bring something of use; bad clients are owed an end within 3 s. */
+    /**
+     * Time, in ms, in which a connection must bring a valid message; faulty clients must be disconnected within 3 s.
+     */
     private static final double VALID_MESSAGE_TIMEOUT_MS = 2000;
-    /** By how much a viewer's wait may pass its class's: figures beyond it are no waits. */
+    /** Largest accepted wait of a viewer as a multiple of its class's deadline; longer ones are rejected as invalid. */
     private static final double MAX_WAIT_MULTIPLE = 2;
-    /** Ms between a server's notes where the settings name none. */
+    /** Silence, in ms, after which a server is checked if the settings state no interval between notes. */
     private static final double DEFAULT_SILENCE_TIMEOUT_MS = 4000;
-    /** Longest silence of a server, in ms, before it is looked at: what it no longer holds must be released within 8 s. */
+    /**
+     * Longest silence, in ms, after which a server is checked, because sessions that it no longer holds must be
+     * released within 8 s.
+     */
     private static final double MAX_SILENCE_TIMEOUT_MS = 4500;
-    /** Part of the time after which servers close idle connections that they are used for. */
+    /** Fraction of the servers' idle timeout for which an idle link is still used. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
     private final EventLoop loop;
@@ -78,9 +89,12 @@
     private final ViewerGateway viewers;
     private final ControllerHost host;
     private final double maxDeadlineMs;
-    /** Sessions handed over at servers that the list has not named yet; the controller hears of them once it has. */
+    /** Sessions handed over at servers that the list has not named yet. The controller gets them when it has. */
     private final Map<Session, Takeover> unlisted = new LinkedHashMap<>();
-    /** Sessions that ended before they were handed over, by whether their server told so; the latest of them. */
+    /**
+     * The latest sessions that were released while not held here; true if their server released them, false if their
+     * viewer did.
+     */
     private final Map<Long, Boolean> unknownEnded = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -90,7 +104,7 @@
         }
     };
 
-    /** Makes the manager and tells its controller what is known of servers; to be called on the loop. */
+    /** Creates the controller and raises the known servers to it. Must be called on the loop. */
     public SessionCoordinator(EventLoop loop, ManagerConfig config) {
         this.loop = loop;
         RateLimitedLog log = log(LOG);
@@ -155,7 +169,7 @@
         raiseKnownServers(config);
     }
 
-    /** What was known at the start: one list, as it stood after the last of its events. */
+    /** Raises the server list that results from all events known at the start. */
     private void raiseKnownServers(ManagerConfig config) {
         Map<String, BusEvent.Entry> entries = new TreeMap<>();
         long generation = 0;
@@ -170,17 +184,17 @@
                 new BusEvent(config.knownOffset(), generation, true, List.copyOf(entries.values())), ListScope.SAVED));
     }
 
-    /** A log that counts with this manager's counters. */
+    /** Returns a log that counts with this manager's counters. */
     RateLimitedLog log(Logger logger) {
         return new RateLimitedLog(logger, counters, loop.clock());
     }
 
-    /** Listens for viewers. */
+    /** Listens for viewers and returns the bound address. */
     public InetSocketAddress open(InetSocketAddress address) throws IOException {
         return viewers.open(address);
     }
 
-    /** Takes an event of the bus. */
+    /** Applies an event of the bus and raises sessions whose servers are now listed. */
     public void handleBusEvent(BusEvent event) {
         ServerList list = servers.apply(event, event.complete() ? ListScope.COMPLETE : ListScope.CHANGES);
         host.raise(list);
@@ -197,32 +211,35 @@
         }
     }
 
-    /** A drain has begun; set-ups come for {@code stillComeMs} more, and all are to be answered before the process is killed. */
+    /**
+     * Starts a drain. Set-ups still come for {@code lateRequestsMs}, and all must be answered before the platform
+     * kills the process.
+     */
     public void drain(double lateRequestsMs) {
         viewers.setAnswerDeadline(loop.clock().millis() + maxDeadlineMs + lateRequestsMs - ANSWER_MARGIN_MS);
     }
 
-    /** Whether nothing is left to be answered, released, read or written. */
+    /** Returns whether nothing is left to answer, release, read or write. */
     public boolean isQuiet() {
         return sessions.size() == 0 && viewers.isQuiet() && !servers.hasQueuedMessages();
     }
 
-    /** Takes no more viewers and ends the sending side of those that are there. */
+    /** Stops accepting viewers and closes the sending side of their connections. */
     public void closeViewers() {
         viewers.closeGracefully();
     }
 
-    /** Connections of viewers. */
+    /** Returns the number of viewers' connections. */
     public int viewerLinkCount() {
         return viewers.linkCount();
     }
 
-    /** Sessions that are owed an answer or stand. */
+    /** Returns the number of sessions that wait for an answer or are playing. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    /** What has been counted, with the present sizes. */
+    /** Returns all counters, with the present numbers of sessions, links and servers. */
     public Map<String, Long> counts() {
         Map<String, Long> all = counters.all();
         all.put("held.out", (long) sessions.count(State.REQUESTED) + sessions.count(State.ATTEMPTING));
@@ -258,7 +275,7 @@
                 session.controllerId(), session.attemptNumber(), server, outcome, elapsedMs, closed, load));
     }
 
-    /** Ends a session that stands from here: at its server, in the table and for the controller. */
+    /** Ends a playing session from this side: at its server, in the table and for the controller. */
     private void endPlayingSession(Session session) {
         long server = session.server();
         double elapsedMs = loop.clock().millis() - session.attemptSentAtMs();
@@ -267,7 +284,7 @@
         attemptEnded(session, server, Outcome.CANCELLED, elapsedMs, true, Map.of());
     }
 
-    /** What viewers want, told to the controller. */
+    /** Raises events of viewers to the controller. */
     private final class ViewerEvents implements ViewerGateway.Listener {
         @Override
         public void sessionRequested(Session session, ViewerGateway.Request request) {
@@ -308,7 +325,7 @@
                 host.raise(takeover);
                 servers.ensureLink(serverNumber);
             } else {
-                // the list is late: it stands, and is released if the list does not name its server in time
+                // the list is late: the session is held, and released if the list does not name its server in time
                 counters.count("handed-over.unlisted");
                 unlisted.put(session, takeover);
             }
@@ -340,7 +357,7 @@
         }
     }
 
-    /** What servers say, told to the controller and passed on. */
+    /** Raises events of servers to the controller and sends answers and releases to viewers. */
     private final class ServerEvents implements ServerPool.Listener {
         @Override
         public void attemptSucceeded(Session session, double elapsedMs, byte[] description) {
@@ -350,7 +367,7 @@
                     && !viewers.answer(
                             session,
                             Message.of(MessageType.ANM, session.id()).with(Parameter.DESCRIPTION, description))) {
-                // its viewer is gone: nobody would ever end it
+                // its viewer has left, so nobody else would end it
                 endPlayingSession(session);
             }
         }
@@ -390,7 +407,7 @@
         }
     }
 
-    /** What the controller does, carried out. */
+    /** Carries out the controller's actions. */
     private final class ControllerActions implements ControllerHost.Carrier {
         private Session held(String id) {
             return sessions.get(Long.parseUnsignedLong(id, 16));
--- a/manager/src/main/java/calicovale/manager/SignalHandlers.java
+++ b/manager/src/main/java/calicovale/manager/SignalHandlers.java
@@ -4,14 +4,18 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Owns the handling of signals. The platform's only way to them is a class that the compiler warns of whatever is said, so it is
- * reached by name, as terminal libraries do.
+ * Installs handlers of operating system signals. The JDK offers only {@code sun.misc.Signal}, for which the
+ * compiler emits a warning that cannot be suppressed, so it is used by reflection, as in terminal libraries.
  */
 final class SignalHandlers {
 
     private SignalHandlers() {}
 
-    /** Calls {@code body}, on a thread of its own, whenever the signal comes. */
+    /**
+     * Runs {@code action} on a separate thread whenever the signal arrives.
+     *
+     * @param signalName name without the prefix SIG, such as {@code HUP}
+     */
     static void on(String signalName, Runnable action) {
         try {
             Class<?> signalClass = Class.forName("sun.misc.Signal");
@@ -36,7 +40,7 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException e) {
-            throw new IllegalStateException("signal " + signalName + " cannot be handled", e);
+            throw new IllegalStateException("handler for signal " + signalName + " cannot be installed", e);
         }
     }
 }
--- a/manager/src/main/java/calicovale/manager/bus/Addresses.java
+++ b/manager/src/main/java/calicovale/manager/bus/Addresses.java
@@ -7,14 +7,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Owns the reading of addresses: IPv4 in numbers only, so that none can cause a look-up of a name on the loop. */
+/** Parses addresses. Only numeric IPv4 is accepted, so that no address causes a name look-up on the event loop. */
 public final class Addresses {
     private static final Pattern IPV4_AND_PORT =
             Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
 
     private Addresses() {}
 
-    /** Reads {@code a.b.c.d:port}. */
+    /** Parses {@code a.b.c.d:port}. */
     public static InetSocketAddress parse(String text) throws BadValueException {
         Matcher matcher = IPV4_AND_PORT.matcher(text);
         byte[] host = new byte[4];
@@ -26,7 +26,7 @@
         }
         int port = valid ? Integer.parseInt(matcher.group(5)) : 0;
         if (!valid || port < 1 || port > 65535) {
-            throw new BadValueException("'" + text + "' is not an address, such as 10.0.0.4:3868");
+            throw new BadValueException("'" + text + "' is not an IPv4 address with a port, such as 10.0.0.4:3868");
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -10,16 +10,16 @@
 import java.util.Locale;
 
 /**
- * One event of the event bus: a change of the list of video servers, or the whole list.
+ * One event of the event bus: changes of the list of video servers, or the complete list.
  *
- * @param offset its number
- * @param generation the list's version
- * @param complete whether it holds the whole list
- * @param entries what it holds
+ * @param offset number of the event on the bus
+ * @param generation version of the list
+ * @param complete whether the event holds the complete list
+ * @param entries changed servers, or all servers
  */
 public record BusEvent(long offset, long generation, boolean complete, List<Entry> entries) {
 
-    /** A video server's state. */
+    /** The state of a video server, as the bus names it in lower case. */
     public enum Lifecycle {
         IN_SERVICE,
         TERMINATING,
@@ -29,7 +29,11 @@
     /**
      * One video server.
      *
-     * @param startedAtMs when it started, where that was late; else 0
+     * @param id name of the server
+     * @param address null: it has none, which only a terminated server may
+     * @param kind machine type
+     * @param weight size in relation to other servers
+     * @param startedAtMs clock time of its start, in ms, if it started recently; else 0
      */
     public record Entry(
             String id,
@@ -41,17 +45,17 @@
             double weight,
             double startedAtMs) {}
 
-    /** Reads one from its line; null: the line holds the last number alone. */
+    /** Parses a line. Returns null if it is not an event, as a line with the last offset alone. */
     public static BusEvent parseLine(String line) throws BadValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             return node.has("topology") ? parse(node) : null;
         } catch (JsonProcessingException e) {
-            throw new BadValueException("an event that is no JSON: " + e.getOriginalMessage());
+            throw new BadValueException("event is not JSON: " + e.getOriginalMessage());
         }
     }
 
-    /** The number that a line holds, whatever else it has. */
+    /** Parses the offset in a line: a number, or the field {@code offset} of an object. */
     static long parseOffset(String line) throws BadValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
@@ -60,17 +64,17 @@
                 return offset.asLong();
             }
         } catch (JsonProcessingException e) {
-            // told below
+            // reported below
         }
-        throw new BadValueException("a line without a number");
+        throw new BadValueException("line has neither a number nor a numeric 'offset'");
     }
 
-    /** Reads one. */
+    /** Parses an event. */
     public static BusEvent parse(JsonNode node) throws BadValueException {
         JsonNode topology = node.path("topology");
         JsonNode list = topology.path("instances");
         if (!node.path("offset").canConvertToLong() || !list.isArray()) {
-            throw new BadValueException("an event without 'offset' or 'topology.instances'");
+            throw new BadValueException("event needs a numeric 'offset' and a list 'topology.instances'");
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonNode entry : list) {
@@ -86,17 +90,18 @@
     private static Entry parseEntry(JsonNode node) throws BadValueException {
         String id = node.path("instanceId").asText("");
         if (id.isEmpty()) {
-            throw new BadValueException("an instance without 'instanceId'");
+            throw new BadValueException("instance has no 'instanceId'");
         }
         Lifecycle lifecycle;
         try {
             lifecycle = Lifecycle.valueOf(node.path("lifecycle").asText("").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new BadValueException("instance " + id + ": 'lifecycle' is " + node.path("lifecycle"));
+            throw new BadValueException("instance " + id
+                    + ": 'lifecycle' must be in_service, terminating or terminated, not " + node.path("lifecycle"));
         }
         String hostPort = node.path("hostPort").asText("");
         if (hostPort.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
-            throw new BadValueException("instance " + id + ": no 'hostPort'");
+            throw new BadValueException("instance " + id + ": 'hostPort' is missing");
         }
         return new Entry(
                 id,
--- a/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
+++ b/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
@@ -15,31 +15,42 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns the link to the event bus. Each event is told once and in order, whatever the bus writes twice, breaks off or keeps to
- * itself: after a break, a silence, a gap or a line that cannot be read it asks again, from the last event that it has.
+ * Follows the event bus and passes on each event once and in order. After a lost connection, a silence, a gap in
+ * the offsets or an invalid line it connects again and requests the events after the last one that it has.
  */
 public final class EventBusClient {
-    /** Bytes of one line: a list of some thousands of servers. */
+    /** Upper bound of one line, in bytes, enough for a list of some thousands of servers. */
     private static final int MAX_LINE_BYTES = 1 << 21;
-    /** Ms without a line after which the bus has stopped: it writes one a second, and what it holds back counts as told after 4 s. */
+    /**
+     * Time without a line, in ms, after which the bus is considered stopped. It writes a line each second, and
+     * events that it holds back count as delivered after 4 s.
+     */
     private static final double SILENCE_TIMEOUT_MS = 2100;
-    /** Ms by which that is spread: all managers' watches fall silent together, and the bus would have all their calls at once. */
+    /**
+     * Largest random addition to {@link #SILENCE_TIMEOUT_MS}, in ms. All managers notice a silence at the same
+     * time, and would all connect to the bus at once.
+     */
     private static final double SILENCE_JITTER_MS = 400;
-    /** Most ms for a connection to stand, between the first two tries, and between later ones. */
+    /** Upper bounds, in ms, for opening a connection, and of the first and later delays between reconnects. */
     private static final double CONNECT_TIMEOUT_MS = 400;
 
     private static final double FIRST_RECONNECT_DELAY_MS = 150;
     private static final double MAX_RECONNECT_DELAY_MS = 500;
     /**
-     * Part of a drain's grace that each of these may take at most: a drain counts as told once the bus is back, so a try that was lost
-     * just before and the wait for the next must leave time to heed it.
+     * Fraction of a drain's grace time that each of these bounds may take at most. A drain counts as announced
+     * once the bus is back, so a connect that failed just before and the delay until the next one must leave time to
+     * follow it.
      */
     private static final double MAX_GRACE_FRACTION = 0.25;
 
+    /** Lower limit of these bounds, in ms, however short the grace time is. */
     private static final double MIN_LIMIT_MS = 25;
-    /** Ms in which the bus writes what came since, once asked: it does so at once. */
+    /** Time, in ms, after a request in which the bus has written all missed events; it writes them at once. */
     private static final double CATCH_UP_MS = 250;
-    /** Ms for which a start waits for a bus that does not answer: a start is due within 10 s, whatever the bus does. */
+    /**
+     * Time, in ms, for which a start waits for a bus that does not answer. A start must take less than 10 s even if
+     * the bus is down.
+     */
     private static final double START_TIMEOUT_MS = 1500;
 
     private final EventLoop loop;
@@ -54,14 +65,15 @@
     private Timer reconnectTimer;
     private Runnable caughtUpCallback;
     private long lastOffset;
-    /** The last event that was known when a gap behind it was asked for; -1: none was. */
+    /** Offset after which missing events were last requested because of a gap; -1: none were. */
     private long gapRequestedAfter = -1;
 
     /**
-     * Asks from event {@code last} on.
+     * Creates a client, which connects after {@link #open}.
      *
-     * @param graceMs for how long a drain that was told need not be heeded
-     * @param onLost hears whenever the bus has to be asked again
+     * @param lastOffset offset of the last known event
+     * @param graceMs time, in ms, for which an announced drain of a server may still be ignored; 0 or less: unknown
+     * @param onLost called whenever the client has to connect again
      */
     public EventBusClient(
             EventLoop loop,
@@ -87,8 +99,8 @@
     }
 
     /**
-     * Connects; to be called on the loop. {@code caughtUp} is called once, when the bus has told what came since the last event that is
-     * known, or after a while if it does not answer.
+     * Connects. Must be called on the loop. {@code caughtUp} is called once: when the bus has written the events
+     * after the last known one, or after {@link #START_TIMEOUT_MS}.
      */
     public void open(Runnable caughtUp) {
         caughtUpCallback = caughtUp;
@@ -104,7 +116,7 @@
         }
     }
 
-    /** The bus is elsewhere now; the numbers go on. */
+    /** Connects to another address of the bus; the offsets continue. */
     public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -144,6 +156,7 @@
         onLost.run();
     }
 
+    /** One connection to the event bus. */
     private final class BusConnection implements Connection.Handler {
         private final ByteArrayOutputStream lineBytes = new ByteArrayOutputStream();
         private Connection socket;
@@ -155,7 +168,7 @@
             }
             silenceTimer = loop.schedule(silenceTimeoutMs, () -> {
                 if (connection == this) {
-                    reconnect("bus.silent", "nothing for " + (long) silenceTimeoutMs + " ms");
+                    reconnect("bus.silent", "no line from the event bus for " + (long) silenceTimeoutMs + " ms");
                 }
             });
         }
@@ -177,7 +190,7 @@
                 if (nextByte != '\n') {
                     lineBytes.write(nextByte);
                     if (lineBytes.size() > MAX_LINE_BYTES) {
-                        reconnect("bus.bad-line", "a line of more than " + MAX_LINE_BYTES + " bytes");
+                        reconnect("bus.bad-line", "line is longer than " + MAX_LINE_BYTES + " bytes");
                     }
                     continue;
                 }
@@ -197,17 +210,20 @@
                 if (event == null) {
                     long offset = BusEvent.parseOffset(text);
                     if (offset > lastOffset) {
-                        reconnect("bus.gap", "the last event is " + offset + ", here it is " + lastOffset);
+                        reconnect(
+                                "bus.gap",
+                                "the last event on the bus is " + offset + ", the last one received is " + lastOffset);
                     } else {
                         backoff.reset();
                         caughtUp();
                     }
                     return;
                 }
-                // events may come out of order; a gap that asking again does not close is the bus's own numbering
+                // events may come out of order; a gap that remains after a second request is in the numbering of the
+                // bus itself
                 if (event.offset() > lastOffset + 1 && !event.complete() && gapRequestedAfter != lastOffset) {
                     gapRequestedAfter = lastOffset;
-                    reconnect("bus.gap", "event " + event.offset() + " after " + lastOffset);
+                    reconnect("bus.gap", "event " + event.offset() + " received after event " + lastOffset);
                 } else if (event.offset() > lastOffset) {
                     lastOffset = event.offset();
                     backoff.reset();
--- a/manager/src/main/java/calicovale/manager/bus/package-info.java
+++ b/manager/src/main/java/calicovale/manager/bus/package-info.java
@@ -1,2 +1,2 @@
-/** Owns the link to the event bus and the reading of its events. It must not know viewers, sessions or the controller's host. */
+/** Client of the event bus and parser of its events. Must not depend on viewers, sessions or the controller's host. */
 package calicovale.manager.bus;
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -21,15 +21,15 @@
 /**
  * A manager's configuration.
  *
- * @param name its name, the same after a restart
- * @param listen where viewers connect
- * @param bus where the event bus is
- * @param seed for random numbers
- * @param memoryLimitMb its limit of memory
- * @param descriptorLimit its limit of descriptors
- * @param knownEvents the events up to now, in order
- * @param knownOffset the number of the last of them
- * @param platform the platform's settings
+ * @param name name of the manager, the same after a restart
+ * @param listen address on which viewers connect
+ * @param bus address of the event bus
+ * @param seed seed of the random number generators
+ * @param memoryLimitMb memory limit of the process, in MB
+ * @param descriptorLimit limit of the process's open file descriptors
+ * @param knownEvents events of the bus up to the start, in order
+ * @param knownOffset offset of the last of them
+ * @param platform settings of the platform
  */
 public record ManagerConfig(
         String name,
@@ -43,16 +43,17 @@
         PlatformSettings platform) {
     private static final int HEX_RADIX = 16;
 
-    /** Reads a file; all its faults are told at once. */
+    /** Reads a file. The exception lists all its faults. */
     public static ManagerConfig read(Path file) throws InvalidDocumentException {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": : a readable file is expected (" + e + ")"));
+            throw new InvalidDocumentException(
+                    List.of(file + ": a readable text file in UTF-8 is expected (" + e.getMessage() + ")"));
         }
     }
 
-    /** Reads a text; {@code file} leads each fault. */
+    /** Parses a text. The exception lists all its faults, each with {@code file} in front. */
     public static ManagerConfig read(String file, String text) throws InvalidDocumentException {
         List<String> faults = new ArrayList<>();
         ManagerConfig config = null;
@@ -89,7 +90,8 @@
             PlatformSettings platform = PlatformSettings.read(collectingValues("settings: ", platformValues, faults));
             if (platform.classes().isEmpty()
                     || platform.controller().media().rungKb().isEmpty()) {
-                faults.add("settings: classes and a ladder are expected");
+                faults.add(
+                        "settings: at least one class in 'profiles' and one rung in 'specifics.levelKb' are expected");
             }
             return new ManagerConfig(
                     values.text("name", ""),
@@ -98,11 +100,11 @@
                     seed,
                     values.integer("limits.memory_mb"),
                     values.integer("limits.sockets"),
-                    known(node, faults),
+                    readKnownEvents(node, faults),
                     node.path("known").path("offset").asLong(),
                     platform);
         } catch (BadValueException e) {
-            throw new IllegalStateException("faults are collected here", e);
+            throw new IllegalStateException("the values collect their faults and throw none", e);
         }
     }
 
@@ -126,7 +128,7 @@
         }
     }
 
-    private static List<BusEvent> known(JsonNode node, List<String> faults) {
+    private static List<BusEvent> readKnownEvents(JsonNode node, List<String> faults) {
         List<BusEvent> events = new ArrayList<>();
         for (JsonNode event : node.path("known").path("batch")) {
             try {
@@ -138,7 +140,10 @@
         return List.copyOf(events);
     }
 
-    /** The form of the simulator's wire: paths of names, lists set apart by commas, lists of objects by number. */
+    /**
+     * Flattens a document into the form that the simulator sends: dotted paths as keys, lists as values separated
+     * by commas, and for lists of objects a {@code .count} and the index in the path.
+     */
     private static void flatten(String path, JsonNode node, Map<String, String> into) {
         if (node.isObject()) {
             node.properties()
--- a/manager/src/main/java/calicovale/manager/config/package-info.java
+++ b/manager/src/main/java/calicovale/manager/config/package-info.java
@@ -1,2 +1,2 @@
-/** Owns the reading of a manager's configuration file. */
+/** Parser of a manager's configuration file. */
 package calicovale.manager.config;
--- a/manager/src/main/java/calicovale/manager/servers/Attempt.java
+++ b/manager/src/main/java/calicovale/manager/servers/Attempt.java
@@ -3,7 +3,7 @@
 import calicovale.manager.sessions.Session;
 import calicovale.protocols.net.Timer;
 
-/** Owns what one attempt that is out needs: its link, when it was sent and when it is overdue. */
+/** One attempt in progress: its session, its link (null: none was available), its start and its timeout. */
 final class Attempt {
     final Session session;
     final ServerLink link;
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -13,20 +13,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Owns one connection to a video server and the attempts that are out on it. */
+/** One connection to a video server, with the attempts in progress on it. */
 final class ServerLink implements Connection.Handler {
     final VideoServer server;
     final Map<Long, Attempt> attempts = new LinkedHashMap<>();
     Connection connection;
-    /** Whether it stands and what waited for that has been written. */
+    /** Whether the connection is open and the queued messages have been written. */
     boolean open;
-    /** Whether nothing more is to be sent or heard on it: what it brought cannot be read, or it goes to an old process. */
+    /** Whether the link must not be used any more: it brought a malformed message, or leads to a previous process. */
     boolean unusable;
 
+    /** Clock times, in ms; the last use is a message sent or received. */
     final double openedAtMs;
+
     double lastUsedAtMs;
     double lastReceivedAtMs;
-    /** When the message that has not ended yet began; 0: none. */
+    /** Clock time, in ms, when an incomplete message began; 0: there is none. */
     double partialSinceMs;
 
     private final ServerPool pool;
@@ -43,7 +45,7 @@
         lastReceivedAtMs = nowMs;
     }
 
-    /** Sends a message, now or once the link stands. */
+    /** Sends a message, at once or when the link opens. */
     void send(Message message) {
         lastUsedAtMs = pool.nowMs();
         if (open) {
@@ -53,24 +55,24 @@
         }
     }
 
-    /** Takes a set-up back that was not written yet; false if it was. */
+    /** Drops the queued messages of a session. Returns whether the link has never been open, so that none was sent. */
     boolean discardUnsent(long sessionId) {
         queued.removeIf(m -> m.session() == sessionId);
         return !everOpen;
     }
 
-    /** Messages that wait for the link to stand. */
+    /** Returns whether messages wait for the link to open. */
     boolean hasQueued() {
         return !queued.isEmpty();
     }
 
     @Override
     public void onOpen(Connection opened) {
-        // what waits goes out with the decisions: a viewer's close may lie unread on another connection
-        pool.deferDecision(() -> opened(opened));
+        // sent with the decisions of this turn, because a viewer's close may be unread on another connection
+        pool.deferDecision(() -> markOpen(opened));
     }
 
-    private void opened(Connection openedConnection) {
+    private void markOpen(Connection openedConnection) {
         if (openedConnection.isClosed()) {
             return;
         }
@@ -116,7 +118,7 @@
         }
     }
 
-    /** Nothing more on it is of use, whatever it brought behind. */
+    /** Makes the link fail, once; whatever it brought after the fault is ignored. */
     void fail(String reason) {
         if (!failed) {
             failed = true;
@@ -126,8 +128,8 @@
     }
 
     /**
-     * It is carried no more from here on; what that means for its attempts follows with the decisions: this may be called from
-     * within a write, and what came before the close is heard first.
+     * Removes the link at once and ends its attempts with the decisions of this turn, because this may be called
+     * from within a write and messages that came before the close are handled first.
      */
     @Override
     public void onClosed(Connection closed, IOException cause) {
@@ -137,6 +139,9 @@
         queued.clear();
         pool.linkRemoved(this);
         pool.deferDecision(() -> pool.linkClosed(
-                this, everOpen, cause instanceof ConnectFailedException failed ? failed : null, releases));
+                this,
+                everOpen,
+                cause instanceof ConnectFailedException connectFailure ? connectFailure : null,
+                releases));
     }
 }
--- a/manager/src/main/java/calicovale/manager/servers/ServerLinkSettings.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLinkSettings.java
@@ -1,12 +1,13 @@
 package calicovale.manager.servers;
 
 /**
- * The bounds and times of the links to video servers.
+ * Bounds and timeouts of the links to video servers.
  *
- * @param maxLinks links of all servers together
- * @param connectTimeoutMs for a link to stand
- * @param idleTimeoutMs idle links are closed here, before the servers close them
- * @param silenceTimeoutMs a server where sessions stand and that says nothing for so long is looked at: it tells of its link at times
+ * @param maxLinks upper bound of links to all servers together
+ * @param connectTimeoutMs upper bound for opening a link, in ms
+ * @param idleTimeoutMs idle time, in ms, after which a link is closed here, before the server closes it
+ * @param silenceTimeoutMs time without messages, in ms, after which a server with playing sessions is checked by a
+ *     new link; servers send notes on their link's use at shorter intervals
  */
 public record ServerLinkSettings(
         int maxLinks, double connectTimeoutMs, double idleTimeoutMs, double silenceTimeoutMs) {}
--- a/manager/src/main/java/calicovale/manager/servers/ServerNumbers.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerNumbers.java
@@ -6,14 +6,16 @@
 import java.util.zip.CRC32;
 
 /**
- * Owns the numbers by which the controller knows video servers. A number follows from the server's name alone, so that all
- * managers have the same: they take turns at cold servers by it.
+ * Assigns the numbers by which the controller identifies video servers. A number is a checksum of the server's
+ * name, so that all managers use the same one; they take turns at cold servers by it.
  */
 final class ServerNumbers {
     private final Map<String, Long> numbers = new HashMap<>();
     private final Map<Long, String> names = new HashMap<>();
 
-    /** The number of a name; where two names share one, the later gets the next free. */
+    /**
+     * Returns the number of a name. Where two names have the same checksum, the later one gets the next free number.
+     */
     long numberOf(String name) {
         Long known = numbers.get(name);
         if (known != null) {
@@ -30,7 +32,7 @@
         return number;
     }
 
-    /** Forgets a name. */
+    /** Removes a name, whose number becomes free. */
     void forget(String name) {
         names.remove(numbers.remove(name));
     }
--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -28,53 +28,68 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns the video servers as the event bus lists them, the links to them, the attempts that are out and what is heard of sessions
- * that stand. Every attempt ends once, by what the server says, by its time or by its link; a session that stands ends by what the
- * server says, or when the server is seen to be dead.
+ * Manages the video servers that the event bus lists, the links to them and the attempts in progress, and reports
+ * events of playing sessions.
+ *
+ * <p>Each attempt ends exactly once: by the server's answer, by its timeout or by the loss of its link. A playing
+ * session ends when its server releases it or is considered dead.
  */
 public final class ServerPool {
-    /** What links to servers are called in the loop. */
+    /** Kind that the event loop gets for links to video servers. */
     private static final String CONNECTION_KIND = "server";
-    /** Ms between looks at links that say nothing or only half a message. */
+    /** Interval, in ms, between checks for idle links, incomplete messages and silent servers. */
     private static final double SWEEP_INTERVAL_MS = 100;
-    /** Ms for which a message may stand half read: a whole one is 16 KiB at most. */
+    /** Upper bound, in ms, for receiving the rest of a message, which has at most 16 KiB. */
     private static final double PARTIAL_MESSAGE_TIMEOUT_MS = 250;
-    /** Links of one server that are kept when nothing is out on them. */
+    /** Number of links without attempts that are kept open to one server. */
     private static final int MAX_SPARE_IDLE_LINKS = 2;
-    /** Ms after which further idle links are closed. */
+    /** Idle time, in ms, after which links beyond {@link #MAX_SPARE_IDLE_LINKS} are closed. */
     private static final double SPARE_IDLE_TIMEOUT_MS = 3000;
-    /** Refusals one after the other, over so many ms, that show that the process is gone. */
+    /**
+     * Consecutive refused connections, over at least {@link #REFUSED_BEFORE_DEAD_MS}, after which the server's
+     * process is considered gone. Reconnect delays double after each such number of attempts, and at most so many
+     * times.
+     */
     private static final int REFUSALS_BEFORE_DEAD = 3;
 
     private static final double REFUSED_BEFORE_DEAD_MS = 300;
-    /** Ms between the first tries to reach a server where sessions stand, and most between later ones. */
+    /**
+     * Delay, in ms, before the first reconnects to a server with playing sessions; it grows up to
+     * {@link #MAX_RECONNECT_DELAY_MS}.
+     */
     private static final double FIRST_RECONNECT_DELAY_MS = 150;
 
     private static final double MAX_RECONNECT_DELAY_MS = 1000;
-    /** Links one after the other that releases are tried on, where none comes up. */
+    /** Number of times that unsent releases are sent again, on a new link each time, while no link opens. */
     private static final int MAX_RELEASE_RESENDS = 3;
-    /** Part by which looks and tries are spread: managers hear of a server's trouble at the same time. */
+    /**
+     * Fraction by which silence timeouts and reconnect delays vary at random, because all managers notice a server's
+     * failure at the same time.
+     */
     private static final double JITTER = 0.2;
-    /** Ms of silence after which a server that cannot be reached is taken for gone: releases are due 8 s after the end. */
+    /**
+     * Silence, in ms, after which a server that cannot be reached is considered dead. Viewers must get releases
+     * within 8 s of a session's end.
+     */
     private static final double SILENT_BEFORE_DEAD_MS = 6500;
-    /** Ms for which it was then tried at least. */
+    /** Minimum time, in ms, for which connections must have timed out before a silent server is considered dead. */
     private static final double UNREACHABLE_BEFORE_DEAD_MS = 1000;
 
-    /** Hears what becomes of attempts and sessions. */
+    /** Receives the results of attempts and the events of playing sessions. */
     public interface Listener {
-        /** The session plays. */
+        /** Reports that the attempt succeeded; the session is playing. {@code description} is the server's. */
         void attemptSucceeded(Session session, double elapsedMs, byte[] description);
 
-        /** The attempt ended and no session stands by it. */
+        /** Reports that the attempt ended without a playing session. {@code load} is empty without a load report. */
         void attemptFailed(Session session, long server, Outcome outcome, double elapsedMs, Map<String, Double> load);
 
-        /** A session that stood came to its end. */
+        /** Reports the end of a playing session. {@code load} is empty without a load report. */
         void sessionEnded(Session session, long server, Outcome outcome, Map<String, Double> load);
 
-        /** News on a session that stands. */
+        /** Reports a note of the server on a playing session. */
         void noteReceived(Session session, NoteKind kind, double value);
 
-        /** A server released a session that is not held here. */
+        /** Reports that a server released a session that this manager does not hold. */
         void unknownSessionReleased(long sessionId);
     }
 
@@ -90,7 +105,7 @@
     private final Map<Long, Attempt> attemptsBySession = new HashMap<>();
     private int linkCount;
 
-    /** Starts with no server. */
+    /** Creates a pool without servers and schedules its periodic checks on {@code loop}. */
     public ServerPool(
             EventLoop loop,
             RandomGenerator random,
@@ -117,24 +132,24 @@
         loop.defer(EventLoop.Phase.DECISIONS, body);
     }
 
-    /** Messages that wait for a link to stand. */
+    /** Returns whether any message waits for a link to open. */
     public boolean hasQueuedMessages() {
         return servers.values().stream().anyMatch(s -> s.links.stream().anyMatch(ServerLink::hasQueued));
     }
 
-    /** Links that are open or being opened. */
+    /** Returns the number of links that are open or being opened. */
     public int linkCount() {
         return linkCount;
     }
 
-    /** Servers that are known. */
+    /** Returns the number of known servers. */
     public int serverCount() {
         return servers.size();
     }
 
-    // --- The list ---
+    // --- Server list ---
 
-    /** Takes an event of the bus and gives what the controller is to be told. */
+    /** Applies an event of the bus and returns the list to report to the controller. */
     public ServerList apply(BusEvent event, ListScope scope) {
         List<ServerEntry> entries = new ArrayList<>();
         List<VideoServer> named = new ArrayList<>();
@@ -142,7 +157,7 @@
             VideoServer server = serverNamed(entry.id());
             server.listed = true;
             named.add(server);
-            handle(server, entry);
+            applyEntry(server, entry);
             ServerState state =
                     switch (entry.lifecycle()) {
                         case IN_SERVICE -> ServerState.READY;
@@ -166,7 +181,7 @@
         return new ServerList(scope, event.generation(), List.copyOf(entries));
     }
 
-    private void handle(VideoServer server, BusEvent.Entry entry) {
+    private void applyEntry(VideoServer server, BusEvent.Entry entry) {
         server.gone = entry.lifecycle() == BusEvent.Lifecycle.TERMINATED;
         InetSocketAddress previousAddress = server.address;
         boolean moved = entry.address() != null
@@ -182,7 +197,7 @@
             server.startedAtMs = Math.max(server.startedAtMs, entry.startedAtMs());
             double startMs = moved ? Double.MAX_VALUE : entry.startedAtMs();
             endSessionsBefore(server, startMs);
-            // a link to the process before leads to whoever answers there now, or to nobody
+            // links to the previous process lead to nobody, or to another process at the same address
             for (ServerLink link : List.copyOf(server.links)) {
                 if (link.openedAtMs < startMs) {
                     link.unusable = true;
@@ -193,16 +208,16 @@
             }
         }
         for (VideoServer other : List.copyOf(servers.values())) {
-            // who had the address before is gone: what answers there now is another
+            // the previous server at this address is gone, because another one answers there now
             if (other != server && server.address.equals(other.address)) {
                 other.address = null;
                 other.gone = true;
-                markDead(other, "its address has a new owner");
+                markDead(other, "another server has its address now");
             }
         }
     }
 
-    /** A new process runs under the server's name: what stood before its start is over. */
+    /** Ends the sessions that began before {@code startMs}, when a new process took over the server's name. */
     private void endSessionsBefore(VideoServer server, double startMs) {
         for (Session session : table.playingAt(server.number)) {
             if (session.attemptSentAtMs() < startMs) {
@@ -217,12 +232,12 @@
                 numbers.numberOf(name), n -> new VideoServer(n, name, nowMs(), JITTER * random.nextDouble()));
     }
 
-    /** The number of the server of this name, whether or not the list has named it yet. */
+    /** Returns the number of the server of this name, and adds the server if it is not known yet. */
     public long numberOf(String name) {
         return serverNamed(name).number;
     }
 
-    /** Whether the list has named a server. */
+    /** Returns whether the list has named the server. */
     public boolean isListed(long serverNumber) {
         VideoServer server = servers.get(serverNumber);
         return server != null && server.listed;
@@ -230,7 +245,7 @@
 
     // --- Attempts ---
 
-    /** Sends a set-up; the session is out from now until the listener hears of it. */
+    /** Starts an attempt, which lasts until the listener gets its result. */
     public void startAttempt(Session session, long serverNumber, double timeoutMs) {
         VideoServer server = servers.get(serverNumber);
         double nowMs = nowMs();
@@ -241,7 +256,7 @@
         if (link == null) {
             loop.schedule(0, () -> {
                 log.count("attempt.no-link");
-                // it never left, and the server has no part in that
+                // the set-up was never sent, so the result must not count against the server
                 endAttempt(attempt, Outcome.MOOT, Map.of());
             });
             return;
@@ -261,7 +276,9 @@
         link.send(setUp);
     }
 
-    /** The link that carries a set-up: one with nothing out on it, else a new one, else the least loaded. */
+    /**
+     * Returns a link without attempts, else a new one, else the one with the fewest attempts; null if there is none.
+     */
     private ServerLink linkFor(VideoServer server) {
         ServerLink best = null;
         double nowMs = nowMs();
@@ -281,7 +298,7 @@
             return best;
         }
         if (linkCount >= settings.maxLinks() && !closeOldestIdleLink()) {
-            log.warn("server.no-link-free", linkCount + " links");
+            log.warn("server.no-link-free", linkCount + " links are in use, none is idle");
             return null;
         }
         return connect(server);
@@ -291,7 +308,7 @@
         return 2 * link.attempts.size() + (link.open ? 0 : 1);
     }
 
-    /** Closes the link that was idle for longest; false if none is. */
+    /** Closes the link that has been idle for longest; returns false if none is idle. */
     private boolean closeOldestIdleLink() {
         ServerLink oldest = null;
         for (VideoServer server : servers.values()) {
@@ -328,13 +345,13 @@
         boolean linkSilent = link.lastReceivedAtMs < attempt.sentAtMs;
         endAttempt(attempt, Outcome.TIMEOUT, Map.of());
         if (linkSilent) {
-            // what is out on it is given up by closing it, so no answer that comes late finds a viewer gone
+            // closing the link gives up its other attempts too, so that no late answer comes for a viewer that has left
             log.count("server.link-silent");
             link.connection.close();
         }
     }
 
-    /** Calls the attempt of a session off; the listener hears it as cancelled. */
+    /** Cancels the attempt of a session, if any; the listener gets {@link Outcome#CANCELLED}. */
     public void cancel(Session session) {
         Attempt attempt = attemptsBySession.get(session.id());
         if (attempt == null) {
@@ -346,7 +363,10 @@
         endAttempt(attempt, Outcome.CANCELLED, Map.of());
     }
 
-    /** Without effect on an attempt that has ended: its time, its link and its server may all tell of it in one turn. */
+    /**
+     * Ends an attempt. Does nothing if it has ended already, because its timeout, its link and its server may all
+     * end it in one turn of the loop.
+     */
     private void endAttempt(Attempt attempt, Outcome outcome, Map<String, Double> load) {
         Session session = attempt.session;
         if (attemptsBySession.get(session.id()) != attempt) {
@@ -368,16 +388,16 @@
         }
     }
 
-    // --- Sessions that stand ---
+    // --- Playing sessions ---
 
-    /** Tells the server a new rung. */
+    /** Sends the session's rung to its server. */
     public void sendRung(Session session) {
         sendTo(
                 session.server(),
                 Message.of(MessageType.RUNG, session.id()).with(Parameter.RUNG, String.valueOf(session.rung())));
     }
 
-    /** Ends a session at its server; the listener does not hear of it. */
+    /** Releases a session at its server, without a call of the listener. */
     public void sendRelease(Session session, int cause) {
         sendTo(session.server(), Message.release(session.id(), cause));
     }
@@ -399,7 +419,7 @@
         }
     }
 
-    /** A session was taken over: the server must have a link to send on. */
+    /** Opens a link to the server of a session that was taken over, if it has none. */
     public void ensureLink(long serverNumber) {
         VideoServer server = servers.get(serverNumber);
         if (server != null && server.links.isEmpty()) {
@@ -407,7 +427,7 @@
         }
     }
 
-    /** Opens a link to a server where sessions stand, unless one is being opened. */
+    /** Opens a link to a server with playing sessions, unless one is being opened. */
     private void openLinkIfNeeded(VideoServer server) {
         boolean connecting = server.links.stream().anyMatch(link -> !link.open);
         if (!connecting
@@ -418,12 +438,12 @@
         }
     }
 
-    // --- What comes on links ---
+    // --- Received messages ---
 
-    /** Takes a message; what is wrong with it, or null. */
+    /** Handles a message of a server. Returns what is wrong with it, or null. */
     String handle(ServerLink link, Message message) {
         if (message.malformed()) {
-            return "a message that cannot be read: " + message;
+            return "malformed message: " + message;
         }
         Session session = table.get(message.session());
         boolean heldHere = session != null && session.server() == link.server.number;
@@ -457,7 +477,7 @@
                 return null;
             }
             default -> {
-                return "a message of type " + message.type();
+                return "unexpected message of type " + message.type();
             }
         }
     }
@@ -469,7 +489,7 @@
             return handleUnexpectedAnswer(link, message, true);
         }
         if (description == null) {
-            return "an answer without a description";
+            return "answer without a description";
         }
         double elapsedMs = nowMs() - attempt.sentAtMs;
         forget(attempt);
@@ -478,7 +498,7 @@
         return null;
     }
 
-    /** An answer that nobody waits for, or once more: where nothing is held here by its number, it is released. */
+    /** Releases a session that was answered and is not held for this server; ignores a repeated answer. */
     private String handleUnexpectedAnswer(ServerLink link, Message message, boolean heldHere) {
         log.count("server.answer-of-none");
         if (!heldHere) {
@@ -530,7 +550,7 @@
         return ServerReportParser.loadReport(message.text(Parameter.LOAD));
     }
 
-    // --- Links that open, close and say nothing ---
+    // --- State of links and servers ---
 
     void linkOpened(ServerLink link) {
         VideoServer server = link.server;
@@ -539,13 +559,13 @@
         server.unreachableSinceMs = 0;
     }
 
-    /** The link is gone: nothing more is sent on it, and what it counts for here is free. */
+    /** Removes a link, so that nothing more is sent on it and it no longer counts towards the bound. */
     void linkRemoved(ServerLink link) {
         link.server.links.remove(link);
         linkCount--;
     }
 
-    /** A link brought what cannot be read, or stopped in the middle: nothing more on it is of use. */
+    /** Resets a link that brought a malformed or incomplete message. */
     void linkFailed(ServerLink link, String reason) {
         log.warn("server.spoilt", link.server + ": " + reason);
         link.connection.reset(new IOException(reason));
@@ -576,19 +596,19 @@
                     Map.of());
         }
         if (!releases.isEmpty() && !server.gone && server.releaseResends++ < MAX_RELEASE_RESENDS) {
-            // what its viewer has ended would play on for nobody
+            // without its release, a session that its viewer has ended would play on
             log.count("server.release-again");
             loop.schedule(reconnectDelayMs(server), () -> releases.forEach(release -> sendTo(server.number, release)));
         }
         if (table.playingCountAt(server.number) == 0) {
             return;
         }
-        // links that stay open prove nothing once nothing comes on them: a machine that vanished does not close them
+        // an open link without traffic proves nothing, because a machine that failed does not close its connections
         boolean silent = !hasUsableLink || nowMs - server.lastReceivedAtMs > settings.silenceTimeoutMs();
         if (silent
                 && server.consecutiveRefusals >= REFUSALS_BEFORE_DEAD
                 && nowMs - server.refusedSinceMs >= REFUSED_BEFORE_DEAD_MS) {
-            markDead(server, "its process is gone");
+            markDead(server, "it refuses connections");
         } else if (server.unreachableSinceMs > 0
                 && nowMs - server.unreachableSinceMs > UNREACHABLE_BEFORE_DEAD_MS
                 && nowMs - server.lastReceivedAtMs > SILENT_BEFORE_DEAD_MS) {
@@ -615,7 +635,7 @@
     private void markDead(VideoServer server, String reason) {
         List<Session> ended = table.playingAt(server.number);
         if (!ended.isEmpty()) {
-            log.warn("server.dead", server + ": " + reason + ", " + ended.size() + " sessions are over");
+            log.warn("server.dead", server + ": " + reason + ", " + ended.size() + " sessions ended");
         }
         for (Session session : ended) {
             listener.sessionEnded(session, server.number, Outcome.RESET, Map.of());
@@ -632,7 +652,7 @@
             int spareIdleLinks = 0;
             for (ServerLink link : List.copyOf(server.links)) {
                 if (link.partialSinceMs > 0 && nowMs - link.partialSinceMs > PARTIAL_MESSAGE_TIMEOUT_MS) {
-                    link.fail("half a message for " + (long) PARTIAL_MESSAGE_TIMEOUT_MS + " ms");
+                    link.fail("message still incomplete after " + (long) PARTIAL_MESSAGE_TIMEOUT_MS + " ms");
                 } else if (link.attempts.isEmpty()
                         && (link.unusable
                                 || link.open
@@ -646,7 +666,7 @@
             if (hasSessions
                     && server.address == null
                     && nowMs - Math.max(server.lastReceivedAtMs, server.firstKnownAtMs) > SILENT_BEFORE_DEAD_MS) {
-                markDead(server, server.listed ? "it has no address" : "the list does not name it");
+                markDead(server, server.listed ? "it has no address" : "the server list does not name it");
             } else if (hasSessions
                     && nowMs - Math.max(server.lastReceivedAtMs, server.lastCheckedAtMs) > silenceTimeoutMs) {
                 server.lastCheckedAtMs = nowMs;
--- a/manager/src/main/java/calicovale/manager/servers/ServerReportParser.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerReportParser.java
@@ -3,13 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Owns the reading of figures in servers' messages; what cannot be read is left out. */
+/** Parses numbers and load reports in messages of video servers. Values that are not valid are left out. */
 final class ServerReportParser {
+    /** Upper bound of the parts into which a load report is split. */
     private static final int MAX_VALUES = 16;
 
     private ServerReportParser() {}
 
-    /** A finite number from 0; NaN: it is none. */
+    /** Returns a finite number from 0, or NaN if {@code text} is null or not such a number. */
     static double nonNegativeNumber(String text) {
         try {
             double number = text == null ? Double.NaN : Double.parseDouble(text);
@@ -19,7 +20,9 @@
         }
     }
 
-    /** A load report, as in {@code x0:12;x1:40}. */
+    /**
+     * Returns the valid values of a load report such as {@code x0:12;x1:40}, by name; empty if {@code text} is null.
+     */
     static Map<String, Double> loadReport(String text) {
         if (text == null || text.isEmpty()) {
             return Map.of();
--- a/manager/src/main/java/calicovale/manager/servers/VideoServer.java
+++ b/manager/src/main/java/calicovale/manager/servers/VideoServer.java
@@ -5,12 +5,15 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Owns what is known of one video server: its address and links, and the signs of life. */
+/**
+ * State of one video server: its address, its links and when it was last heard or failed to answer. Times are clock
+ * times in ms.
+ */
 final class VideoServer {
     final long number;
     final String name;
     InetSocketAddress address;
-    /** Whether the list has named it; else sessions that were handed over did. */
+    /** Whether the server list has named it; if not, a session that was handed over did. */
     boolean listed;
 
     boolean gone;
@@ -19,19 +22,19 @@
     final double firstKnownAtMs;
     double lastReceivedAtMs;
     double lastCheckedAtMs;
-    /** Part by which its silences are taken longer: managers that hear of it together must not look at it together. */
+    /** Fraction that is added to its silence timeout, so that managers do not all check it at the same time. */
     final double silenceJitter;
-    /** Connections refused one after the other, and since when. */
+    /** Consecutive refused connections, and when the first of them was refused. */
     int consecutiveRefusals;
 
     double refusedSinceMs;
-    /** Since when connections do not come up; 0: they do, or none was tried. */
+    /** Since when connections time out; 0: they do not, or none was tried. */
     double unreachableSinceMs;
 
     Timer reconnectTimer;
-    /** Tries to reach it since it was last heard. */
+    /** Reconnect attempts since the last message. */
     int reconnectAttempts;
-    /** Links that never stood, one after the other, with releases waiting on them. */
+    /** Consecutive links that never opened and had releases queued. */
     int releaseResends;
 
     VideoServer(long number, String name, double nowMs, double silenceJitter) {
--- a/manager/src/main/java/calicovale/manager/servers/package-info.java
+++ b/manager/src/main/java/calicovale/manager/servers/package-info.java
@@ -1,2 +1,2 @@
-/** Owns the links to video servers: attempts, what stands there, and whether a server lives. It must not know viewers. */
+/** Links to video servers, attempts, and detection of dead servers. Must not depend on the viewers package. */
 package calicovale.manager.servers;
--- a/manager/src/main/java/calicovale/manager/sessions/Session.java
+++ b/manager/src/main/java/calicovale/manager/sessions/Session.java
@@ -2,22 +2,22 @@
 
 import calicovale.protocols.signal.Message;
 
-/** One session, from its set-up to its end. Its state is changed by the {@link SessionStateTable} alone. */
+/** One session, from its set-up to its end. Only {@link SessionStateTable} changes its state. */
 public final class Session {
 
-    /** Where a session is on its way. */
+    /** The state of a session. */
     public enum State {
-        /** Taken, no attempt is out. */
+        /** A set-up was accepted; no attempt is in progress. */
         REQUESTED,
-        /** One attempt is out. */
+        /** One attempt is in progress. */
         ATTEMPTING,
-        /** It plays. */
+        /** The session plays at a server. */
         PLAYING,
-        /** It is not held any more. */
+        /** The session is over and no longer held. */
         ENDED
     }
 
-    /** Where a set-up came from and its answer goes. */
+    /** The peer that sent a set-up and gets its answer. */
     public interface Requester {}
 
     private final long id;
@@ -45,62 +45,62 @@
         this.giveUpMs = giveUpMs;
     }
 
-    /** Its number on the wire. */
+    /** Returns the session's id in messages. */
     public long id() {
         return id;
     }
 
-    /** Its number in 16 hex digits, by which the controller knows it. */
+    /** Returns the id in 16 hex digits, as the controller uses it. */
     public String controllerId() {
         return controllerId;
     }
 
-    /** Where it came from. */
+    /** Returns the peer that sent the set-up. */
     public Requester requester() {
         return requester;
     }
 
-    /** The class's name. */
+    /** Returns the name of the session class; empty for a session that was handed over. */
     public String sessionClass() {
         return sessionClass;
     }
 
-    /** The title. */
+    /** Returns the title. */
     public String title() {
         return title;
     }
 
-    /** The viewer's description; null once the session stands. */
+    /** Returns the viewer's description, or null once the session plays. */
     public byte[] description() {
         return description;
     }
 
-    /** When its viewer gives up. */
+    /** Returns the clock time, in ms, at which the viewer gives up. */
     public double giveUpMs() {
         return giveUpMs;
     }
 
-    /** Its state. */
+    /** Returns the state. */
     public State state() {
         return state;
     }
 
-    /** The server of the attempt that is out, or where it stands; -1: none. */
+    /** Returns the number of the server of the current attempt or of the playing session; -1: none. */
     public long server() {
         return server;
     }
 
-    /** The number of the last attempt, from 0; -1: none yet. */
+    /** Returns the number of the last attempt, from 0; -1: there was none. */
     public int attemptNumber() {
         return attemptCount - 1;
     }
 
-    /** When the last attempt was sent. */
+    /** Returns the clock time, in ms, at which the last attempt was started. */
     public double attemptSentAtMs() {
         return attemptSentAtMs;
     }
 
-    /** The rung in force or asked for; -1: the lowest of its class. */
+    /** Returns the current or requested rung; -1: the lowest of the class. */
     public int rung() {
         return rung;
     }
@@ -110,22 +110,22 @@
         rung = newRung;
     }
 
-    /** Whether its viewer has given it up: no answer is owed. */
+    /** Returns whether the viewer has given up the set-up, so that no answer is due. */
     public boolean departed() {
         return departed;
     }
 
-    /** Its viewer has given it up. */
+    /** Records that the viewer has given up the set-up. */
     public void markDeparted() {
         departed = true;
     }
 
-    /** Whether the controller has heard of it. */
+    /** Returns whether the session has been raised to the controller. */
     public boolean knownToController() {
         return knownToController;
     }
 
-    /** The controller hears of it. */
+    /** Records that the session is raised to the controller. */
     public void markKnownToController() {
         knownToController = true;
     }
--- a/manager/src/main/java/calicovale/manager/sessions/SessionStateTable.java
+++ b/manager/src/main/java/calicovale/manager/sessions/SessionStateTable.java
@@ -10,8 +10,9 @@
 import java.util.Set;
 
 /**
- * Owns every session that is held, and the only ways from one state to another: asked, out, standing, over. One attempt is out at
- * once, and a session that is over is held no more. It is bounded.
+ * Holds a bounded number of sessions and makes all their transitions between states. A session has at most one
+ * attempt in progress, and one that has ended is removed. Transitions throw {@link IllegalStateException} if the
+ * session is in another state than required.
  */
 public final class SessionStateTable {
     private final int capacity;
@@ -19,7 +20,7 @@
     private final Map<Long, Set<Session>> playingByServer = new HashMap<>();
     private final EnumMap<State, Integer> countByState = new EnumMap<>(State.class);
 
-    /** Holds so many at most. */
+    /** Creates an empty table for at most {@code capacity} sessions. */
     public SessionStateTable(int capacity) {
         this.capacity = capacity;
         for (State state : State.values()) {
@@ -27,31 +28,31 @@
         }
     }
 
-    /** The session of this number, or null. */
+    /** Returns the session with this id, or null. */
     public Session get(long id) {
         return sessionsById.get(id);
     }
 
-    /** Whether no further session can be held. */
+    /** Returns whether no further session can be held. */
     public boolean isFull() {
         return sessionsById.size() >= capacity;
     }
 
-    /** Sessions held. */
+    /** Returns the number of held sessions. */
     public int size() {
         return sessionsById.size();
     }
 
-    /** Sessions in a state; of those over, how many there were. */
+    /** Returns the number of sessions in a state; for {@link State#ENDED}, of all sessions that have ended. */
     public int count(State state) {
         return countByState.get(state);
     }
 
-    /** Takes a set-up. */
+    /** Adds a session for a set-up. Throws {@link IllegalStateException} if the id is held or the table is full. */
     public Session request(
             long id, Requester requester, String sessionClass, String title, byte[] description, double giveUpMs) {
         if (isFull() || sessionsById.containsKey(id)) {
-            throw new IllegalStateException("session " + id + " is held, or the table is full");
+            throw new IllegalStateException("session " + id + " is already held, or the table is full");
         }
         Session session = new Session(id, requester, sessionClass, title, description, giveUpMs);
         sessionsById.put(id, session);
@@ -59,7 +60,7 @@
         return session;
     }
 
-    /** Takes a session that plays at a server already. */
+    /** Adds a session that already plays at a server, with attempt number 0. */
     public Session takeOver(
             long id, Requester requester, String sessionClass, String title, long server, double nowMs) {
         Session session = request(id, requester, sessionClass, title, null, Double.MAX_VALUE);
@@ -68,7 +69,7 @@
         return session;
     }
 
-    /** An attempt goes out. */
+    /** Starts an attempt: requested to attempting. */
     public void startAttempt(Session session, long server, double nowMs) {
         transition(session, State.REQUESTED, State.ATTEMPTING);
         session.server = server;
@@ -76,13 +77,13 @@
         session.attemptSentAtMs = nowMs;
     }
 
-    /** The attempt ended without a session. */
+    /** Ends an attempt without a session: attempting to requested. */
     public void attemptFailed(Session session) {
         transition(session, State.ATTEMPTING, State.REQUESTED);
         session.server = -1;
     }
 
-    /** The attempt came to play. */
+    /** Ends an attempt with a playing session: attempting to playing. */
     public void attemptSucceeded(Session session) {
         transition(session, State.ATTEMPTING, State.PLAYING);
         session.dropDescription();
@@ -91,7 +92,7 @@
                 .add(session);
     }
 
-    /** It is held no more, whatever its state. */
+    /** Ends a session in any state and removes it. */
     public void end(Session session) {
         State previous = session.state;
         transition(session, previous, State.ENDED);
@@ -107,20 +108,20 @@
 
     private void transition(Session session, State from, State to) {
         if (session.state != from || from == State.ENDED) {
-            throw new IllegalStateException(session + ": not " + from + ", so it cannot be " + to);
+            throw new IllegalStateException(session + ": no transition from " + from + " to " + to);
         }
         countByState.merge(from, -1, Integer::sum);
         countByState.merge(to, 1, Integer::sum);
         session.state = to;
     }
 
-    /** How many sessions stand at a server. */
+    /** Returns the number of sessions that play at a server. */
     public int playingCountAt(long server) {
         Set<Session> playing = playingByServer.get(server);
         return playing == null ? 0 : playing.size();
     }
 
-    /** The sessions that stand at a server, as they are now. */
+    /** Returns a copy of the list of sessions that play at a server. */
     public List<Session> playingAt(long server) {
         return List.copyOf(playingByServer.getOrDefault(server, Set.of()));
     }
--- a/manager/src/main/java/calicovale/manager/sessions/package-info.java
+++ b/manager/src/main/java/calicovale/manager/sessions/package-info.java
@@ -1,2 +1,2 @@
-/** Owns the table of sessions and the states they go through. It has no input and output and takes no time of its own. */
+/** The table of sessions and their states. It does no input or output and reads no clock. */
 package calicovale.manager.sessions;
--- a/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
+++ b/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
@@ -7,12 +7,20 @@
 import java.util.Map;
 
 /**
- * What a viewer's set-up says, read and checked as a whole.
+ * A parsed and checked set-up of a viewer.
  *
- * @param rejectCause the cause to refuse it with; 0: it is good
- * @param rejectReason what is wrong with it
- * @param classIndex the class's place in the settings
- * @param playingAt the server where it plays already; null: it is to be set up
+ * @param rejectCause the cause to reject it with; 0: it is valid
+ * @param rejectReason what is wrong with it, for the log; null if it is valid
+ * @param classIndex index of the class in the settings
+ * @param description the viewer's description, passed on to the server
+ * @param waitMs how long the viewer waits for an answer, in ms
+ * @param retry whether it is a repeat
+ * @param returning whether the viewer comes again
+ * @param homeCell first cell that holds the title
+ * @param span number of consecutive cells that hold the title
+ * @param topRung highest rung that the viewer can use
+ * @param viewer key of the viewer; empty: unknown
+ * @param playingAt name of the server where the session already plays; null: it is to be set up
  */
 record SetUpRequest(
         int rejectCause,
@@ -28,56 +36,62 @@
         int topRung,
         String viewer,
         String playingAt) {
+    /** Upper bound of the characters of a title or viewer's key. */
     private static final int MAX_TEXT_CHARS = 256;
+    /** Upper bound of the parts into which the extras are split. */
     private static final int MAX_EXTRAS = 16;
+    /** Digits of a number that always fits an {@code int}; one more is accepted if the value fits. */
     private static final int MAX_DIGITS = 9;
 
     private static SetUpRequest rejected(int cause, String reason) {
         return new SetUpRequest(cause, reason, 0, null, null, 0, false, false, 0, 0, 0, null, null);
     }
 
+    /** Parses and checks a set-up. What is wrong with it is in the result. */
     static SetUpRequest parse(Message message, ViewerSettings settings) {
         if (message.malformed()) {
-            return rejected(Cause.INVALID_CONTENTS, "parameters that do not fit");
+            return rejected(Cause.INVALID_CONTENTS, "malformed parameters");
         }
         if (message.session() == 0) {
-            return rejected(Cause.ELEMENT_MISSING, "no id");
+            return rejected(Cause.ELEMENT_MISSING, "session id 0");
         }
         String sessionClass = message.text(Parameter.CLASS);
         String title = message.text(Parameter.TITLE);
         String waitText = message.text(Parameter.WAIT);
         if (sessionClass == null || title == null || waitText == null || !message.has(Parameter.DESCRIPTION)) {
-            return rejected(Cause.ELEMENT_MISSING, "no class, title, wait or description, or no text");
+            return rejected(Cause.ELEMENT_MISSING, "class, title, wait or description is missing or is not text");
         }
         int classIndex = settings.classes().indexOf(sessionClass);
         if (classIndex < 0) {
-            return rejected(Cause.INVALID_CONTENTS, "no such class");
+            return rejected(Cause.INVALID_CONTENTS, "unknown class");
         }
         if (!isName(title)) {
-            return rejected(Cause.INVALID_CONTENTS, "a title that is no name");
+            return rejected(Cause.INVALID_CONTENTS, "title is empty, too long or has spaces or control characters");
         }
         String retry = message.text(Parameter.RETRY);
         if (message.has(Parameter.RETRY) && !"1".equals(retry)) {
-            return rejected(Cause.INVALID_CONTENTS, "a retry of '" + excerpt(retry) + "'");
+            return rejected(Cause.INVALID_CONTENTS, "retry must be '1', not '" + excerpt(retry) + "'");
         }
         Map<String, String> extras = new HashMap<>();
         String extrasText = message.text(Parameter.EXTRAS);
         if (message.has(Parameter.EXTRAS) && extrasText == null) {
-            return rejected(Cause.INVALID_CONTENTS, "figures that are no text");
+            return rejected(Cause.INVALID_CONTENTS, "extras are not text");
         }
         for (String part :
                 extrasText == null || extrasText.isEmpty() ? new String[0] : extrasText.split(";", MAX_EXTRAS)) {
             int colon = part.indexOf(':');
             if (colon < 1 || extras.put(part.substring(0, colon), part.substring(colon + 1)) != null) {
-                return rejected(Cause.INVALID_CONTENTS, "figures such as '" + excerpt(part) + "'");
+                return rejected(
+                        Cause.INVALID_CONTENTS,
+                        "extras must be name:value with distinct names, not '" + excerpt(part) + "'");
             }
         }
         String playingAt = extras.get("at");
         int waitMs = wholeNumber(waitText);
-        // who is answered already waits for nothing
+        // the wait of a session that already plays has no upper bound, because it needs no answer
         if (waitMs < 1
                 || playingAt == null && waitMs > settings.maxWaitMsByClass().get(classIndex)) {
-            return rejected(Cause.INVALID_CONTENTS, "a wait of '" + excerpt(waitText) + "'");
+            return rejected(Cause.INVALID_CONTENTS, "wait out of range: '" + excerpt(waitText) + "'");
         }
         int homeCell = wholeNumber(extras.getOrDefault("home", "0"));
         int span = wholeNumber(extras.getOrDefault("copies", String.valueOf(Integer.MAX_VALUE / 2)));
@@ -87,11 +101,12 @@
                 || span < 1
                 || topRung < 0
                 || topRung >= settings.rungs()) {
-            return rejected(Cause.INVALID_CONTENTS, "figures out of range: '" + excerpt(extrasText) + "'");
+            return rejected(Cause.INVALID_CONTENTS, "home, copies or top out of range: '" + excerpt(extrasText) + "'");
         }
         String viewer = extras.getOrDefault("viewer", "");
         if (viewer.length() > MAX_TEXT_CHARS) {
-            return rejected(Cause.INVALID_CONTENTS, "a viewer of " + viewer.length() + " characters");
+            return rejected(
+                    Cause.INVALID_CONTENTS, "viewer has " + viewer.length() + " characters, more than are accepted");
         }
         return new SetUpRequest(
                 0,
@@ -115,7 +130,7 @@
                 && text.chars().allMatch(c -> c > ' ' && c != 0x7f);
     }
 
-    /** A whole number from 0; -1: it is none. */
+    /** Returns a whole number from 0, or -1 if the text is not one that fits an {@code int}. */
     private static int wholeNumber(String text) {
         if (text.isEmpty() || text.length() > MAX_DIGITS + 1 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
@@ -18,46 +18,54 @@
 import java.util.Set;
 
 /**
- * Owns the viewers' side: who may connect and stay, and that each set-up that could be read gets one answer. What cannot be read
- * is answered with an error by the protocol, or a close, and nobody else notices.
+ * Accepts connections of viewers' fronts, bounds their number, and makes sure that each valid set-up gets exactly
+ * one answer. Invalid messages are answered with an error of the protocol or by closing the connection; other
+ * connections are not affected.
  */
 public final class ViewerGateway {
-    /** What viewers' connections are called in the loop. */
+    /** Kind that the event loop gets for viewers' connections. */
     private static final String CONNECTION_KIND = "viewer";
-    /** Ms between looks at connections that say nothing. */
+    /** Interval, in ms, between checks for connections without valid messages. */
     private static final double SWEEP_INTERVAL_MS = 200;
-    /** Ms for which a release waits for a connection to be sent on; it is due after 8 s. */
+    /** Time, in ms, for which a release waits for a connection to be sent on; it is due after 8 s. */
     private static final double RELEASE_QUEUE_TIMEOUT_MS = 7000;
     /**
-     * Faults of the protocol after which a connection is closed, where they outnumber what it sent of use: against a peer that
-     * sends nothing else at full speed; a front that many viewers share is not closed for one of them.
+     * Number of protocol faults after which a connection is closed if they outnumber its valid messages. This stops
+     * a peer that sends only invalid messages at full speed, and keeps a front's connection open when one of its many
+     * viewers is faulty.
      */
     private static final int MAX_PROTOCOL_FAULTS = 8;
-    /** Releases that wait at most. */
+    /** Upper bound of releases that wait for a connection. */
     private static final int MAX_QUEUED_RELEASES = 4096;
 
-    /** Hears what viewers want. */
+    /** Receives the requests of viewers. */
     public interface Listener {
-        /** A session is wanted. */
+        /** Reports a valid set-up. */
         void sessionRequested(Session session, Request request);
 
-        /** A session plays at a server already. */
+        /** Reports a hand-over: the session already plays at {@code server}. */
         void sessionHandedOver(long sessionId, Session.Requester requester, Request request, String server);
 
-        /** A viewer gave a set-up up. */
+        /** Reports that a viewer gave up a set-up that was not answered yet. */
         void setUpAbandoned(Session session);
 
-        /** A viewer ended a session that stands. */
+        /** Reports that a viewer ended a playing session. */
         void sessionReleased(Session session);
 
-        /** A viewer ended a session that is not held here. */
+        /** Reports that a viewer released a session that this manager does not hold. */
         void unknownSessionReleased(long sessionId);
     }
 
     /**
-     * What a set-up says beside the session.
+     * The parameters of a set-up for the controller.
      *
-     * @param classIndex the class's place in the settings
+     * @param classIndex index of the class in the settings
+     * @param giveUpMs clock time at which the viewer gives up, in ms
+     * @param homeCell first cell that holds the title
+     * @param span number of consecutive cells that hold it
+     * @param topRung highest rung that the viewer can use
+     * @param retry whether the set-up is a repeat
+     * @param returning whether the viewer comes again
      */
     public record Request(
             int classIndex,
@@ -82,7 +90,7 @@
     private EventLoop.Listener listeningSocket;
     private double answerDeadlineMs = Double.MAX_VALUE;
 
-    /** Listens once {@link #open} is called. */
+    /** Creates a gateway, which listens after {@link #open}. */
     public ViewerGateway(
             EventLoop loop, ViewerSettings settings, SessionStateTable table, RateLimitedLog log, Listener listener) {
         this.loop = loop;
@@ -96,7 +104,7 @@
         return loop.clock().millis();
     }
 
-    /** Listens; to be called on the loop. */
+    /** Listens and returns the bound address. Must be called on the loop. */
     public InetSocketAddress open(InetSocketAddress address) throws IOException {
         listeningSocket = loop.listen(address, CONNECTION_KIND, this::accept);
         loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
@@ -104,8 +112,8 @@
     }
 
     /**
-     * Whether nothing is left to be done for viewers: all who came are in, nothing is half read, no answer waits to be written and
-     * no release for a connection.
+     * Returns whether nothing is left to do for viewers: all connections are accepted, no message is incomplete, no
+     * answer waits to be written and no release waits for a connection.
      */
     public boolean isQuiet() {
         double nowMs = nowMs();
@@ -117,12 +125,12 @@
                                         || nowMs - link.partialSinceMs > settings.validMessageTimeoutMs()));
     }
 
-    /** All set-ups that come from now on are to be answered by then. */
+    /** Sets the clock time, in ms, by which all further set-ups must be answered. */
     public void setAnswerDeadline(double deadlineMs) {
         answerDeadlineMs = deadlineMs;
     }
 
-    /** Ends the sending side of all connections: what was answered is read by viewers, where a close could overtake it. */
+    /** Closes the sending side of all connections, because a full close could discard answers that are not read yet. */
     public void closeGracefully() {
         listeningSocket.close();
         for (ViewerLink link : links) {
@@ -130,14 +138,14 @@
         }
     }
 
-    /** Connections held. */
+    /** Returns the number of connections. */
     public int linkCount() {
         return links.size();
     }
 
     private Connection.Handler accept(Connection connection) {
         if (links.size() >= settings.maxLinks() && !evictLeastValuableLink()) {
-            log.warn("viewer.refused-connection", links.size() + " connections are held");
+            log.warn("viewer.refused-connection", links.size() + " connections are open, none can be closed");
             return null;
         }
         ViewerLink link = new ViewerLink(this, connection, nowMs());
@@ -145,7 +153,10 @@
         return link;
     }
 
-    /** Closes the connection that is worth least: see {@link ViewerLink#retentionRank}; of those alike the one idle for longest. */
+    /**
+     * Closes the connection of the lowest {@link ViewerLink#retentionRank}, among equals the one idle for longest.
+     * Connections with unanswered set-ups stay. Returns whether one was closed.
+     */
     private boolean evictLeastValuableLink() {
         ViewerLink least = null;
         for (ViewerLink link : links) {
@@ -161,7 +172,7 @@
         return least != null;
     }
 
-    // --- What comes in ---
+    // --- Received messages ---
 
     void handle(ViewerLink link, Message message) {
         switch (message.type()) {
@@ -174,7 +185,8 @@
             }
             case MessageType.RLC, MessageType.ACM -> log.count("viewer.heard");
             default ->
-                rejectMessage(link, message.session(), Cause.TYPE_UNKNOWN, "a message of type " + message.type());
+                rejectMessage(
+                        link, message.session(), Cause.TYPE_UNKNOWN, "unexpected message of type " + message.type());
         }
     }
 
@@ -183,7 +195,7 @@
         link.validMessages++;
     }
 
-    /** A session that stands came by this connection, so it is a viewers' front's. */
+    /** Counts a playing session of this connection, which shows that it belongs to a viewers' front. */
     private void countPlayingSession(ViewerLink link) {
         link.sessionsPlayed++;
         sendQueuedReleases(link);
@@ -224,7 +236,8 @@
         countValidMessage(link);
         if (table.isFull() || link.awaitingAnswer.size() >= settings.maxSetUpsPerLink()) {
             log.warn(
-                    table.isFull() ? "viewer.table-full" : "viewer.too-many-open", table.size() + " sessions are held");
+                    table.isFull() ? "viewer.table-full" : "viewer.too-many-open",
+                    table.size() + " sessions are held, the set-up is refused");
             Message refusal = Message.release(message.session(), Cause.CONGESTION);
             if (settings.retryAfterMs() > 0) {
                 refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) settings.retryAfterMs()));
@@ -240,8 +253,7 @@
                 setUp.description(),
                 request.giveUpMs());
         link.awaitingAnswer.add(session);
-        // decided once all that is ready has been read: its own cancel or the close of its connection may lie right
-        // behind
+        // decided when all available input has been read, because a cancel or close may follow directly
         loop.defer(EventLoop.Phase.DECISIONS, () -> {
             if (session.state() == State.REQUESTED && !session.departed()) {
                 listener.sessionRequested(session, request);
@@ -249,14 +261,17 @@
         });
     }
 
-    /** One number for two set-ups: on one connection neither can be answered apart from the other, so both are over. */
+    /**
+     * Rejects a set-up with an id in use. On one connection both set-ups end, because their answers could not be told
+     * apart.
+     */
     private void rejectDuplicate(ViewerLink link, Session held) {
         if (held.requester() == link && link.awaitingAnswer.contains(held)) {
             held.markDeparted();
             link.awaitingAnswer.remove(held);
             listener.setUpAbandoned(held);
         }
-        rejectMessage(link, held.id(), Cause.INVALID_REFERENCE, "the id of a session that is held");
+        rejectMessage(link, held.id(), Cause.INVALID_REFERENCE, "set-up with the id of a session that is already held");
     }
 
     private void handleRelease(ViewerLink link, Message message) {
@@ -289,7 +304,10 @@
         link.connection.closeWhenDrained();
     }
 
-    /** Told with the ends of the turn: this may be called from within a write, in the middle of a decision. */
+    /**
+     * Abandons the set-ups of a closed connection. The listener is called at the end of the loop's turn, because
+     * this may be called from within a write, during a decision.
+     */
     void linkClosed(ViewerLink link) {
         links.remove(link);
         for (Session session : link.awaitingAnswer) {
@@ -299,9 +317,9 @@
         link.awaitingAnswer.clear();
     }
 
-    // --- What goes out ---
+    // --- Sent messages ---
 
-    /** The one answer of a set-up; without effect where none is owed any more. */
+    /** Sends the one answer of a set-up. Returns false, without sending, if none is due any more. */
     public boolean answer(Session session, Message message) {
         ViewerLink link = (ViewerLink) session.requester();
         if (!link.awaitingAnswer.remove(session)) {
@@ -316,8 +334,9 @@
     }
 
     /**
-     * Tells the viewer of a session that stood, on the connection it came by, else on another that brought sessions which stand,
-     * now or when there is one. Against connections that only ask and stay: what they are sent reaches no viewer.
+     * Sends a message to the viewer of a session that was playing: on the session's own connection or, if that is
+     * closed, on another one that brought playing sessions, at once or when there is one. Connections without playing
+     * sessions are not used, because a message sent on them may reach no viewer.
      */
     public void notifyViewer(Session session, Message message) {
         ViewerLink link = (ViewerLink) session.requester();
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
@@ -10,23 +10,26 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Owns one connection of a viewers' front and the set-ups that wait for an answer on it. */
+/** One connection of a viewers' front, with the set-ups that wait for an answer on it. */
 final class ViewerLink implements Connection.Handler, Session.Requester {
     final Connection connection;
     final double openedAtMs;
-    /** Sessions of this connection that are owed an answer. */
+    /** Sessions of this connection whose set-ups are not answered yet. */
     final Set<Session> awaitingAnswer = new LinkedHashSet<>();
-    /** Whether anything of use has come: a test or a set-up that could be read. */
+    /** Whether a valid message has come: a test or a set-up. */
     boolean hasSentValidMessage;
-    /** Messages of use, and faults of the protocol. */
+    /** Number of valid messages, and of protocol faults. */
     int validMessages;
 
     int protocolFaults;
-    /** Sessions that stood by this connection. */
+    /** Number of sessions of this connection that came to play; it never decreases. */
     int sessionsPlayed;
 
+    /** Clock times, in ms; {@code partialSinceMs} is when an incomplete message began, 0: there is none. */
     double lastUsedAtMs;
+
     double partialSinceMs;
+
     private final ViewerGateway gateway;
     private final SignalParser parser = new SignalParser();
 
@@ -37,7 +40,7 @@
         lastUsedAtMs = nowMs;
     }
 
-    /** 0: it never said anything of use; 1: it asked; 2: what it asked for came to play. */
+    /** Returns 0 without valid messages, 1 with valid messages only, 2 with sessions that came to play. */
     int retentionRank() {
         return sessionsPlayed > 0 ? 2 : hasSentValidMessage ? 1 : 0;
     }
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * The bounds and times of viewers' connections.
+ * Bounds and timeouts of viewers' connections, and the accepted values of set-ups.
  *
- * @param maxLinks connections held at once
- * @param maxSetUpsPerLink set-ups that one connection may have open at once
- * @param retryAfterMs how long to stay away for who is refused by a bound; 0: viewers take no advice
- * @param validMessageTimeoutMs a connection that has brought nothing of use by then is closed
- * @param classes the classes of session, in the settings' order
- * @param maxWaitMsByClass for each class: the longest that a viewer may say it waits
- * @param cells cells that a title's first may be one of; 0: not checked
- * @param rungs rungs of the ladder
+ * @param maxLinks upper bound of connections
+ * @param maxSetUpsPerLink upper bound of unanswered set-ups on one connection
+ * @param retryAfterMs time, in ms, after which a viewer refused by a bound may come back; 0: viewers take no such
+ *     advice
+ * @param validMessageTimeoutMs time, in ms, after which a connection without a valid message is closed
+ * @param classes names of the session classes, in the settings' order
+ * @param maxWaitMsByClass for each class: the longest wait, in ms, that a viewer may state
+ * @param cells number of cells, which bounds a title's home cell; 0: it is not checked
+ * @param rungs number of rungs of the ladder
  */
 public record ViewerSettings(
         int maxLinks,
--- a/manager/src/main/java/calicovale/manager/viewers/package-info.java
+++ b/manager/src/main/java/calicovale/manager/viewers/package-info.java
@@ -1,2 +1,2 @@
-/** Owns the connections of viewers' fronts: who may connect and stay, what a set-up says, and the one answer. */
+/** Connections of viewers' fronts: their bounds, the parsing of set-ups, and the answers. */
 package calicovale.manager.viewers;
--- a/manager/src/test/java/calicovale/manager/EventOrderTest.java
+++ b/manager/src/test/java/calicovale/manager/EventOrderTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Rare orders through real sockets, each forced: the loop is held while the peers act, so that all they did is ready in one turn,
- * and is read with the servers' side first.
+ * Tests rare orders of events through real sockets. Each order is forced: the loop is paused while the peers act, so
+ * that all their input is ready in one turn, in which the servers' connections are read first.
  */
 @Timeout(60)
 class EventOrderTest {
 
-    /** The ways in which a viewer goes. */
+    /** The ways in which a viewer leaves. */
     enum Departure {
         CLOSE,
         RESET,
@@ -49,13 +49,13 @@
         }
     }
 
-    private static long count(ManagerHarness rig, String name) {
-        return rig.process.counts().getOrDefault(name, 0L);
+    private static long count(ManagerHarness harness, String name) {
+        return harness.process.counts().getOrDefault(name, 0L);
     }
 
-    private static void awaitNoSessions(ManagerHarness rig) throws InterruptedException {
-        rig.waitUntil(() -> {
-            Map<String, Long> counts = rig.process.counts();
+    private static void awaitNoSessions(ManagerHarness harness) throws InterruptedException {
+        harness.waitUntil(() -> {
+            Map<String, Long> counts = harness.process.counts();
             return counts.get("held.out") == 0 && counts.get("held.standing") == 0;
         });
     }
@@ -63,224 +63,224 @@
     @ParameterizedTest
     @EnumSource(Departure.class)
     void aServersErrorIsHandledAfterTheViewersDepartureInTheSameTurn(Departure going) throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(2);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(2);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.serverWithMessage().next();
-            rig.inOneLoopTurn(() -> {
-                set.peer().send(Message.release(1, Cause.UNAVAILABLE));
+            FakeServer.Received setUp = harness.serverWithMessage().next();
+            harness.inOneLoopTurn(() -> {
+                setUp.peer().send(Message.release(1, Cause.UNAVAILABLE));
                 going.run(viewer, 1);
             });
-            rig.awaitCount("departed", 1);
-            awaitNoSessions(rig);
-            assertEquals(1, count(rig, "attempts"));
+            harness.awaitCount("departed", 1);
+            awaitNoSessions(harness);
+            assertEquals(1, count(harness, "attempts"));
         }
     }
 
     @Test
     void ofTwoFailedAttemptsOnlyThatOfTheRemainingViewerIsRetried() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(2);
-                Peer stays = rig.acceptedViewer();
-                Peer goes = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(2);
+                Peer stays = harness.acceptedViewer();
+                Peer goes = harness.acceptedViewer()) {
+            harness.clock.stop();
             stays.send(ManagerHarness.setUp(1));
-            FakeServer first = rig.serverWithMessage();
+            FakeServer first = harness.serverWithMessage();
             FakeServer.Received one = first.next();
-            rig.clock.advance(10);
+            harness.clock.advance(10);
             goes.send(ManagerHarness.setUp(2));
-            rig.awaitCount("attempts", 2);
-            FakeServer.Received two = rig.serverWithMessage().next();
-            rig.clock.advance(10);
-            rig.inOneLoopTurn(() -> {
+            harness.awaitCount("attempts", 2);
+            FakeServer.Received two = harness.serverWithMessage().next();
+            harness.clock.advance(10);
+            harness.inOneLoopTurn(() -> {
                 two.peer().send(Message.release(2, Cause.UNAVAILABLE));
                 one.peer().send(Message.release(1, Cause.UNAVAILABLE));
                 goes.disconnect();
             });
-            rig.awaitCount("departed", 1);
+            harness.awaitCount("departed", 1);
             FakeServer.Received again;
             do {
-                again = rig.serverWithMessage().next();
+                again = harness.serverWithMessage().next();
             } while (again.message().type() != MessageType.IAM);
             assertEquals(1, again.message().session());
             again.peer()
                     .send(Message.of(MessageType.ANM, 1)
                             .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
             assertEquals(MessageType.ANM, stays.next().type());
-            assertEquals(3, count(rig, "attempts"));
+            assertEquals(3, count(harness, "attempts"));
         }
     }
 
     @Test
     void aCancelTakesEffectOnceItsLastByteHasCome() throws Exception {
         byte[] cancel = Message.release(1, Cause.NORMAL).encode().array();
-        try (ManagerHarness rig = new ManagerHarness(2);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(2);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.serverWithMessage().next();
+            FakeServer.Received setUp = harness.serverWithMessage().next();
             viewer.sendBytes(java.util.Arrays.copyOf(cancel, cancel.length - 1));
-            rig.inOneLoopTurn(() -> {
-                set.peer().send(Message.release(1, Cause.UNAVAILABLE));
+            harness.inOneLoopTurn(() -> {
+                setUp.peer().send(Message.release(1, Cause.UNAVAILABLE));
                 viewer.sendBytes(cancel[cancel.length - 1]);
             });
-            rig.awaitCount("departed", 1);
-            awaitNoSessions(rig);
-            assertEquals(1, count(rig, "attempts"));
+            harness.awaitCount("departed", 1);
+            awaitNoSessions(harness);
+            assertEquals(1, count(harness, "attempts"));
         }
     }
 
     @ParameterizedTest
     @EnumSource(Departure.class)
     void aSetUpFollowedByItsViewersDepartureIsNotForwarded(Departure going) throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
-            rig.inOneLoopTurn(() -> {
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
+            harness.inOneLoopTurn(() -> {
                 viewer.send(ManagerHarness.setUp(1));
                 going.run(viewer, 1);
             });
-            rig.awaitCount("departed", 1);
-            awaitNoSessions(rig);
-            assertEquals(0, count(rig, "attempts"));
+            harness.awaitCount("departed", 1);
+            awaitNoSessions(harness);
+            assertEquals(0, count(harness, "attempts"));
         }
     }
 
     @ParameterizedTest
     @EnumSource(Departure.class)
     void aLinkThatOpensSendsNothingForAViewerThatHasLeft(Departure going) throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
-            // the link is being opened then; the loop hears that it stands together with the viewer's going
-            rig.afterDecisions(() -> viewer.send(ManagerHarness.setUp(1)), 0, () -> {
-                rig.servers.get(0).awaitConnection();
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
+            // the link is being opened here; its opening and the viewer's departure are ready in the same turn
+            harness.afterDecisions(() -> viewer.send(ManagerHarness.setUp(1)), 0, () -> {
+                harness.servers.get(0).awaitConnection();
                 going.run(viewer, 1);
             });
-            rig.awaitCount("departed", 1);
-            awaitNoSessions(rig);
-            assertEquals(1, count(rig, "outcome.CANCELLED"));
-            try (Peer next = rig.acceptedViewer()) {
-                rig.clock.advance(10);
+            harness.awaitCount("departed", 1);
+            awaitNoSessions(harness);
+            assertEquals(1, count(harness, "outcome.CANCELLED"));
+            try (Peer next = harness.acceptedViewer()) {
+                harness.clock.advance(10);
                 next.send(ManagerHarness.setUp(2));
-                assertEquals(2, rig.servers.get(0).next().message().session(), "the first set-up was never written");
+                assertEquals(2, harness.servers.get(0).next().message().session(), "the first set-up was not sent");
             }
         }
     }
 
     @Test
     void anAnswerThatHasArrivedTakesPrecedenceOverItsTimeout() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(2);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(2);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.serverWithMessage().next();
-            rig.inOneLoopTurn(() -> {
-                set.peer()
+            FakeServer.Received setUp = harness.serverWithMessage().next();
+            harness.inOneLoopTurn(() -> {
+                setUp.peer()
                         .send(Message.of(MessageType.ANM, 1)
                                 .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
-                rig.clock.advance(400);
+                harness.clock.advance(400);
             });
             assertEquals(MessageType.ANM, viewer.next().type());
-            assertEquals(1, count(rig, "attempts"));
+            assertEquals(1, count(harness, "attempts"));
         }
     }
 
     @Test
     void aTimeoutIsHandledAfterTheViewersDepartureInTheSameTurn() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(2);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(2);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            rig.serverWithMessage().next();
-            rig.inOneLoopTurn(() -> {
-                rig.clock.advance(400);
+            harness.serverWithMessage().next();
+            harness.inOneLoopTurn(() -> {
+                harness.clock.advance(400);
                 viewer.disconnect();
             });
-            rig.awaitCount("departed", 1);
-            awaitNoSessions(rig);
-            assertEquals(1, count(rig, "attempts"));
+            harness.awaitCount("departed", 1);
+            awaitNoSessions(harness);
+            assertEquals(1, count(harness, "attempts"));
         }
     }
 
     @Test
     void anAttemptWhoseLinkIsLostWhileItTimesOutEndsOnce() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(3);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(3);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.serverWithMessage().next();
-            // its time is up behind this hold, and its link is reset before the release is written
-            rig.afterDecisions(() -> {}, 300, () -> set.peer().reset());
-            FakeServer next = rig.serverWithMessage();
+            FakeServer.Received setUp = harness.serverWithMessage().next();
+            // the attempt times out right after this pause, and its link is reset before the release is written
+            harness.afterDecisions(() -> {}, 300, () -> setUp.peer().reset());
+            FakeServer next = harness.serverWithMessage();
             FakeServer.Received again = next.next();
             assertEquals(MessageType.IAM, again.message().type());
             again.peer()
                     .send(Message.of(MessageType.ANM, 1)
                             .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
             assertEquals(MessageType.ANM, viewer.next().type());
-            assertEquals(1, count(rig, "outcome.TIMEOUT") + count(rig, "outcome.RESET"));
-            assertEquals(2, count(rig, "attempts"));
+            assertEquals(1, count(harness, "outcome.TIMEOUT") + count(harness, "outcome.RESET"));
+            assertEquals(2, count(harness, "attempts"));
         }
     }
 
     @Test
     void anAnswerFollowedByACloseIsHandled() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.serverWithMessage().next();
-            rig.inOneLoopTurn(() -> {
-                set.peer()
+            FakeServer.Received setUp = harness.serverWithMessage().next();
+            harness.inOneLoopTurn(() -> {
+                setUp.peer()
                         .send(Message.of(MessageType.ANM, 1)
                                 .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
-                set.peer().disconnect();
+                setUp.peer().disconnect();
             });
             assertEquals(MessageType.ANM, viewer.next().type());
-            assertEquals(1, count(rig, "held.standing"));
+            assertEquals(1, count(harness, "held.standing"));
         }
     }
 
     @Test
     void aSetUpOnAnIdleLinkThatItsServerResetsEndsOnce() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.servers.get(0).acceptSetUp();
+            FakeServer.Received setUp = harness.servers.get(0).acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            set.peer().send(Message.release(1, Cause.NORMAL));
+            setUp.peer().send(Message.release(1, Cause.NORMAL));
             assertEquals(MessageType.REL, viewer.next().type());
-            rig.clock.advance(10);
-            rig.afterDecisions(
+            harness.clock.advance(10);
+            harness.afterDecisions(
                     () -> viewer.send(ManagerHarness.setUp(2)),
                     0,
-                    () -> set.peer().reset());
+                    () -> setUp.peer().reset());
             assertEquals(Cause.CONGESTION, viewer.next().cause());
-            assertEquals(1, count(rig, "outcome.RESET"));
-            awaitNoSessions(rig);
+            assertEquals(1, count(harness, "outcome.RESET"));
+            awaitNoSessions(harness);
         }
     }
 
     @Test
     void aReleaseWhoseLinkNeverOpensIsSentOnTheNext() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer box = rig.servers.get(0);
-            FakeServer.Received set = box.acceptSetUp();
+            FakeServer server = harness.servers.get(0);
+            FakeServer.Received setUp = server.acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            int port = box.port();
-            rig.inOneLoopTurn(() -> {
-                box.stopListening();
-                set.peer().disconnect();
+            int port = server.port();
+            harness.inOneLoopTurn(() -> {
+                server.stopListening();
+                setUp.peer().disconnect();
                 viewer.send(Message.release(1, Cause.NORMAL));
             });
-            rig.awaitCount("server.release-again", 1);
+            harness.awaitCount("server.release-again", 1);
             try (FakeServer again = new FakeServer(port)) {
-                rig.clock.advance(200);
+                harness.clock.advance(200);
                 FakeServer.Received release = again.next();
                 assertEquals(MessageType.REL, release.message().type());
                 assertEquals(1, release.message().session());
@@ -296,75 +296,77 @@
 
     @Test
     void aHandOverAtAnUnlistedServerWaitsForTheList() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
+        try (ManagerHarness harness = new ManagerHarness(1);
                 FakeServer late = new FakeServer();
-                Peer viewer = rig.acceptedViewer()) {
-            rig.bus.nextRequest();
+                Peer viewer = harness.acceptedViewer()) {
+            harness.bus.nextRequest();
             viewer.send(handOver(1, "s-late"));
-            rig.awaitCount("handed-over.unlisted", 1);
-            rig.bus.write(ManagerHarness.event(2, ManagerHarness.entry("s-late", late.port(), "in_service", 0)) + "\n");
-            rig.waitUntil(() -> !late.peers.isEmpty());
+            harness.awaitCount("handed-over.unlisted", 1);
+            harness.bus.write(
+                    ManagerHarness.event(2, ManagerHarness.entry("s-late", late.port(), "in_service", 0)) + "\n");
+            harness.waitUntil(() -> !late.peers.isEmpty());
             viewer.send(Message.release(1, Cause.NORMAL));
-            assertEquals(Cause.NORMAL, late.next().message().cause(), "its end goes to its server");
-            awaitNoSessions(rig);
+            assertEquals(Cause.NORMAL, late.next().message().cause(), "the release is sent to its server");
+            awaitNoSessions(harness);
         }
     }
 
     @Test
     void aHandOverAtAServerThatIsNeverListedIsReleased() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
             viewer.send(handOver(1, "s-nowhere"));
-            rig.awaitCount("handed-over.unlisted", 1);
-            rig.clock.advance(6600);
+            harness.awaitCount("handed-over.unlisted", 1);
+            harness.clock.advance(6600);
             assertEquals(Cause.TEMPORARY_FAILURE, viewer.next().cause());
-            rig.waitUntil(() -> rig.process.counts().get("servers") == 1);
+            harness.waitUntil(() -> harness.process.counts().get("servers") == 1);
         }
     }
 
     @Test
     void aServersReleaseThatCameBeforeTheHandOverIsPassedOn() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
             viewer.send(ManagerHarness.setUp(5));
-            FakeServer.Received set = rig.servers.get(0).acceptSetUp();
+            FakeServer.Received setUp = harness.servers.get(0).acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            set.peer().send(Message.release(1, Cause.NORMAL));
-            rig.awaitCount("server.release-of-none", 1);
+            setUp.peer().send(Message.release(1, Cause.NORMAL));
+            harness.awaitCount("server.release-of-none", 1);
             viewer.send(handOver(1, "s-0"));
             Message over = viewer.next();
             assertEquals(1, over.session());
             assertEquals(MessageType.REL, over.type());
-            assertEquals(1, count(rig, "held.standing"));
+            assertEquals(1, count(harness, "held.standing"));
         }
     }
 
     @Test
     void aViewersReleaseThatCameBeforeTheHandOverReachesTheServer() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
             viewer.send(Message.release(1, Cause.NORMAL), handOver(1, "s-0"), handOver(1, "s-0"));
-            FakeServer.Received release = rig.servers.get(0).next();
+            FakeServer.Received release = harness.servers.get(0).next();
             assertEquals(MessageType.REL, release.message().type());
             assertEquals(1, release.message().session());
         }
     }
 
-    // --- The list ---
+    // --- Server list and event bus ---
 
     @Test
     void linksToAPreviousAddressOfAServerAreNotUsedAgain() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
+        try (ManagerHarness harness = new ManagerHarness(1);
                 FakeServer moved = new FakeServer();
-                Peer viewer = rig.acceptedViewer()) {
-            rig.bus.nextRequest();
+                Peer viewer = harness.acceptedViewer()) {
+            harness.bus.nextRequest();
             viewer.send(ManagerHarness.setUp(1));
-            FakeServer.Received set = rig.servers.get(0).acceptSetUp();
+            FakeServer.Received setUp = harness.servers.get(0).acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            set.peer().send(Message.release(1, Cause.NORMAL));
+            setUp.peer().send(Message.release(1, Cause.NORMAL));
             assertEquals(MessageType.REL, viewer.next().type());
-            rig.bus.write(ManagerHarness.event(2, ManagerHarness.entry("s-0", moved.port(), "in_service", 0)) + "\n");
-            rig.waitUntil(() -> rig.process.counts().get("links.servers") == 0);
+            harness.bus.write(
+                    ManagerHarness.event(2, ManagerHarness.entry("s-0", moved.port(), "in_service", 0)) + "\n");
+            harness.waitUntil(() -> harness.process.counts().get("links.servers") == 0);
             viewer.send(ManagerHarness.setUp(2));
             moved.acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
@@ -373,38 +375,38 @@
 
     @Test
     void eventsOutOfOrderAreRequestedAgainAndACompleteListIsTakenDespiteAGap() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
+        try (ManagerHarness harness = new ManagerHarness(1);
                 FakeServer other = new FakeServer()) {
             String two = ManagerHarness.event(2, ManagerHarness.entry("s-2", other.port(), "in_service", 0)) + "\n";
             String three =
                     ManagerHarness.event(3, ManagerHarness.entry("s-3", other.port() + 1, "in_service", 0)) + "\n";
-            assertEquals("from 1", rig.bus.nextRequest());
-            rig.bus.write(three + two);
-            assertEquals("from 1", rig.bus.nextRequest());
-            rig.bus.write(two + three);
-            rig.waitUntil(() -> rig.process.counts().get("servers") == 3);
-            rig.bus.write("{\"offset\":9,\"topology\":{\"generation\":9,\"reset\":true,\"instances\":["
-                    + ManagerHarness.entry("s-0", rig.servers.get(0).port(), "in_service", 0) + "]}}\n");
-            rig.waitUntil(() -> rig.process.counts().get("servers") == 1);
+            assertEquals("from 1", harness.bus.nextRequest());
+            harness.bus.write(three + two);
+            assertEquals("from 1", harness.bus.nextRequest());
+            harness.bus.write(two + three);
+            harness.waitUntil(() -> harness.process.counts().get("servers") == 3);
+            harness.bus.write("{\"offset\":9,\"topology\":{\"generation\":9,\"reset\":true,\"instances\":["
+                    + ManagerHarness.entry("s-0", harness.servers.get(0).port(), "in_service", 0) + "]}}\n");
+            harness.waitUntil(() -> harness.process.counts().get("servers") == 1);
         }
     }
 
     @Test
     void eventsDuringTheStartAreKnownBeforeTheProcessListens() throws Exception {
-        try (ManagerHarness form = new ManagerHarness(1);
+        try (ManagerHarness configSource = new ManagerHarness(1);
                 ManagerHarness.FakeBus bus = new ManagerHarness.FakeBus()) {
-            int port = form.servers.get(0).port();
+            int port = configSource.servers.get(0).port();
             bus.answer = ManagerHarness.event(
                             2,
                             ManagerHarness.entry("s-0", port, "terminating", 0),
                             ManagerHarness.entry("s-9", port + 1, "terminating", 0))
                     + "\n2\n";
-            // slower than a process that does not wait for it, and no time passes for one that does
+            // slow enough for a process that does not wait; with the clock stopped, one that waits is not timed out
             bus.answerDelayMs = 100;
             ManagerHarness.ShiftedClock clock = new ManagerHarness.ShiftedClock();
             clock.stop();
-            try (ManagerProcess process =
-                            new ManagerProcess(ManagerConfig.read("config", form.config(bus.port(), 256)), clock);
+            try (ManagerProcess process = new ManagerProcess(
+                            ManagerConfig.read("config", configSource.config(bus.port(), 256)), clock);
                     Peer viewer = new Peer(new Socket(
                             InetAddress.getLoopbackAddress(), process.address().getPort()))) {
                 assertEquals(2, process.counts().get("servers"));
@@ -417,46 +419,46 @@
 
     @Test
     void aBusThatIsDownIsRetriedWithinADrainsGraceTime() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1, 256, 240)) {
-            assertEquals("from 1", rig.bus.nextRequest());
-            rig.clock.stop();
-            rig.bus.listeningSocket.close();
-            rig.bus.disconnect();
-            rig.awaitCount("bus.broke", 1);
-            // a quarter of the grace for each wait, however long it has been down
+        try (ManagerHarness harness = new ManagerHarness(1, 256, 240)) {
+            assertEquals("from 1", harness.bus.nextRequest());
+            harness.clock.stop();
+            harness.bus.listeningSocket.close();
+            harness.bus.disconnect();
+            harness.awaitCount("bus.broke", 1);
+            // each delay is at most a quarter of the grace time, however long the bus has been down
             for (int i = 1; i < 10; i++) {
-                rig.clock.advance(62);
-                rig.awaitCount("bus.broke", i + 1);
+                harness.clock.advance(62);
+                harness.awaitCount("bus.broke", i + 1);
             }
         }
     }
 
     @Test
     void aLineThatNeverEndsCountsAsSilence() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1)) {
-            assertEquals("from 1", rig.bus.nextRequest());
-            rig.bus.write("1\n{\"offset\":2,");
-            for (int i = 0; i < 4 && count(rig, "bus.silent") == 0; i++) {
-                rig.bus.write("\"a\":");
-                rig.clock.advance(1000);
+        try (ManagerHarness harness = new ManagerHarness(1)) {
+            assertEquals("from 1", harness.bus.nextRequest());
+            harness.bus.write("1\n{\"offset\":2,");
+            for (int i = 0; i < 4 && count(harness, "bus.silent") == 0; i++) {
+                harness.bus.write("\"a\":");
+                harness.clock.advance(1000);
             }
-            assertEquals("from 1", rig.bus.nextRequest());
-            assertEquals(1, count(rig, "bus.silent"));
+            assertEquals("from 1", harness.bus.nextRequest());
+            assertEquals(1, count(harness, "bus.silent"));
         }
     }
 
     @Test
     void aHalfWrittenConfigurationIsReadAgain(@TempDir Path folder) throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
+        try (ManagerHarness harness = new ManagerHarness(1);
                 ManagerHarness.FakeBus next = new ManagerHarness.FakeBus()) {
-            assertEquals("from 1", rig.bus.nextRequest());
-            String whole = rig.config(next.port(), 256);
+            assertEquals("from 1", harness.bus.nextRequest());
+            String whole = harness.config(next.port(), 256);
             Path file = folder.resolve("config.json");
             Files.writeString(file, whole.substring(0, whole.length() / 2));
-            rig.inOneLoopTurn(() -> {
-                rig.process.reload(file);
+            harness.inOneLoopTurn(() -> {
+                harness.process.reload(file);
             });
-            rig.process.counts();
+            harness.process.counts();
             Files.writeString(file, whole);
             assertEquals("from 1", next.nextRequest(), "without another signal");
         }
@@ -466,79 +468,80 @@
 
     @Test
     void aDrainDoesNotResetTheConnectionOfAViewerThatStillSends() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.process.drain();
-            // what comes here has not been read when the drain is over: a plain close would reset the connection
-            rig.afterDecisions(() -> {}, 800, () -> viewer.send(Message.of(MessageType.RLC, 2)));
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.process.drain();
+            // this message is unread when the drain ends, so a plain close would reset the connection
+            harness.afterDecisions(() -> {}, 800, () -> viewer.send(Message.of(MessageType.RLC, 2)));
             viewer.awaitEnd();
             viewer.disconnect();
-            assertTrue(rig.process.await());
+            assertTrue(harness.process.await());
         }
     }
 
     @Test
     void aFragmentedSetUpDuringADrainIsAnswered() throws Exception {
-        byte[] setUp = ManagerHarness.setUp(1).encode().array();
-        try (ManagerHarness rig = new ManagerHarness(1);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.process.drain();
-            rig.process.drain();
-            viewer.sendBytes(java.util.Arrays.copyOf(setUp, 11));
-            rig.waitUntil(() -> rig.process.counts().get("links.viewers") == 1);
-            rig.clock.advance(710);
-            rig.process.counts();
-            viewer.sendBytes(java.util.Arrays.copyOfRange(setUp, 11, setUp.length));
-            FakeServer.Received set = rig.servers.get(0).acceptSetUp();
+        byte[] bytes = ManagerHarness.setUp(1).encode().array();
+        try (ManagerHarness harness = new ManagerHarness(1);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.process.drain();
+            harness.process.drain();
+            viewer.sendBytes(java.util.Arrays.copyOf(bytes, 11));
+            harness.waitUntil(() -> harness.process.counts().get("links.viewers") == 1);
+            harness.clock.advance(710);
+            harness.process.counts();
+            viewer.sendBytes(java.util.Arrays.copyOfRange(bytes, 11, bytes.length));
+            FakeServer.Received setUp = harness.servers.get(0).acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            set.peer().send(Message.release(1, Cause.NORMAL));
+            setUp.peer().send(Message.release(1, Cause.NORMAL));
             assertEquals(MessageType.REL, viewer.next().type());
-            assertTrue(rig.process.await());
+            assertTrue(harness.process.await());
         }
     }
 
     @Test
     void aSetUpDuringADrainIsAnsweredBeforeThePlatformKills() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(2);
-                Peer viewer = rig.acceptedViewer()) {
-            rig.clock.stop();
-            rig.process.drain();
-            rig.process.counts();
-            rig.clock.advance(690);
-            // the platform kills 2.7 s after SIGTERM, the longest deadline being 2 s; this one says that it waits for
-            // longer
+        try (ManagerHarness harness = new ManagerHarness(2);
+                Peer viewer = harness.acceptedViewer()) {
+            harness.clock.stop();
+            harness.process.drain();
+            harness.process.counts();
+            harness.clock.advance(690);
+            // the platform kills the process 2.7 s after SIGTERM, because the longest deadline is 2 s; this viewer
+            // waits
+            // for longer
             viewer.send(Message.of(MessageType.IAM, 1)
                     .with(Parameter.CLASS, "course")
                     .with(Parameter.WAIT, "3900")
                     .with(Parameter.TITLE, "7f3a")
                     .with(Parameter.EXTRAS, "home:0;copies:12;top:2;viewer:00a1")
                     .with(Parameter.DESCRIPTION, ManagerHarness.VIEWER_DESCRIPTION));
-            rig.serverWithMessage().next();
-            // its attempt times out after 1.8 s; another would end behind the kill
-            rig.clock.advance(1805);
+            harness.serverWithMessage().next();
+            // the attempt times out after 1.8 s; a second one would end after the process was killed
+            harness.clock.advance(1805);
             assertEquals(MessageType.REL, viewer.next().type());
-            assertEquals(1, count(rig, "attempts"));
+            assertEquals(1, count(harness, "attempts"));
         }
     }
 
-    // --- Requests in pieces ---
+    // --- Fragmented set-ups ---
 
     @Test
     void aSetUpFragmentedAtAnyByteIsHandledOnce() throws Exception {
         byte[] bytes = ManagerHarness.setUp(1).encode().array();
-        try (ManagerHarness rig = new ManagerHarness(1)) {
+        try (ManagerHarness harness = new ManagerHarness(1)) {
             for (int cut = 1; cut < bytes.length; cut++) {
-                rig.markBytesRead();
+                harness.markBytesRead();
                 ByteBuffer.wrap(bytes).putLong(3, cut);
-                try (Peer viewer = rig.acceptedViewer()) {
+                try (Peer viewer = harness.acceptedViewer()) {
                     viewer.sendBytes(java.util.Arrays.copyOf(bytes, cut));
-                    rig.awaitBytesRead(cut);
+                    harness.awaitBytesRead(cut);
                     viewer.sendBytes(java.util.Arrays.copyOfRange(bytes, cut, bytes.length));
-                    rig.servers.get(0).acceptSetUp();
+                    harness.servers.get(0).acceptSetUp();
                     assertEquals(MessageType.ANM, viewer.next().type());
                 }
             }
-            assertEquals(bytes.length - 1, count(rig, "asked"));
+            assertEquals(bytes.length - 1, count(harness, "asked"));
         }
     }
 }
--- a/manager/src/test/java/calicovale/manager/ManagerHarness.java
+++ b/manager/src/test/java/calicovale/manager/ManagerHarness.java
@@ -31,12 +31,16 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** A manager on loopback between stand-ins: video servers, the event bus and viewers, all told what to say by the test. */
+/** Runs a manager on loopback with fake video servers, a fake event bus and viewers that the test controls. */
 final class ManagerHarness implements AutoCloseable {
+    /** Descriptions that the viewers send and the servers answer. */
     static final byte[] VIEWER_DESCRIPTION = "wanted".getBytes(StandardCharsets.US_ASCII);
+
     static final byte[] SERVER_DESCRIPTION = "given".getBytes(StandardCharsets.US_ASCII);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    /** Upper bound of every wait, in s. */
     private static final long TIMEOUT_S = 10;
+    /** Grace time of drains in the configuration, in ms. */
     private static final int DRAIN_GRACE_MS = 2000;
 
     final List<FakeServer> servers = new ArrayList<>();
@@ -63,16 +67,16 @@
                         config(bus.port(), sockets)
                                 .replace("\"drainGraceMs\":" + DRAIN_GRACE_MS, "\"drainGraceMs\":" + graceMs)),
                 clock);
-        // the worst order: what may start an attempt is read before the news of viewers
+        // the worst order: connections that may cause an attempt are read before those of viewers
         process.loop().execute(() -> process.loop().readOrder(Comparator.comparing(Connection::accepted)));
     }
 
-    /** What peers do while the loop stands still. */
+    /** An action of peers while the loop is paused. */
     interface PeerAction {
         void run() throws Exception;
     }
 
-    /** The loop stands still while the peers act: all that they did is ready in its next turn. */
+    /** Pauses the loop during {@code action}, so that all its effects are ready in the loop's next turn. */
     void inOneLoopTurn(PeerAction action) throws Exception {
         LoopPause pause = new LoopPause();
         process.loop().execute(pause);
@@ -80,8 +84,8 @@
     }
 
     /**
-     * What peers did in {@code before} is read and decided in one turn; in the same turn, before timers that fall due within
-     * {@code thenMs}, the loop stands still again while they act.
+     * Lets the loop read and decide the effects of {@code firstAction} in one turn. In the same turn, before the
+     * timers that are due within {@code advanceMs}, the loop is paused again during {@code action}.
      */
     void afterDecisions(PeerAction firstAction, double advanceMs, PeerAction action) throws Exception {
         LoopPause firstPause = new LoopPause();
@@ -97,7 +101,7 @@
         secondPause.runWhilePaused(action);
     }
 
-    /** A message or timer at which the loop stands still. */
+    /** A task or timer that pauses the loop. */
     private static final class LoopPause implements Runnable {
         private final CountDownLatch reached = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
@@ -124,7 +128,7 @@
         }
     }
 
-    /** The system's clock, which a test may stop and put forward: on a busy machine no time-out then falls due by itself. */
+    /** The system clock, which a test may stop and advance, so that no timeout is due by itself on a busy machine. */
     static final class ShiftedClock implements Clock {
         private final Clock systemClock = Clock.system();
         private final long startNanos = systemClock.nanos();
@@ -155,6 +159,7 @@
         }
     }
 
+    /** Returns a configuration with the fake servers, a free port to listen on and the given bus. */
     String config(int busPort, int sockets) {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < servers.size(); i++) {
@@ -185,31 +190,35 @@
         }
     }
 
+    /** Returns the JSON of a server in an event of the bus. */
     static String entry(String id, int port, String lifecycle, long startedAtMs) {
         return "{\"instanceId\":\"%s\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"here\",\"machineType\":\"std\",\"cell\":0,"
                         .formatted(id, port)
                 + "\"lifecycle\":\"%s\",\"weight\":1,\"startedAtMs\":%d}".formatted(lifecycle, startedAtMs);
     }
 
+    /** Returns the JSON of an event with changes of the list. */
     static String event(long offset, String... entries) {
         return "{\"offset\":%d,\"topology\":{\"generation\":%d,\"reset\":false,\"instances\":[%s]}}"
                 .formatted(offset, offset, String.join(",", entries));
     }
 
+    /** Opens a viewer's connection, which may not be accepted yet. */
     Peer viewer() throws IOException {
         return new Peer(new Socket(LOOPBACK, process.address().getPort()));
     }
 
-    /** A viewer whose connection has been accepted. */
+    /** Opens a viewer's connection and waits until the manager has answered on it. */
     Peer acceptedViewer() throws IOException {
         Peer peer = viewer();
         peer.send(Message.of(MessageType.UPT, 9));
         if (peer.next().type() != MessageType.UPA) {
-            throw new IOException("no test was passed");
+            throw new IOException("the manager did not pass the test message");
         }
         return peer;
     }
 
+    /** Returns a set-up of the class and extras, with a wait of 1500 ms. */
     static Message setUp(long id, String sessionClass, String extras) {
         return Message.of(MessageType.IAM, id)
                 .with(Parameter.CLASS, sessionClass)
@@ -219,21 +228,22 @@
                 .with(Parameter.DESCRIPTION, VIEWER_DESCRIPTION);
     }
 
+    /** Returns a valid set-up of class {@code talk}. */
     static Message setUp(long id) {
         return setUp(id, "talk", "home:0;copies:12;top:2;viewer:00a1");
     }
 
-    /** Waits until a count has come so far. */
+    /** Waits until a counter has reached {@code minimum}. */
     void awaitCount(String counter, long minimum) throws InterruptedException {
         waitUntil(() -> process.counts().getOrDefault(counter, 0L) >= minimum);
     }
 
-    /** Counts what is read from here on. */
+    /** Marks the number of bytes read so far, for {@link #awaitBytesRead}. */
     void markBytesRead() {
         bytesReadAtMark = bytesRead();
     }
 
-    /** Waits until so many bytes have been read. */
+    /** Waits until the manager has read so many bytes since {@link #markBytesRead}. */
     void awaitBytesRead(long bytes) throws InterruptedException {
         waitUntil(() -> bytesRead() >= bytesReadAtMark + bytes);
     }
@@ -242,43 +252,48 @@
         return process.loop().call(() -> process.loop().counters().bytesRead);
     }
 
-    /** Waits for a state, with a generous bound. */
+    /** Waits for a condition, for {@link #TIMEOUT_S} at most. */
     void waitUntil(BooleanSupplier condition) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("it did not come to that: " + process.counts());
+                throw new AssertionError("the condition was not reached: " + process.counts());
             }
             Thread.sleep(2);
         }
     }
 
-    /** The server to which something has come. */
+    /** Waits for a server that has received a message, and returns it. */
     FakeServer serverWithMessage() throws InterruptedException {
-        waitUntil(() -> servers.stream().anyMatch(b -> !b.received.isEmpty()));
-        return servers.stream().filter(b -> !b.received.isEmpty()).findFirst().orElseThrow();
+        waitUntil(() -> servers.stream().anyMatch(server -> !server.received.isEmpty()));
+        return servers.stream()
+                .filter(server -> !server.received.isEmpty())
+                .findFirst()
+                .orElseThrow();
     }
 
     @Override
     public void close() throws IOException {
         process.close();
         bus.close();
-        for (FakeServer box : servers) {
-            box.close();
+        for (FakeServer server : servers) {
+            server.close();
         }
     }
 
-    /** One connection, read message by message. */
+    /** The test's side of one connection, which is read message by message. */
     static final class Peer implements AutoCloseable {
         private final Socket socket;
+        /** Counted down when the thread that reads this connection ends; null: the test itself reads it. */
         private volatile CountDownLatch readerEnded;
+
         private final SignalParser parser = new SignalParser();
         private final Queue<Message> received = new ArrayDeque<>();
 
         Peer(Socket socket) throws SocketException {
             this.socket = socket;
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
-            // what is sent is there when the call returns, not when the other side has acknowledged what came before
+            // without this, sent bytes may wait until the other side has acknowledged earlier ones
             socket.setTcpNoDelay(true);
         }
 
@@ -292,7 +307,7 @@
             socket.getOutputStream().write(bytes);
         }
 
-        /** The next message; null at the end. */
+        /** Returns the next message, or null at the end of the connection. */
         Message next() throws IOException {
             byte[] buffer = new byte[4096];
             while (received.isEmpty()) {
@@ -314,7 +329,7 @@
             return received.poll();
         }
 
-        /** The next message of a type, past others. */
+        /** Returns the next message of a type, skipping others, or null at the end of the connection. */
         Message next(int type) throws IOException {
             Message message;
             do {
@@ -323,12 +338,15 @@
             return message;
         }
 
-        /** Closes; the other side has it once this returns: the system closes no socket that a thread still reads. */
+        /**
+         * Closes the connection and waits for its reader, because the system closes no socket that a thread still
+         * reads.
+         */
         void disconnect() throws IOException {
             socket.close();
             try {
                 if (readerEnded != null && !readerEnded.await(TIMEOUT_S, TimeUnit.SECONDS)) {
-                    throw new IOException("the reader does not end");
+                    throw new IOException("the thread that reads the connection does not end");
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -344,7 +362,7 @@
             socket.shutdownOutput();
         }
 
-        /** Reads to the end of the connection; a reset throws. */
+        /** Reads to the end of the connection. Throws if the connection is reset. */
         void awaitEnd() throws IOException {
             while (socket.getInputStream().read() >= 0) {
                 continue;
@@ -357,7 +375,7 @@
         }
     }
 
-    /** A video server: what comes in is kept, the test answers. */
+    /** A video server that keeps the messages it receives; the test answers them. */
     static final class FakeServer implements AutoCloseable {
         record Received(Peer peer, Message message) {}
 
@@ -400,12 +418,12 @@
         Received next() throws InterruptedException {
             Received next = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (next == null) {
-                throw new AssertionError("nothing came to the server");
+                throw new AssertionError("the server received no message");
             }
             return next;
         }
 
-        /** Takes the next set-up and answers that it stands. */
+        /** Waits for the next message, a set-up, and answers that the session plays. */
         Received acceptSetUp() throws InterruptedException, IOException {
             Received setUp = next();
             setUp.peer()
@@ -414,18 +432,18 @@
             return setUp;
         }
 
-        /** Waits until a connection has come. */
+        /** Waits for a first connection. */
         void awaitConnection() throws InterruptedException {
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             while (peers.isEmpty()) {
                 if (System.nanoTime() > deadlineNanos) {
-                    throw new AssertionError("no connection came");
+                    throw new AssertionError("the server got no connection");
                 }
                 Thread.sleep(1);
             }
         }
 
-        /** New connections are refused from now on, open ones stay. */
+        /** Refuses further connections; open ones stay. */
         void stopListening() throws IOException {
             listeningSocket.close();
         }
@@ -447,12 +465,12 @@
         }
     }
 
-    /** The event bus: keeps what it is asked, writes what the test says to the newest connection. */
+    /** An event bus that keeps the requests it gets and writes the test's lines to the newest connection. */
     static final class FakeBus implements AutoCloseable {
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         final ServerSocket listeningSocket;
         private volatile Socket newestConnection;
-        /** Written whenever it is asked. */
+        /** Written after each request, with a delay of {@link #answerDelayMs}; empty: nothing is written. */
         volatile String answer = "";
 
         volatile long answerDelayMs;
@@ -488,7 +506,7 @@
         String nextRequest() throws InterruptedException {
             String line = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (line == null) {
-                throw new AssertionError("the bus was not asked");
+                throw new AssertionError("the bus got no request");
             }
             return line;
         }
@@ -510,7 +528,7 @@
         }
     }
 
-    /** What a stand-in's thread does until its socket is closed. */
+    /** The task of a fake server's or bus's thread, which ends with an exception when its socket is closed. */
     private interface SocketTask {
         void run() throws IOException;
     }
--- a/manager/src/test/java/calicovale/manager/ProcessTest.java
+++ b/manager/src/test/java/calicovale/manager/ProcessTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real process, as the platform starts it: SIGHUP, SIGTERM and bad configurations. */
+/** Tests the real process, as the platform starts it: SIGHUP, SIGTERM, few descriptors and invalid configurations. */
 @Timeout(60)
 class ProcessTest {
     private static Process startProcess(Path config) throws IOException {
@@ -53,14 +53,14 @@
     @Test
     void sighupChangesTheBusAddressAndSigtermEndsTheIdleProcessWithStatusZero(@TempDir Path folder) throws Exception {
         Path config = folder.resolve("config.json");
-        try (ManagerHarness form = new ManagerHarness(1);
+        try (ManagerHarness configSource = new ManagerHarness(1);
                 FakeBus first = new FakeBus();
                 FakeBus next = new FakeBus()) {
-            Files.writeString(config, form.config(first.port(), 256));
+            Files.writeString(config, configSource.config(first.port(), 256));
             Process process = startProcess(config);
             try {
                 assertEquals("from 1", first.nextRequest());
-                Files.writeString(config, form.config(next.port(), 256));
+                Files.writeString(config, configSource.config(next.port(), 256));
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
@@ -82,14 +82,14 @@
     @Test
     void aProcessStartedWithSighupIgnoredFindsTheNewBusAddressInTheFile(@TempDir Path folder) throws Exception {
         Path config = folder.resolve("config.json");
-        try (ManagerHarness form = new ManagerHarness(1);
+        try (ManagerHarness configSource = new ManagerHarness(1);
                 FakeBus first = new FakeBus();
                 FakeBus next = new FakeBus()) {
-            Files.writeString(config, form.config(first.port(), 256));
+            Files.writeString(config, configSource.config(first.port(), 256));
             Process process = startProcess(config, "unlimited", System.getProperty("java.class.path"), "trap '' HUP; ");
             try {
                 assertEquals("from 1", first.nextRequest());
-                Files.writeString(config, form.config(next.port(), 256));
+                Files.writeString(config, configSource.config(next.port(), 256));
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
@@ -112,19 +112,20 @@
             port = none.port();
         }
         List<Peer> idle = new ArrayList<>();
-        try (ManagerHarness form = new ManagerHarness(1)) {
-            String text = form.config(port, 1024);
+        try (ManagerHarness configSource = new ManagerHarness(1)) {
+            String text = configSource.config(port, 1024);
             Files.writeString(config, text);
             int listen = Integer.parseInt(text.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1"));
-            // the system grants far fewer than the configuration says, so the manager's own bound does not help
+            // the system allows far fewer descriptors than the configuration states, so the manager's own bound does
+            // not apply
             Process process = startProcess(config, "200", classPathOfArchives(folder), "");
             try {
-                form.waitUntil(() -> answers(listen));
+                configSource.waitUntil(() -> answers(listen));
                 for (int i = 0; i < 220; i++) {
                     idle.add(new Peer(new Socket(InetAddress.getLoopbackAddress(), listen)));
                     idle.get(i).send(Message.of(MessageType.UPT, i + 1));
                 }
-                form.waitUntil(() -> openDescriptors(process.pid()) >= 200);
+                configSource.waitUntil(() -> openDescriptors(process.pid()) >= 200);
                 try (FakeBus bus = new FakeBus(port)) {
                     for (Peer peer : idle) {
                         peer.disconnect();
@@ -143,7 +144,10 @@
         }
     }
 
-    /** The class path as the process has it in service: archives, which stay open, where folders need a descriptor for each class. */
+    /**
+     * Returns the class path with archives instead of folders, as in service: an archive stays open, while each class
+     * loaded from a folder needs a descriptor.
+     */
     private static String classPathOfArchives(Path folder) throws IOException {
         List<String> entries = new ArrayList<>();
         for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
--- a/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
+++ b/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
@@ -12,57 +12,62 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tables, timers and links return to their size, whatever ids, addresses and connections come and go. */
+/** Tests that tables, timers and links do not grow with the number of ids, addresses and connections used. */
 @Timeout(60)
 class ResourceBoundsTest {
+    /** Rounds, and how far the clock is advanced in each, in ms: one hour in all. */
     private static final int ROUNDS = 120;
+
     private static final double ROUND_MS = 30_000;
 
     @Test
     void tablesTimersAndLinksStayBoundedAfterAnHourOfNewIdsAndAddresses() throws Exception {
-        try (ManagerHarness rig = new ManagerHarness(1)) {
-            String before = ManagerHarness.entry("s-0", rig.servers.get(0).port(), "terminated", 0);
+        try (ManagerHarness harness = new ManagerHarness(1)) {
+            String before = ManagerHarness.entry("s-0", harness.servers.get(0).port(), "terminated", 0);
             for (int i = 1; i <= ROUNDS; i++) {
-                rig.bus.nextRequest();
-                try (FakeServer box = new FakeServer();
-                        Peer viewer = rig.acceptedViewer()) {
-                    String now = ManagerHarness.entry("s-new-" + i, box.port(), "in_service", 0);
-                    rig.bus.write(ManagerHarness.event(i + 1, before, now) + "\n");
-                    rig.waitUntil(() -> rig.process.counts().get("servers") == 1);
+                harness.bus.nextRequest();
+                try (FakeServer server = new FakeServer();
+                        Peer viewer = harness.acceptedViewer()) {
+                    String now = ManagerHarness.entry("s-new-" + i, server.port(), "in_service", 0);
+                    harness.bus.write(ManagerHarness.event(i + 1, before, now) + "\n");
+                    harness.waitUntil(() -> harness.process.counts().get("servers") == 1);
                     viewer.send(ManagerHarness.setUp(i));
-                    FakeServer.Received set = box.acceptSetUp();
+                    FakeServer.Received setUp = server.acceptSetUp();
                     assertEquals(i, viewer.next(MessageType.ANM).session());
-                    // one is never told of, one ends unheld, one timer is called off, one session ends in order
+                    // one session has an unlisted server, two releases are of unknown sessions, one timeout is
+                    // cancelled, one session ends normally
                     viewer.send(ManagerHarness.setUp(
                             1_000_000 + i, "talk", "home:0;copies:12;top:2;viewer:00a1;at:s-nowhere-" + i));
                     viewer.send(Message.release(2_000_000 + i, Cause.NORMAL));
-                    set.peer().send(Message.release(3_000_000 + i, Cause.NORMAL), Message.release(i, Cause.NORMAL));
-                    // releases of rounds before, which found no connection then, come as well
+                    setUp.peer().send(Message.release(3_000_000 + i, Cause.NORMAL), Message.release(i, Cause.NORMAL));
+                    // releases of earlier rounds, which had no connection then, come as well
                     Message over;
                     do {
                         over = viewer.next(MessageType.REL);
                     } while (over.session() != i);
-                    before = ManagerHarness.entry("s-new-" + i, box.port(), "terminated", 0);
+                    before = ManagerHarness.entry("s-new-" + i, server.port(), "terminated", 0);
                 }
-                // the bus is silent meanwhile, so it is asked again
-                rig.clock.advance(ROUND_MS);
+                // the bus is silent during this time, so the client connects again
+                harness.clock.advance(ROUND_MS);
             }
-            rig.bus.nextRequest();
-            rig.bus.write(ManagerHarness.event(ROUNDS + 2, before) + "\n");
-            rig.waitUntil(() -> {
-                Map<String, Long> counts = rig.process.counts();
+            harness.bus.nextRequest();
+            harness.bus.write(ManagerHarness.event(ROUNDS + 2, before) + "\n");
+            harness.waitUntil(() -> {
+                Map<String, Long> counts = harness.process.counts();
                 return counts.get("servers") == 0
                         && counts.get("held.standing") == 0
                         && counts.get("links.servers") == 0
                         && counts.get("links.viewers") == 0;
             });
-            Map<String, Long> counts = rig.process.counts();
+            Map<String, Long> counts = harness.process.counts();
             assertEquals(0, counts.get("held.out"));
             assertTrue(counts.get("controller.servers") <= 4, counts.toString());
             assertEquals(ROUNDS, counts.get("handed-over.unlisted"));
-            int timers = rig.process.loop().call(() -> rig.process.loop().timersKept());
+            int timers =
+                    harness.process.loop().call(() -> harness.process.loop().timersKept());
             assertTrue(timers < 100, timers + " timers");
-            int connections = rig.process.loop().call(() -> rig.process.loop().connectionCount());
+            int connections =
+                    harness.process.loop().call(() -> harness.process.loop().connectionCount());
             assertTrue(connections <= 1, connections + " connections");
         }
     }
--- a/manager/src/test/java/calicovale/manager/servers/ServerReportParserTest.java
+++ b/manager/src/test/java/calicovale/manager/servers/ServerReportParserTest.java
@@ -23,7 +23,7 @@
         ServerNumbers two = new ServerNumbers();
         two.numberOf("s-other");
         assertEquals(one.numberOf("s-19023c84"), two.numberOf("s-19023c84"));
-        // two names of one checksum
+        // two names with the same checksum
         assertNotEquals(one.numberOf("plumless"), one.numberOf("buckeroo"));
         one.forget("s-19023c84");
         assertEquals(2, one.size());
--- a/manager/src/test/java/calicovale/manager/sessions/SessionStateTableTest.java
+++ b/manager/src/test/java/calicovale/manager/sessions/SessionStateTableTest.java
@@ -66,7 +66,7 @@
         assertThrows(IllegalStateException.class, () -> request(4));
     }
 
-    /** Whatever is tried in whatever order, the counts are those of the sessions held, and wrong steps change nothing. */
+    /** Checks the counts after any sequence of steps; steps that are not allowed must change nothing. */
     @Property(tries = 300)
     void countsAgreeWithTheStatesOfTheSessions(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 24) Integer> steps) {
