--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -19,9 +19,9 @@
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.keys.Ed25519;
 import calicovale.protocols.net.Connection;
-import calicovale.protocols.net.Datagrams;
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.net.Timer;
+import calicovale.protocols.net.UdpSocket;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -86,7 +86,7 @@
     private Membership membership;
     private ClaimBook book;
     private Judge judge;
-    private Datagrams datagrams;
+    private UdpSocket datagrams;
     private EventLoop.Listener connections;
     private String here;
     private Weather weather = Weather.FAIR;
@@ -135,7 +135,7 @@
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: a readable folder is expected"));
         }
         list(List.of());
-        if (roster.of(Ed25519.id(pair.publicKey()), loop.clock().millis()) == null) {
+        if (roster.of(Ed25519.keyId(pair.publicKey()), loop.clock().millis()) == null) {
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: "
                     + (settings.authority() == null ? "the key" : "a certificate, in force, of the key") + " of "
                     + settings.member() + " is expected"));
@@ -197,7 +197,7 @@
     /** Binds both sockets to one port; where any will do, the one that the system gives for datagrams may be taken for connections. */
     private InetSocketAddress bind() throws IOException {
         for (int tries = 1; ; tries++) {
-            datagrams = loop.datagrams(settings.listen(), this::onDatagram);
+            datagrams = loop.bindUdp(settings.listen(), this::onDatagram);
             InetSocketAddress at = datagrams.address();
             try {
                 connections = loop.listen(at, CONNECTION, this::accept);
@@ -285,7 +285,7 @@
         }
         if (key != null && !Arrays.equals(key.publicKey(), pair.publicKey())) {
             if (!key.member().equals(settings.member())
-                    || roster.of(Ed25519.id(key.publicKey()), wallMs()) == null
+                    || roster.of(Ed25519.keyId(key.publicKey()), wallMs()) == null
                             && (!roster.certifies() || ownCertificate(key.publicKey()) == null)) {
                 count("keys-not-listed");
                 LOG.warn(
@@ -669,7 +669,7 @@
         }
 
         private void whole(Connection c) {
-            InetSocketAddress remote = c.remote();
+            InetSocketAddress remote = c.remoteAddress();
             count("received");
             Envelopes.Opened o = remote == null
                     ? null
--- a/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
+++ b/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
@@ -36,7 +36,7 @@
 
     /** A new pair for a member; of the two texts the first is to be kept secret, the second lists its key. */
     public static List<String> make(String member) throws GeneralSecurityException {
-        Ed25519.Pair pair = Ed25519.Pair.make();
+        Ed25519.TextKeyPair pair = Ed25519.TextKeyPair.generate();
         return List.of(
                 text(
                         "schema",
@@ -96,13 +96,13 @@
                 "member",
                 member,
                 "key",
-                Ed25519.text(key),
+                Ed25519.toBase64Url(key),
                 "fromMs",
                 fromMs,
                 "untilMs",
                 untilMs,
                 "signature",
-                Ed25519.text(c.signature()));
+                Ed25519.toBase64Url(c.signature()));
     }
 
     /** Reads a certificate; whether it is the operators' is for the roster to say. */
@@ -123,7 +123,7 @@
 
     /** A revocation as a document; {@code authority} null: for a group without an operators' key. */
     public static String revocation(PrivateKey authority, byte[] key) {
-        String text = Ed25519.text(key);
+        String text = Ed25519.toBase64Url(key);
         return authority == null
                 ? text("schema", "calicovale/revocation/1", "key", text)
                 : text(
@@ -132,7 +132,7 @@
                         "key",
                         text,
                         "signature",
-                        Ed25519.text(Ed25519.sign(authority, revoked(text))));
+                        Ed25519.toBase64Url(Ed25519.sign(authority, revoked(text))));
     }
 
     /** The id of a revoked key; with an operators' key only what that signed counts. */
@@ -146,6 +146,6 @@
                                 revoked(n.get("key").asText())))) {
             throw new InvalidDocumentException(List.of(name + ": /signature: the operators' signature is expected"));
         }
-        return Ed25519.id(bytes(n, "key"));
+        return Ed25519.keyId(bytes(n, "key"));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
@@ -58,12 +58,12 @@
         int name = bytes.length == 0 ? 0 : bytes[0];
         if (name <= 0
                 || name > MOST_MEMBER
-                || bytes.length != 1 + name + Ed25519.KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
+                || bytes.length != 1 + name + Ed25519.PUBLIC_KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
         byte[] member = new byte[name];
-        byte[] key = new byte[Ed25519.KEY_BYTES];
+        byte[] key = new byte[Ed25519.PUBLIC_KEY_BYTES];
         byte[] signature = new byte[Ed25519.SIGNATURE_BYTES];
         in.get(member).get(key);
         long from = in.getLong();
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -152,7 +152,7 @@
                 return drop(Drop.RATE);
             }
             Certificate c = Certificate.of(Arrays.copyOfRange(bytes, CERTIFICATE, CERTIFICATE + certificate));
-            entry = c != null && Ed25519.id(c.key()) == keyId && roster.admit(c) ? roster.of(keyId, wallMs) : null;
+            entry = c != null && Ed25519.keyId(c.key()) == keyId && roster.admit(c) ? roster.of(keyId, wallMs) : null;
             if (entry == null) {
                 return drop(Drop.UNKNOWN_KEY);
             }
--- a/gossip/src/main/java/calicovale/gossip/wire/Roster.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Roster.java
@@ -43,7 +43,7 @@
     public void list(Collection<Entry> keys, Collection<Certificate> certificates, Set<Long> revokedIds) {
         Map<Long, Entry> next = new HashMap<>();
         if (authority == null) {
-            keys.forEach(e -> next.put(Ed25519.id(Ed25519.raw(e.key())), e));
+            keys.forEach(e -> next.put(Ed25519.keyId(Ed25519.rawPublicKey(e.key())), e));
         }
         listed = next;
         revoked = new HashSet<>(revokedIds);
@@ -53,7 +53,7 @@
 
     /** Takes a certificate; false if the operators did not sign it. */
     public boolean admit(Certificate c) {
-        long id = Ed25519.id(c.key());
+        long id = Ed25519.keyId(c.key());
         if (authority == null || revoked.contains(id)) {
             return false;
         }
--- a/gossip/src/main/java/calicovale/gossip/wire/Signer.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Signer.java
@@ -33,7 +33,7 @@
     /** Signs by another key from now on. */
     public void use(PrivateKey next, byte[] publicKey, Certificate ofKey) {
         key = next;
-        keyId = Ed25519.id(publicKey);
+        keyId = Ed25519.keyId(publicKey);
         certificate = ofKey == null ? new byte[0] : ofKey.bytes();
         if (ofKey != null) {
             roster.admit(ofKey);
@@ -71,7 +71,7 @@
         Roster.Entry entry = roster.of(by, wallMs.getAsDouble());
         if (entry == null && roster.certifies()) {
             Certificate c = Certificate.of(Arrays.copyOfRange(proof, 8 + Ed25519.SIGNATURE_BYTES, proof.length));
-            if (c != null && c.member().equals(from) && Ed25519.id(c.key()) == by && roster.admit(c)) {
+            if (c != null && c.member().equals(from) && Ed25519.keyId(c.key()) == by && roster.admit(c)) {
                 entry = roster.of(by, wallMs.getAsDouble());
             }
         }
--- a/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
+++ b/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
@@ -31,12 +31,12 @@
 
     /** One member's keys and envelopes. */
     private static final class Party {
-        final Ed25519.Pair pair;
+        final Ed25519.TextKeyPair pair;
         final Roster roster;
         final Signer signer;
         final Envelopes envelopes;
 
-        Party(String group, Ed25519.Pair pair, long life, List<Roster.Entry> allowed) {
+        Party(String group, Ed25519.TextKeyPair pair, long life, List<Roster.Entry> allowed) {
             this.pair = pair;
             roster = new Roster(group, null, 100);
             roster.list(allowed, List.of(), Set.of());
@@ -44,7 +44,7 @@
                     roster,
                     () -> WALL,
                     Ed25519.privateKey(pair.privateKey()),
-                    Ed25519.raw(Ed25519.publicKey(pair.publicKey())),
+                    Ed25519.rawPublicKey(Ed25519.publicKey(pair.publicKey())),
                     null);
             envelopes = new Envelopes(roster, signer, LIMITS, life, 0);
         }
@@ -54,20 +54,20 @@
         }
     }
 
-    private static Ed25519.Pair pair() {
+    private static Ed25519.TextKeyPair pair() {
         try {
-            return Ed25519.Pair.make();
+            return Ed25519.TextKeyPair.generate();
         } catch (java.security.GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Roster.Entry entry(String member, Ed25519.Pair pair) {
+    private static Roster.Entry entry(String member, Ed25519.TextKeyPair pair) {
         return new Roster.Entry(member, Ed25519.publicKey(pair.publicKey()), 0, Double.MAX_VALUE);
     }
 
-    private final Ed25519.Pair keyA = pair();
-    private final Ed25519.Pair keyB = pair();
+    private final Ed25519.TextKeyPair keyA = pair();
+    private final Ed25519.TextKeyPair keyB = pair();
     private final List<Roster.Entry> both = List.of(entry("a", keyA), entry("b", keyB));
     private final Party a = new Party("g", keyA, 100, both);
     private final Party b = new Party("g", keyB, 100, both);
@@ -280,16 +280,17 @@
 
     @Test
     void aKeyIsReplacedWhileTheOldOneHoldsAndARevokedOneIsNot() {
-        Ed25519.Pair next = pair();
+        Ed25519.TextKeyPair next = pair();
         b.roster.list(List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
         byte[] old = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
         assertNotNull(b.envelopes.open(0, WALL, "b:1", "a:1", old, old.length));
-        a.signer.use(Ed25519.privateKey(next.privateKey()), Ed25519.raw(Ed25519.publicKey(next.publicKey())), null);
+        a.signer.use(
+                Ed25519.privateKey(next.privateKey()), Ed25519.rawPublicKey(Ed25519.publicKey(next.publicKey())), null);
         byte[] renewed = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
         assertEquals(
                 "a",
                 b.envelopes.open(0, WALL, "b:1", "a:1", renewed, renewed.length).sender());
-        long id = Ed25519.id(Ed25519.raw(Ed25519.publicKey(next.publicKey())));
+        long id = Ed25519.keyId(Ed25519.rawPublicKey(Ed25519.publicKey(next.publicKey())));
         b.roster.list(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
         byte[] revoked = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
         assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", revoked, revoked.length));
@@ -298,9 +299,9 @@
 
     @Test
     void aCertificateBringsAMemberInAndOneOfAnotherAuthorityGroupOrTimeDoesNot() {
-        Ed25519.Pair authority = pair();
+        Ed25519.TextKeyPair authority = pair();
         PrivateKey signs = Ed25519.privateKey(authority.privateKey());
-        byte[] rawA = Ed25519.raw(Ed25519.publicKey(keyA.publicKey()));
+        byte[] rawA = Ed25519.rawPublicKey(Ed25519.publicKey(keyA.publicKey()));
         Certificate good = Certificate.sign(signs, "g", "a", rawA, 0, (long) WALL + 1000);
         Certificate self = Certificate.sign(Ed25519.privateKey(keyA.privateKey()), "g", "a", rawA, 0, Long.MAX_VALUE);
         Certificate foreign = Certificate.sign(signs, "h", "a", rawA, 0, Long.MAX_VALUE);
@@ -320,7 +321,7 @@
             assertEquals(c == good, here.open(0, WALL, "b:1", "a:1", later, later.length) != null);
             if (c == good) {
                 assertNull(here.open(0, WALL + 1000, "b:1", "a:1", bare, bare.length), "its time is over");
-                roster.list(List.of(), List.of(), Set.of(Ed25519.id(rawA)));
+                roster.list(List.of(), List.of(), Set.of(Ed25519.keyId(rawA)));
                 assertNull(here.open(
                         0, WALL, "b:1", "a:1", there.seal(WALL, "b:1", new byte[] {1}, true), certified.length));
                 assertFalse(roster.admit(good), "revoked");
--- a/manager/src/main/java/calicovale/manager/RateLimitedLog.java
+++ b/manager/src/main/java/calicovale/manager/RateLimitedLog.java
@@ -26,7 +26,7 @@
 
     /** Counts an event. The kinds are a small fixed set, so the counters stay bounded. */
     public void count(String kind) {
-        counters.count(kind);
+        counters.increment(kind);
     }
 
     /**
@@ -34,7 +34,7 @@
      * last.
      */
     public void warn(String kind, Object detail) {
-        counters.count(kind);
+        counters.increment(kind);
         double nowMs = clock.millis();
         double[] seen = lastByKind.computeIfAbsent(kind, k -> new double[] {Double.NEGATIVE_INFINITY, 0});
         if (nowMs - seen[0] < MIN_INTERVAL_MS) {
--- a/manager/src/main/java/calicovale/manager/SessionCoordinator.java
+++ b/manager/src/main/java/calicovale/manager/SessionCoordinator.java
@@ -114,7 +114,7 @@
         int capacity = (int) Math.max(
                 1,
                 Math.min(
-                        platform.mostHeld() > 0 ? platform.mostHeld() : Integer.MAX_VALUE,
+                        platform.maxSessions() > 0 ? platform.maxSessions() : Integer.MAX_VALUE,
                         Math.min(capacityByHeap, (long) SESSIONS_PER_MB * config.memoryLimitMb())));
         sessions = new SessionStateTable(capacity);
         maxDeadlineMs = Math.min(
@@ -137,7 +137,9 @@
                 new ServerLinkSettings(
                         serverLinks,
                         platform.connectTimeoutMs() > 0 ? platform.connectTimeoutMs() : 250,
-                        platform.connIdleMs() > 0 ? IDLE_TIMEOUT_FRACTION * platform.connIdleMs() : Double.MAX_VALUE,
+                        platform.connectionIdleMs() > 0
+                                ? IDLE_TIMEOUT_FRACTION * platform.connectionIdleMs()
+                                : Double.MAX_VALUE,
                         silenceTimeoutMs),
                 platform,
                 sessions,
@@ -241,7 +243,7 @@
 
     /** Returns all counters, with the present numbers of sessions, links and servers. */
     public Map<String, Long> counts() {
-        Map<String, Long> all = counters.all();
+        Map<String, Long> all = counters.snapshot();
         all.put("held.out", (long) sessions.count(State.REQUESTED) + sessions.count(State.ATTEMPTING));
         all.put("held.standing", (long) sessions.count(State.PLAYING));
         all.put("links.viewers", (long) viewers.linkCount());
@@ -270,7 +272,7 @@
 
     private void attemptEnded(
             Session session, long server, Outcome outcome, double elapsedMs, boolean closed, Map<String, Double> load) {
-        counters.count("outcome." + outcome);
+        counters.increment("outcome." + outcome);
         host.raise(new AttemptEnded(
                 session.controllerId(), session.attemptNumber(), server, outcome, elapsedMs, closed, load));
     }
@@ -288,7 +290,7 @@
     private final class ViewerEvents implements ViewerGateway.Listener {
         @Override
         public void sessionRequested(Session session, ViewerGateway.Request request) {
-            counters.count("asked");
+            counters.increment("asked");
             session.markKnownToController();
             host.raise(request(session.controllerId(), request, request.giveUpMs()));
         }
@@ -298,10 +300,10 @@
                 long sessionId, Requester requester, ViewerGateway.Request request, String server) {
             unlisted.keySet().removeIf(session -> session.state() == State.ENDED);
             if (unlisted.size() >= MAX_UNLISTED) {
-                counters.count("handed-over.too-many-unlisted");
+                counters.increment("handed-over.too-many-unlisted");
                 return;
             }
-            counters.count("handed-over");
+            counters.increment("handed-over");
             long serverNumber = servers.numberOf(server);
             Session session = sessions.takeOver(
                     sessionId,
@@ -313,7 +315,7 @@
             Takeover takeover = new Takeover(request(session.controllerId(), request, Double.MAX_VALUE), serverNumber);
             Boolean endedByServer = unknownEnded.remove(sessionId);
             if (endedByServer != null) {
-                counters.count("handed-over.ended-before");
+                counters.increment("handed-over.ended-before");
                 if (endedByServer) {
                     viewers.notifyViewer(session, Message.release(session.id(), Cause.NORMAL));
                 } else {
@@ -326,7 +328,7 @@
                 servers.ensureLink(serverNumber);
             } else {
                 // the list is late: the session is held, and released if the list does not name its server in time
-                counters.count("handed-over.unlisted");
+                counters.increment("handed-over.unlisted");
                 unlisted.put(session, takeover);
             }
         }
@@ -341,7 +343,7 @@
             if (session.state() == State.ENDED) {
                 return;
             }
-            counters.count("departed");
+            counters.increment("departed");
             if (session.knownToController()) {
                 host.raise(new Departed(session.controllerId()));
             }
@@ -352,7 +354,7 @@
 
         @Override
         public void sessionReleased(Session session) {
-            counters.count("left");
+            counters.increment("left");
             endPlayingSession(session);
         }
     }
@@ -361,7 +363,7 @@
     private final class ServerEvents implements ServerPool.Listener {
         @Override
         public void attemptSucceeded(Session session, double elapsedMs, byte[] description) {
-            counters.count("started");
+            counters.increment("started");
             host.raise(new Started(session.controllerId(), session.attemptNumber(), session.server(), elapsedMs));
             if (session.state() == State.PLAYING
                     && !viewers.answer(
@@ -397,7 +399,7 @@
 
         @Override
         public void noteReceived(Session session, NoteKind kind, double value) {
-            counters.count("note." + kind);
+            counters.increment("note." + kind);
             host.raise(new Note(session.controllerId(), session.attemptNumber(), session.server(), kind, value));
         }
 
@@ -408,7 +410,7 @@
     }
 
     /** Carries out the controller's actions. */
-    private final class ControllerActions implements ControllerHost.Carrier {
+    private final class ControllerActions implements ControllerHost.ActionHandler {
         private Session held(String id) {
             return sessions.get(Long.parseUnsignedLong(id, 16));
         }
@@ -417,7 +419,7 @@
         public void attempt(String id, long server, double timeoutMs) {
             Session session = held(id);
             if (session != null && session.state() == State.REQUESTED) {
-                counters.count("attempts");
+                counters.increment("attempts");
                 servers.startAttempt(session, server, timeoutMs);
             }
         }
@@ -436,7 +438,7 @@
             if (session != null) {
                 session.rung(rung);
                 if (session.state() == State.PLAYING) {
-                    counters.count("rungs");
+                    counters.increment("rungs");
                     servers.sendRung(session);
                 }
             }
@@ -446,7 +448,7 @@
         public void move(String id) {
             Session session = held(id);
             if (session != null && session.state() == State.PLAYING) {
-                counters.count("moves");
+                counters.increment("moves");
                 viewers.notifyViewer(session, Message.of(MessageType.FAC, session.id()));
                 endPlayingSession(session);
             }
@@ -456,7 +458,7 @@
         public void refuse(String id, double retryAfterMs) {
             Session session = held(id);
             if (session != null && session.state() == State.REQUESTED) {
-                counters.count("refused");
+                counters.increment("refused");
                 Message refusal = Message.release(session.id(), Cause.CONGESTION);
                 if (retryAfterMs > 0) {
                     refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) Math.ceil(retryAfterMs)));
@@ -470,7 +472,7 @@
         public void fail(String id) {
             Session session = held(id);
             if (session != null && session.state() == State.REQUESTED) {
-                counters.count("failed");
+                counters.increment("failed");
                 viewers.answer(session, Message.release(session.id(), Cause.TEMPORARY_FAILURE));
                 sessions.end(session);
             }
--- a/manager/src/main/java/calicovale/manager/bus/Addresses.java
+++ b/manager/src/main/java/calicovale/manager/bus/Addresses.java
@@ -1,6 +1,6 @@
 package calicovale.manager.bus;
 
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -15,7 +15,7 @@
     private Addresses() {}
 
     /** Parses {@code a.b.c.d:port}. */
-    public static InetSocketAddress parse(String text) throws BadValueException {
+    public static InetSocketAddress parse(String text) throws InvalidValueException {
         Matcher matcher = IPV4_AND_PORT.matcher(text);
         byte[] host = new byte[4];
         boolean valid = matcher.matches();
@@ -26,7 +26,7 @@
         }
         int port = valid ? Integer.parseInt(matcher.group(5)) : 0;
         if (!valid || port < 1 || port > 65535) {
-            throw new BadValueException("'" + text + "' is not an IPv4 address with a port, such as 10.0.0.4:3868");
+            throw new InvalidValueException("'" + text + "' is not an IPv4 address with a port, such as 10.0.0.4:3868");
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -1,6 +1,6 @@
 package calicovale.manager.bus;
 
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import calicovale.protocols.json.Documents;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -46,17 +46,17 @@
             double startedAtMs) {}
 
     /** Parses a line. Returns null if it is not an event, as a line with the last offset alone. */
-    public static BusEvent parseLine(String line) throws BadValueException {
+    public static BusEvent parseLine(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             return node.has("topology") ? parse(node) : null;
         } catch (JsonProcessingException e) {
-            throw new BadValueException("event is not JSON: " + e.getOriginalMessage());
+            throw new InvalidValueException("event is not JSON: " + e.getOriginalMessage());
         }
     }
 
     /** Parses the offset in a line: a number, or the field {@code offset} of an object. */
-    static long parseOffset(String line) throws BadValueException {
+    static long parseOffset(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             JsonNode offset = node.isObject() ? node.path("offset") : node;
@@ -66,15 +66,15 @@
         } catch (JsonProcessingException e) {
             // reported below
         }
-        throw new BadValueException("line has neither a number nor a numeric 'offset'");
+        throw new InvalidValueException("line has neither a number nor a numeric 'offset'");
     }
 
     /** Parses an event. */
-    public static BusEvent parse(JsonNode node) throws BadValueException {
+    public static BusEvent parse(JsonNode node) throws InvalidValueException {
         JsonNode topology = node.path("topology");
         JsonNode list = topology.path("instances");
         if (!node.path("offset").canConvertToLong() || !list.isArray()) {
-            throw new BadValueException("event needs a numeric 'offset' and a list 'topology.instances'");
+            throw new InvalidValueException("event needs a numeric 'offset' and a list 'topology.instances'");
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonNode entry : list) {
@@ -87,21 +87,21 @@
                 List.copyOf(entries));
     }
 
-    private static Entry parseEntry(JsonNode node) throws BadValueException {
+    private static Entry parseEntry(JsonNode node) throws InvalidValueException {
         String id = node.path("instanceId").asText("");
         if (id.isEmpty()) {
-            throw new BadValueException("instance has no 'instanceId'");
+            throw new InvalidValueException("instance has no 'instanceId'");
         }
         Lifecycle lifecycle;
         try {
             lifecycle = Lifecycle.valueOf(node.path("lifecycle").asText("").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new BadValueException("instance " + id
+            throw new InvalidValueException("instance " + id
                     + ": 'lifecycle' must be in_service, terminating or terminated, not " + node.path("lifecycle"));
         }
         String hostPort = node.path("hostPort").asText("");
         if (hostPort.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
-            throw new BadValueException("instance " + id + ": 'hostPort' is missing");
+            throw new InvalidValueException("instance " + id + ": 'hostPort' is missing");
         }
         return new Entry(
                 id,
--- a/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
+++ b/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
@@ -1,7 +1,7 @@
 package calicovale.manager.bus;
 
 import calicovale.host.Backoff;
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import calicovale.manager.RateLimitedLog;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.net.EventLoop;
@@ -152,7 +152,7 @@
     private void reconnect(String counter, Object reason) {
         log.warn(counter, reason);
         disconnect();
-        reconnectTimer = loop.schedule(backoff.nextMs(), this::connect);
+        reconnectTimer = loop.schedule(backoff.nextDelayMs(), this::connect);
         onLost.run();
     }
 
@@ -231,7 +231,7 @@
                 } else {
                     log.count("bus.twice");
                 }
-            } catch (BadValueException e) {
+            } catch (InvalidValueException e) {
                 reconnect("bus.bad-line", e.getMessage());
             }
         }
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -1,8 +1,8 @@
 package calicovale.manager.config;
 
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
+import calicovale.host.KeyedValues;
 import calicovale.host.PlatformSettings;
-import calicovale.host.Values;
 import calicovale.manager.bus.Addresses;
 import calicovale.manager.bus.BusEvent;
 import calicovale.protocols.json.Documents;
@@ -78,7 +78,7 @@
             }
         });
         flatten("", node.path("settings"), platformValues);
-        Values values = collectingValues("", ownValues, faults);
+        KeyedValues values = collectingValues("", ownValues, faults);
         try {
             long seed = 0;
             String hex = values.text("seed", "0");
@@ -98,31 +98,31 @@
                     readAddress(values, "listen", faults),
                     readAddress(values, "bus", faults),
                     seed,
-                    values.integer("limits.memory_mb"),
-                    values.integer("limits.sockets"),
+                    values.nonNegativeInt("limits.memory_mb"),
+                    values.nonNegativeInt("limits.sockets"),
                     readKnownEvents(node, faults),
                     node.path("known").path("offset").asLong(),
                     platform);
-        } catch (BadValueException e) {
+        } catch (InvalidValueException e) {
             throw new IllegalStateException("the values collect their faults and throw none", e);
         }
     }
 
-    private static Values collectingValues(String prefix, Map<String, String> values, List<String> faults) {
-        return new Values(values) {
+    private static KeyedValues collectingValues(String prefix, Map<String, String> values, List<String> faults) {
+        return new KeyedValues(values) {
             @Override
-            protected void fault(String what) {
+            protected void reportFault(String what) {
                 faults.add(prefix + what);
             }
         };
     }
 
-    private static InetSocketAddress readAddress(Values values, String key, List<String> faults)
-            throws BadValueException {
+    private static InetSocketAddress readAddress(KeyedValues values, String key, List<String> faults)
+            throws InvalidValueException {
         String text = values.text(key);
         try {
             return text.isEmpty() ? null : Addresses.parse(text);
-        } catch (BadValueException e) {
+        } catch (InvalidValueException e) {
             faults.add("'" + key + "': " + e.getMessage());
             return null;
         }
@@ -133,7 +133,7 @@
         for (JsonNode event : node.path("known").path("batch")) {
             try {
                 events.add(BusEvent.parse(event));
-            } catch (BadValueException e) {
+            } catch (InvalidValueException e) {
                 faults.add("known: " + e.getMessage());
             }
         }
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -3,8 +3,8 @@
 import calicovale.protocols.net.ConnectFailedException;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.signal.Message;
+import calicovale.protocols.signal.MessageFramingException;
 import calicovale.protocols.signal.MessageType;
-import calicovale.protocols.signal.SignalException;
 import calicovale.protocols.signal.SignalParser;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -57,7 +57,7 @@
 
     /** Drops the queued messages of a session. Returns whether the link has never been open, so that none was sent. */
     boolean discardUnsent(long sessionId) {
-        queued.removeIf(m -> m.session() == sessionId);
+        queued.removeIf(m -> m.sessionId() == sessionId);
         return !everOpen;
     }
 
@@ -100,11 +100,11 @@
                 pool.deferDecision(() -> handle(message));
                 return true;
             });
-        } catch (SignalException e) {
+        } catch (MessageFramingException e) {
             unusable = true;
             pool.deferDecision(() -> fail(e.getMessage()));
         }
-        if (!parser.midMessage()) {
+        if (!parser.hasPartialMessage()) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0) {
             partialSinceMs = lastReceivedAtMs;
--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -445,7 +445,7 @@
         if (message.malformed()) {
             return "malformed message: " + message;
         }
-        Session session = table.get(message.session());
+        Session session = table.get(message.sessionId());
         boolean heldHere = session != null && session.server() == link.server.number;
         switch (message.type()) {
             case MessageType.ACM, MessageType.RLC -> {
@@ -457,7 +457,7 @@
                         : handleUnexpectedAnswer(link, message, heldHere);
             }
             case MessageType.REL -> {
-                link.send(Message.of(MessageType.RLC, message.session()));
+                link.send(Message.of(MessageType.RLC, message.sessionId()));
                 if (heldHere && session.state() == State.ATTEMPTING) {
                     handleRefusal(session, message);
                 } else if (heldHere && session.state() == State.PLAYING) {
@@ -465,7 +465,7 @@
                 } else {
                     log.count("server.release-of-none");
                     if (session == null) {
-                        listener.unknownSessionReleased(message.session());
+                        listener.unknownSessionReleased(message.sessionId());
                     }
                 }
                 return null;
@@ -502,7 +502,7 @@
     private String handleUnexpectedAnswer(ServerLink link, Message message, boolean heldHere) {
         log.count("server.answer-of-none");
         if (!heldHere) {
-            link.send(Message.release(message.session(), Cause.NORMAL));
+            link.send(Message.release(message.sessionId(), Cause.NORMAL));
         }
         return null;
     }
@@ -577,7 +577,7 @@
         boolean hasUsableLink = server.hasUsableLink();
         if (connectFailure == null) {
             log.count("server.link-closed");
-        } else if (connectFailure.local()) {
+        } else if (connectFailure.notAttempted()) {
             log.warn("server.not-tried", connectFailure.getMessage());
         } else if (connectFailure.timedOut()) {
             log.count("server.unreachable");
@@ -592,7 +592,9 @@
                     attempt,
                     everOpen
                             ? Outcome.RESET
-                            : connectFailure != null && connectFailure.local() ? Outcome.MOOT : Outcome.CONNECT_FAILED,
+                            : connectFailure != null && connectFailure.notAttempted()
+                                    ? Outcome.MOOT
+                                    : Outcome.CONNECT_FAILED,
                     Map.of());
         }
         if (!releases.isEmpty() && !server.gone && server.releaseResends++ < MAX_RELEASE_RESENDS) {
--- a/manager/src/main/java/calicovale/manager/sessions/Session.java
+++ b/manager/src/main/java/calicovale/manager/sessions/Session.java
@@ -37,7 +37,7 @@
 
     Session(long id, Requester requester, String sessionClass, String title, byte[] description, double giveUpMs) {
         this.id = id;
-        this.controllerId = Message.name(id);
+        this.controllerId = Message.formatSessionId(id);
         this.requester = requester;
         this.sessionClass = sessionClass;
         this.title = title;
--- a/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
+++ b/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
@@ -52,7 +52,7 @@
         if (message.malformed()) {
             return rejected(Cause.INVALID_CONTENTS, "malformed parameters");
         }
-        if (message.session() == 0) {
+        if (message.sessionId() == 0) {
             return rejected(Cause.ELEMENT_MISSING, "session id 0");
         }
         String sessionClass = message.text(Parameter.CLASS);
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
@@ -117,7 +117,7 @@
      */
     public boolean isQuiet() {
         double nowMs = nowMs();
-        return listeningSocket.caughtUp()
+        return listeningSocket.acceptQueueDrained()
                 && queuedReleases.isEmpty()
                 && links.stream()
                         .allMatch(link -> link.connection.pendingBytes() == 0
@@ -134,7 +134,7 @@
     public void closeGracefully() {
         listeningSocket.close();
         for (ViewerLink link : links) {
-            link.connection.finish();
+            link.connection.shutdownOutputWhenDrained();
         }
     }
 
@@ -180,13 +180,13 @@
             case MessageType.REL -> handleRelease(link, message);
             case MessageType.UPT -> {
                 countValidMessage(link);
-                link.send(Message.of(MessageType.UPA, message.session())
+                link.send(Message.of(MessageType.UPA, message.sessionId())
                         .with(Parameter.CAUSE, new byte[] {Cause.PASSED}));
             }
             case MessageType.RLC, MessageType.ACM -> log.count("viewer.heard");
             default ->
                 rejectMessage(
-                        link, message.session(), Cause.TYPE_UNKNOWN, "unexpected message of type " + message.type());
+                        link, message.sessionId(), Cause.TYPE_UNKNOWN, "unexpected message of type " + message.type());
         }
     }
 
@@ -204,10 +204,10 @@
     private void handleSetUp(ViewerLink link, Message message) {
         SetUpRequest setUp = SetUpRequest.parse(message, settings);
         if (setUp.rejectCause() != 0) {
-            rejectMessage(link, message.session(), setUp.rejectCause(), setUp.rejectReason());
+            rejectMessage(link, message.sessionId(), setUp.rejectCause(), setUp.rejectReason());
             return;
         }
-        Session held = table.get(message.session());
+        Session held = table.get(message.sessionId());
         double nowMs = nowMs();
         Request request = new Request(
                 setUp.classIndex(),
@@ -222,9 +222,9 @@
         if (setUp.playingAt() != null) {
             countValidMessage(link);
             if (held == null && !table.isFull()) {
-                listener.sessionHandedOver(message.session(), link, request, setUp.playingAt());
+                listener.sessionHandedOver(message.sessionId(), link, request, setUp.playingAt());
             }
-            if (table.get(message.session()) != null) {
+            if (table.get(message.sessionId()) != null) {
                 countPlayingSession(link);
             }
             return;
@@ -238,7 +238,7 @@
             log.warn(
                     table.isFull() ? "viewer.table-full" : "viewer.too-many-open",
                     table.size() + " sessions are held, the set-up is refused");
-            Message refusal = Message.release(message.session(), Cause.CONGESTION);
+            Message refusal = Message.release(message.sessionId(), Cause.CONGESTION);
             if (settings.retryAfterMs() > 0) {
                 refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) settings.retryAfterMs()));
             }
@@ -246,7 +246,7 @@
             return;
         }
         Session session = table.request(
-                message.session(),
+                message.sessionId(),
                 link,
                 settings.classes().get(setUp.classIndex()),
                 setUp.title(),
@@ -275,11 +275,11 @@
     }
 
     private void handleRelease(ViewerLink link, Message message) {
-        Session session = table.get(message.session());
-        link.send(Message.of(MessageType.RLC, message.session()));
+        Session session = table.get(message.sessionId());
+        link.send(Message.of(MessageType.RLC, message.sessionId()));
         if (session == null) {
             log.count("viewer.release-of-none");
-            listener.unknownSessionReleased(message.session());
+            listener.unknownSessionReleased(message.sessionId());
         } else if (session.state() == State.PLAYING) {
             listener.sessionReleased(session);
         } else if (session.requester() == link && !session.departed()) {
@@ -312,7 +312,7 @@
         links.remove(link);
         for (Session session : link.awaitingAnswer) {
             session.markDeparted();
-            loop.defer(EventLoop.Phase.ENDS, () -> listener.setUpAbandoned(session));
+            loop.defer(EventLoop.Phase.TERMINATIONS, () -> listener.setUpAbandoned(session));
         }
         link.awaitingAnswer.clear();
     }
--- a/manager/src/test/java/calicovale/manager/EventOrderTest.java
+++ b/manager/src/test/java/calicovale/manager/EventOrderTest.java
@@ -102,7 +102,7 @@
             do {
                 again = harness.serverWithMessage().next();
             } while (again.message().type() != MessageType.IAM);
-            assertEquals(1, again.message().session());
+            assertEquals(1, again.message().sessionId());
             again.peer()
                     .send(Message.of(MessageType.ANM, 1)
                             .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
@@ -163,7 +163,7 @@
             try (Peer next = harness.acceptedViewer()) {
                 harness.clock.advance(10);
                 next.send(ManagerHarness.setUp(2));
-                assertEquals(2, harness.servers.get(0).next().message().session(), "the first set-up was not sent");
+                assertEquals(2, harness.servers.get(0).next().message().sessionId(), "the first set-up was not sent");
             }
         }
     }
@@ -283,7 +283,7 @@
                 harness.clock.advance(200);
                 FakeServer.Received release = again.next();
                 assertEquals(MessageType.REL, release.message().type());
-                assertEquals(1, release.message().session());
+                assertEquals(1, release.message().sessionId());
             }
         }
     }
@@ -334,7 +334,7 @@
             harness.awaitCount("server.release-of-none", 1);
             viewer.send(handOver(1, "s-0"));
             Message over = viewer.next();
-            assertEquals(1, over.session());
+            assertEquals(1, over.sessionId());
             assertEquals(MessageType.REL, over.type());
             assertEquals(1, count(harness, "held.standing"));
         }
@@ -347,7 +347,7 @@
             viewer.send(Message.release(1, Cause.NORMAL), handOver(1, "s-0"), handOver(1, "s-0"));
             FakeServer.Received release = harness.servers.get(0).next();
             assertEquals(MessageType.REL, release.message().type());
-            assertEquals(1, release.message().session());
+            assertEquals(1, release.message().sessionId());
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/ManagerHarness.java
+++ b/manager/src/test/java/calicovale/manager/ManagerHarness.java
@@ -5,9 +5,9 @@
 import calicovale.protocols.net.Clock;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.signal.Message;
+import calicovale.protocols.signal.MessageFramingException;
 import calicovale.protocols.signal.MessageType;
 import calicovale.protocols.signal.Parameter;
-import calicovale.protocols.signal.SignalException;
 import calicovale.protocols.signal.SignalParser;
 import java.io.IOException;
 import java.io.InputStream;
@@ -322,7 +322,7 @@
                 }
                 try {
                     parser.feed(ByteBuffer.wrap(buffer, 0, length), received::add);
-                } catch (SignalException e) {
+                } catch (MessageFramingException e) {
                     throw new IOException(e);
                 }
             }
@@ -427,7 +427,7 @@
         Received acceptSetUp() throws InterruptedException, IOException {
             Received setUp = next();
             setUp.peer()
-                    .send(Message.of(MessageType.ANM, setUp.message().session())
+                    .send(Message.of(MessageType.ANM, setUp.message().sessionId())
                             .with(Parameter.DESCRIPTION, SERVER_DESCRIPTION));
             return setUp;
         }
--- a/manager/src/test/java/calicovale/manager/ManagerTest.java
+++ b/manager/src/test/java/calicovale/manager/ManagerTest.java
@@ -160,7 +160,7 @@
             Message over;
             do {
                 over = viewer.next();
-            } while (over.session() != 1);
+            } while (over.sessionId() != 1);
             assertEquals(Cause.NORMAL, over.cause());
         }
     }
@@ -184,7 +184,7 @@
                 assertEquals(MessageType.UPA, asks.next().type());
                 next.send(ManagerHarness.setUp(2));
                 harness.servers.get(0).acceptSetUp();
-                assertEquals(1, next.next(MessageType.REL).session());
+                assertEquals(1, next.next(MessageType.REL).sessionId());
             }
         }
     }
@@ -206,7 +206,7 @@
             asks.send(Message.of(MessageType.UPT, 7));
             assertEquals(MessageType.UPA, asks.next().type());
             setUp.peer().send(Message.release(1, Cause.NORMAL));
-            assertEquals(1, carries.next().session());
+            assertEquals(1, carries.next().sessionId());
         }
     }
 
@@ -342,7 +342,7 @@
             FakeServer.Received received;
             do {
                 received = harness.servers.get(0).next();
-            } while (received.message().session() != 5000);
+            } while (received.message().sessionId() != 5000);
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
+++ b/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
@@ -33,7 +33,7 @@
                     harness.waitUntil(() -> harness.process.counts().get("servers") == 1);
                     viewer.send(ManagerHarness.setUp(i));
                     FakeServer.Received setUp = server.acceptSetUp();
-                    assertEquals(i, viewer.next(MessageType.ANM).session());
+                    assertEquals(i, viewer.next(MessageType.ANM).sessionId());
                     // one session has an unlisted server, two releases are of unknown sessions, one timeout is
                     // cancelled, one session ends normally
                     viewer.send(ManagerHarness.setUp(
@@ -44,7 +44,7 @@
                     Message over;
                     do {
                         over = viewer.next(MessageType.REL);
-                    } while (over.session() != i);
+                    } while (over.sessionId() != i);
                     before = ManagerHarness.entry("s-new-" + i, server.port(), "terminated", 0);
                 }
                 // the bus is silent during this time, so the client connects again
@@ -64,7 +64,7 @@
             assertTrue(counts.get("controller.servers") <= 4, counts.toString());
             assertEquals(ROUNDS, counts.get("handed-over.unlisted"));
             int timers =
-                    harness.process.loop().call(() -> harness.process.loop().timersKept());
+                    harness.process.loop().call(() -> harness.process.loop().queuedTimers());
             assertTrue(timers < 100, timers + " timers");
             int connections =
                     harness.process.loop().call(() -> harness.process.loop().connectionCount());
