--- a/manager/src/main/java/calicovale/manager/ManagerMain.java
+++ b/manager/src/main/java/calicovale/manager/ManagerMain.java
@@ -8,43 +8,46 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Runs one session manager in the foreground: its configuration is the file that {@code PROXY_CONFIG} names. SIGHUP has the file
- * read again, SIGTERM drains.
+ * Runs one session manager in the foreground. {@code PROXY_CONFIG} names its configuration file; SIGHUP makes it
+ * read the file again, SIGTERM starts a drain.
  */
 public final class ManagerMain {
-    /** The variable that names the configuration. */
-    public static final String CONFIG = "PROXY_CONFIG";
+    /** Environment variable with the path of the configuration file. */
+    public static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
-    private static final int FAILED = 1;
-    private static final int BAD_INPUT = 2;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_BAD_INPUT = 2;
 
     private ManagerMain() {}
 
-    /** Runs until a drain has ended and gives the exit status. */
+    /**
+     * Runs until a drain has ended. Returns the exit status: 0, 1 if the manager failed, 2 for an invalid
+     * configuration.
+     */
     public static int run(Path file) throws IOException, InterruptedException {
         ManagerConfig config;
         try {
             config = ManagerConfig.read(file);
         } catch (InvalidDocumentException e) {
             e.faults().forEach(System.err::println);
-            return BAD_INPUT;
+            return EXIT_BAD_INPUT;
         }
-        // handled before anything is heard of this process: a signal that came first would end it
+        // installed before the process is visible to others, because an unhandled signal would end it
         CompletableFuture<ManagerProcess> started = new CompletableFuture<>();
-        Signals.on("HUP", () -> started.thenAccept(process -> process.reload(file)));
-        Signals.on("TERM", () -> started.thenAccept(ManagerProcess::drain));
+        SignalHandlers.on("HUP", () -> started.thenAccept(process -> process.reload(file)));
+        SignalHandlers.on("TERM", () -> started.thenAccept(ManagerProcess::drain));
         try (ManagerProcess process = new ManagerProcess(config, file, Clock.system())) {
             started.complete(process);
-            return process.await() ? 0 : FAILED;
+            return process.await() ? 0 : EXIT_FAILED;
         }
     }
 
-    /** Takes no arguments. */
+    /** Runs the manager; takes no arguments. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        String file = System.getenv(CONFIG);
+        String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
-            System.err.println(CONFIG + ": the path of a configuration is expected");
-            System.exit(BAD_INPUT);
+            System.err.println(CONFIG_VARIABLE + ": variable is not set, the path of a configuration file is expected");
+            System.exit(EXIT_BAD_INPUT);
         }
         System.exit(run(Path.of(file)));
     }
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -10,16 +10,16 @@
 import java.util.Locale;
 
 /**
- * One event of the event bus: a change of the list of video servers, or the whole list.
+ * One event of the event bus: changes of the list of video servers, or the complete list.
  *
- * @param offset its number
- * @param generation the list's version
- * @param whole whether it holds the whole list
- * @param entries what it holds
+ * @param offset number of the event on the bus
+ * @param generation version of the list
+ * @param complete whether the event holds the complete list
+ * @param entries changed servers, or all servers
  */
-public record BusEvent(long offset, long generation, boolean whole, List<Entry> entries) {
+public record BusEvent(long offset, long generation, boolean complete, List<Entry> entries) {
 
-    /** A video server's state. */
+    /** The state of a video server, as the bus names it in lower case. */
     public enum Lifecycle {
         IN_SERVICE,
         TERMINATING,
@@ -29,7 +29,11 @@
     /**
      * One video server.
      *
-     * @param startedAtMs when it started, where that was late; else 0
+     * @param id name of the server
+     * @param address null: it has none, which only a terminated server may
+     * @param kind machine type
+     * @param weight size in relation to other servers
+     * @param startedAtMs clock time of its start, in ms, if it started recently; else 0
      */
     public record Entry(
             String id,
@@ -41,18 +45,18 @@
             double weight,
             double startedAtMs) {}
 
-    /** Reads one from its line; null: the line holds the last number alone. */
-    public static BusEvent readLine(String line) throws InvalidValueException {
+    /** Parses a line. Returns null if it is not an event, as a line with the last offset alone. */
+    public static BusEvent parseLine(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
-            return node.has("topology") ? read(node) : null;
+            return node.has("topology") ? parse(node) : null;
         } catch (JsonProcessingException e) {
-            throw new InvalidValueException("an event that is no JSON: " + e.getOriginalMessage());
+            throw new InvalidValueException("event is not JSON: " + e.getOriginalMessage());
         }
     }
 
-    /** The number that a line holds, whatever else it has. */
-    static long number(String line) throws InvalidValueException {
+    /** Parses the offset in a line: a number, or the field {@code offset} of an object. */
+    static long parseOffset(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             JsonNode offset = node.isObject() ? node.path("offset") : node;
@@ -60,21 +64,21 @@
                 return offset.asLong();
             }
         } catch (JsonProcessingException e) {
-            // told below
+            // reported below
         }
-        throw new InvalidValueException("a line without a number");
+        throw new InvalidValueException("line has neither a number nor a numeric 'offset'");
     }
 
-    /** Reads one. */
-    public static BusEvent read(JsonNode node) throws InvalidValueException {
+    /** Parses an event. */
+    public static BusEvent parse(JsonNode node) throws InvalidValueException {
         JsonNode topology = node.path("topology");
         JsonNode list = topology.path("instances");
         if (!node.path("offset").canConvertToLong() || !list.isArray()) {
-            throw new InvalidValueException("an event without 'offset' or 'topology.instances'");
+            throw new InvalidValueException("event needs a numeric 'offset' and a list 'topology.instances'");
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonNode entry : list) {
-            entries.add(entry(entry));
+            entries.add(parseEntry(entry));
         }
         return new BusEvent(
                 node.path("offset").asLong(),
@@ -83,24 +87,25 @@
                 List.copyOf(entries));
     }
 
-    private static Entry entry(JsonNode node) throws InvalidValueException {
+    private static Entry parseEntry(JsonNode node) throws InvalidValueException {
         String id = node.path("instanceId").asText("");
         if (id.isEmpty()) {
-            throw new InvalidValueException("an instance without 'instanceId'");
+            throw new InvalidValueException("instance has no 'instanceId'");
         }
         Lifecycle lifecycle;
         try {
             lifecycle = Lifecycle.valueOf(node.path("lifecycle").asText("").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new InvalidValueException("instance " + id + ": 'lifecycle' is " + node.path("lifecycle"));
+            throw new InvalidValueException("instance " + id
+                    + ": 'lifecycle' must be in_service, terminating or terminated, not " + node.path("lifecycle"));
         }
-        String at = node.path("hostPort").asText("");
-        if (at.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
-            throw new InvalidValueException("instance " + id + ": no 'hostPort'");
+        String hostPort = node.path("hostPort").asText("");
+        if (hostPort.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
+            throw new InvalidValueException("instance " + id + ": 'hostPort' is missing");
         }
         return new Entry(
                 id,
-                at.isEmpty() ? null : Addresses.read(at),
+                hostPort.isEmpty() ? null : Addresses.parse(hostPort),
                 node.path("zone").asText(""),
                 node.path("machineType").asText(""),
                 Math.max(0, node.path("cell").asInt()),
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -21,38 +21,39 @@
 /**
  * A manager's configuration.
  *
- * @param name its name, the same after a restart
- * @param listen where viewers connect
- * @param bus where the event bus is
- * @param seed for random numbers
- * @param memoryMb its limit of memory
- * @param sockets its limit of descriptors
- * @param known the events up to now, in order
- * @param knownOffset the number of the last of them
- * @param platform the platform's settings
+ * @param name name of the manager, the same after a restart
+ * @param listen address on which viewers connect
+ * @param bus address of the event bus
+ * @param seed seed of the random number generators
+ * @param memoryLimitMb memory limit of the process, in MB
+ * @param descriptorLimit limit of the process's open file descriptors
+ * @param knownEvents events of the bus up to the start, in order
+ * @param knownOffset offset of the last of them
+ * @param platform settings of the platform
  */
 public record ManagerConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress bus,
         long seed,
-        int memoryMb,
-        int sockets,
-        List<BusEvent> known,
+        int memoryLimitMb,
+        int descriptorLimit,
+        List<BusEvent> knownEvents,
         long knownOffset,
         PlatformSettings platform) {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
-    /** Reads a file; all its faults are told at once. */
+    /** Reads a file. The exception lists all its faults. */
     public static ManagerConfig read(Path file) throws InvalidDocumentException {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": : a readable file is expected (" + e + ")"));
+            throw new InvalidDocumentException(
+                    List.of(file + ": a readable text file in UTF-8 is expected (" + e.getMessage() + ")"));
         }
     }
 
-    /** Reads a text; {@code file} leads each fault. */
+    /** Parses a text. The exception lists all its faults, each with {@code file} in front. */
     public static ManagerConfig read(String file, String text) throws InvalidDocumentException {
         List<String> faults = new ArrayList<>();
         ManagerConfig config = null;
@@ -69,68 +70,69 @@
     }
 
     private static ManagerConfig read(JsonNode node, List<String> faults) {
-        Map<String, String> own = new HashMap<>();
-        Map<String, String> settings = new HashMap<>();
+        Map<String, String> ownValues = new HashMap<>();
+        Map<String, String> platformValues = new HashMap<>();
         node.properties().forEach(field -> {
             if (!field.getKey().equals("settings") && !field.getKey().equals("known")) {
-                flatten(field.getKey(), field.getValue(), own);
+                flatten(field.getKey(), field.getValue(), ownValues);
             }
         });
-        flatten("", node.path("settings"), settings);
-        KeyedValues values = collecting("", own, faults);
+        flatten("", node.path("settings"), platformValues);
+        KeyedValues values = collectingValues("", ownValues, faults);
         try {
             long seed = 0;
             String hex = values.text("seed", "0");
             try {
-                seed = Long.parseUnsignedLong(hex, HEX);
+                seed = Long.parseUnsignedLong(hex, HEX_RADIX);
             } catch (NumberFormatException e) {
                 faults.add("'seed' must be up to 16 hex digits, not '" + hex + "'");
             }
-            PlatformSettings platform = PlatformSettings.read(collecting("settings: ", settings, faults));
+            PlatformSettings platform = PlatformSettings.read(collectingValues("settings: ", platformValues, faults));
             if (platform.classes().isEmpty()
                     || platform.controller().media().rungKb().isEmpty()) {
-                faults.add("settings: classes and a ladder are expected");
+                faults.add(
+                        "settings: at least one class in 'profiles' and one rung in 'specifics.levelKb' are expected");
             }
             return new ManagerConfig(
                     values.text("name", ""),
-                    address(values, "listen", faults),
-                    address(values, "bus", faults),
+                    readAddress(values, "listen", faults),
+                    readAddress(values, "bus", faults),
                     seed,
                     values.nonNegativeInt("limits.memory_mb"),
                     values.nonNegativeInt("limits.sockets"),
-                    known(node, faults),
+                    readKnownEvents(node, faults),
                     node.path("known").path("offset").asLong(),
                     platform);
         } catch (InvalidValueException e) {
-            throw new IllegalStateException("faults are collected here", e);
+            throw new IllegalStateException("the values collect their faults and throw none", e);
         }
     }
 
-    private static KeyedValues collecting(String place, Map<String, String> values, List<String> faults) {
+    private static KeyedValues collectingValues(String prefix, Map<String, String> values, List<String> faults) {
         return new KeyedValues(values) {
             @Override
             protected void reportFault(String what) {
-                faults.add(place + what);
+                faults.add(prefix + what);
             }
         };
     }
 
-    private static InetSocketAddress address(KeyedValues values, String key, List<String> faults)
+    private static InetSocketAddress readAddress(KeyedValues values, String key, List<String> faults)
             throws InvalidValueException {
         String text = values.text(key);
         try {
-            return text.isEmpty() ? null : Addresses.read(text);
+            return text.isEmpty() ? null : Addresses.parse(text);
         } catch (InvalidValueException e) {
             faults.add("'" + key + "': " + e.getMessage());
             return null;
         }
     }
 
-    private static List<BusEvent> known(JsonNode node, List<String> faults) {
+    private static List<BusEvent> readKnownEvents(JsonNode node, List<String> faults) {
         List<BusEvent> events = new ArrayList<>();
         for (JsonNode event : node.path("known").path("batch")) {
             try {
-                events.add(BusEvent.read(event));
+                events.add(BusEvent.parse(event));
             } catch (InvalidValueException e) {
                 faults.add("known: " + e.getMessage());
             }
@@ -138,7 +140,10 @@
         return List.copyOf(events);
     }
 
-    /** The form of the simulator's wire: paths of names, lists set apart by commas, lists of objects by number. */
+    /**
+     * Flattens a document into the form that the simulator sends: dotted paths as keys, lists as values separated
+     * by commas, and for lists of objects a {@code .count} and the index in the path.
+     */
     private static void flatten(String path, JsonNode node, Map<String, String> into) {
         if (node.isObject()) {
             node.properties()
--- a/manager/src/main/java/calicovale/manager/servers/VideoServer.java
+++ b/manager/src/main/java/calicovale/manager/servers/VideoServer.java
@@ -5,45 +5,48 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Owns what is known of one video server: its address and links, and the signs of life. */
+/**
+ * State of one video server: its address, its links and when it was last heard or failed to answer. Times are clock
+ * times in ms.
+ */
 final class VideoServer {
     final long number;
     final String name;
     InetSocketAddress address;
-    /** Whether the list has named it; else sessions that were handed over did. */
+    /** Whether the server list has named it; if not, a session that was handed over did. */
     boolean listed;
 
     boolean gone;
     double startedAtMs;
     final Set<ServerLink> links = new LinkedHashSet<>();
-    final double knownAtMs;
-    double heardAtMs;
-    double lookedAtMs;
-    /** Part by which its silences are taken longer: managers that hear of it together must not look at it together. */
-    final double spread;
-    /** Connections refused one after the other, and since when. */
-    int refusals;
+    final double firstKnownAtMs;
+    double lastReceivedAtMs;
+    double lastCheckedAtMs;
+    /** Fraction that is added to its silence timeout, so that managers do not all check it at the same time. */
+    final double silenceJitter;
+    /** Consecutive refused connections, and when the first of them was refused. */
+    int consecutiveRefusals;
 
     double refusedSinceMs;
-    /** Since when connections do not come up; 0: they do, or none was tried. */
+    /** Since when connections time out; 0: they do not, or none was tried. */
     double unreachableSinceMs;
 
-    Timer again;
-    /** Tries to reach it since it was last heard. */
-    int tries;
-    /** Links that never stood, one after the other, with releases waiting on them. */
-    int resends;
+    Timer reconnectTimer;
+    /** Reconnect attempts since the last message. */
+    int reconnectAttempts;
+    /** Consecutive links that never opened and had releases queued. */
+    int releaseResends;
 
-    VideoServer(long number, String name, double nowMs, double spread) {
+    VideoServer(long number, String name, double nowMs, double silenceJitter) {
         this.number = number;
         this.name = name;
-        this.spread = spread;
-        knownAtMs = nowMs;
-        heardAtMs = nowMs;
+        this.silenceJitter = silenceJitter;
+        firstKnownAtMs = nowMs;
+        lastReceivedAtMs = nowMs;
     }
 
-    boolean anyOpen() {
-        return links.stream().anyMatch(link -> link.open && !link.useless);
+    boolean hasUsableLink() {
+        return links.stream().anyMatch(link -> link.open && !link.unusable);
     }
 
     @Override
