--- a/gossip/src/main/java/calicovale/gossip/claims/Claim.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Claim.java
@@ -1,17 +1,18 @@
 package calicovale.gossip.claims;
 
 /**
- * What one member saw at one box.
+ * One kind of trouble that a member observed at one box.
  *
  * @param box number of the box
- * @param kind what it saw
- * @param strength part of its attempts there that went so, above 0 up to 1
- * @param ageMs how long before the statement it was last seen; clocks of members may differ, so no time is told
- * @param lastsMs from the statement on for which it holds
+ * @param kind kind of the trouble
+ * @param strength fraction of the member's attempts at the box that failed, above 0 and up to 1
+ * @param ageMs time from the last such observation to the statement, in ms; a duration because the members' clocks may
+ *     differ
+ * @param validityMs time for which the claim holds from the statement on, in ms
  */
-public record Claim(long box, Kind kind, double strength, double ageMs, double lastsMs) {
+public record Claim(long box, Kind kind, double strength, double ageMs, double validityMs) {
 
-    /** What can go wrong at a box. */
+    /** Kind of trouble. The names are part of the status, and the order is part of the wire format. */
     public enum Kind {
         FAILED,
         TIMEOUT,
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimBook.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimBook.java
@@ -8,67 +8,73 @@
 import java.util.Objects;
 
 /**
- * Owns the newest statement of each member, this one included, and what of them is still to be spread. A statement counts once
- * its proof was checked; a relay can neither change it nor say it anew.
+ * The latest statement of each member, including this one, and the queue of those still to be disseminated. A statement
+ * is stored only once its proof was verified, so that a relaying member can neither change nor repeat it as new.
  */
 public final class ClaimBook {
 
-    /** A statement and when it came, in ms of the clock here. */
-    public record Held(Statement statement, double atMs) {}
+    /** A statement and the time of its receipt, in ms of the local clock. */
+    public record StoredStatement(Statement statement, double receivedMs) {}
 
     private final ClaimSettings settings;
     private final String self;
     private final ClaimProofs proofs;
-    private final Map<String, Held> held = new LinkedHashMap<>();
-    private final Map<String, Integer> spread = new LinkedHashMap<>();
-    private long refused;
+    private final Map<String, StoredStatement> statements = new LinkedHashMap<>();
+    private final Map<String, Integer> transmissions = new LinkedHashMap<>();
+    private long rejected;
 
-    /** The book of one member. */
+    /** Creates the store of one member; {@code self} is its id. */
     public ClaimBook(ClaimSettings settings, String self, ClaimProofs proofs) {
         this.settings = settings;
         this.self = self;
         this.proofs = proofs;
     }
 
-    /** Statements that were not taken: unproved, from another time, or too long. */
-    public long refused() {
-        return refused;
+    /**
+     * Returns the number of rejected statements: invalid proof, a version outside the clock skew, too many claims, two
+     * claims on one box, or too many members.
+     */
+    public long rejected() {
+        return rejected;
     }
 
-    /** All statements held. */
-    public Collection<Held> held() {
-        return List.copyOf(held.values());
+    /** Returns all stored statements. */
+    public Collection<StoredStatement> held() {
+        return List.copyOf(statements.values());
     }
 
     /**
-     * Says what this member claims now: a new statement if something changed, or if the last is to be said again.
+     * Updates this member's own statement. A new one is made if the claims changed or the refresh interval is over.
      *
-     * @param wallMs the wall clock, of which the statement's number is made
+     * @param wallMs wall clock in ms since 1970, from which the statement's version is made
      */
     public void say(double nowMs, double wallMs, List<Claim> claims) {
-        Held last = held.get(self);
+        StoredStatement last = statements.get(self);
         List<Claim> before = last == null ? List.of() : last.statement().claims();
         if (claims.isEmpty() && before.isEmpty()) {
             return;
         }
-        if (same(before, claims) && nowMs - last.atMs() < settings.refreshMs()) {
+        if (sameClaims(before, claims) && nowMs - last.receivedMs() < settings.refreshIntervalMs()) {
             return;
         }
-        long number =
-                Math.max((long) wallMs, last == null ? 0 : last.statement().number() + 1);
-        Statement said = new Statement(self, number, List.copyOf(claims), new byte[0]);
-        said = new Statement(self, number, said.claims(), proofs.prove(said));
-        held.put(self, new Held(said, nowMs));
-        spread.put(self, 0);
+        long version =
+                Math.max((long) wallMs, last == null ? 0 : last.statement().version() + 1);
+        Statement statement = new Statement(self, version, List.copyOf(claims), new byte[0]);
+        statement = new Statement(self, version, statement.claims(), proofs.prove(statement));
+        statements.put(self, new StoredStatement(statement, nowMs));
+        transmissions.put(self, 0);
     }
 
-    /** Whether they say the same of the same boxes, whatever their ages and small changes of strength. */
-    private static boolean same(List<Claim> a, List<Claim> b) {
-        if (a.size() != b.size()) {
+    /**
+     * Returns whether both lists make the same claims on the same boxes, apart from ages and strengths that differ by
+     * less than 0.25.
+     */
+    private static boolean sameClaims(List<Claim> first, List<Claim> second) {
+        if (first.size() != second.size()) {
             return false;
         }
-        for (Claim claim : a) {
-            if (b.stream()
+        for (Claim claim : first) {
+            if (second.stream()
                     .noneMatch(other -> other.box() == claim.box()
                             && Objects.equals(other.kind(), claim.kind())
                             && Math.abs(other.strength() - claim.strength()) < 0.25)) {
@@ -78,56 +84,67 @@
         return true;
     }
 
-    /** Takes a statement, whoever brought it; false if it was known or is not to be believed. */
-    public boolean take(double nowMs, double wallMs, Statement s) {
-        Held before = held.get(s.from());
-        if (s.from().equals(self)
-                || before != null && s.number() <= before.statement().number()) {
+    /**
+     * Stores a received statement, regardless of which member relayed it; returns false if it is not newer than the
+     * stored one or is rejected.
+     */
+    public boolean take(double nowMs, double wallMs, Statement statement) {
+        StoredStatement before = statements.get(statement.from());
+        if (statement.from().equals(self)
+                || before != null && statement.version() <= before.statement().version()) {
             return false;
         }
-        boolean twice = s.claims().stream().map(Claim::box).distinct().count()
-                < s.claims().size();
-        if (Math.abs(s.number() - wallMs) > settings.windowMs()
-                || twice
-                || s.claims().size() > settings.claimsMost()
-                || before == null && held.size() >= settings.membersMost()
-                || !proofs.proved(s)) {
-            refused++;
+        boolean duplicateBox =
+                statement.claims().stream().map(Claim::box).distinct().count()
+                        < statement.claims().size();
+        if (Math.abs(statement.version() - wallMs) > settings.maxClockSkewMs()
+                || duplicateBox
+                || statement.claims().size() > settings.maxClaimsPerStatement()
+                || before == null && statements.size() >= settings.maxMembers()
+                || !proofs.proved(statement)) {
+            rejected++;
             return false;
         }
-        held.put(s.from(), new Held(s, nowMs));
-        spread.put(s.from(), 0);
+        statements.put(statement.from(), new StoredStatement(statement, nowMs));
+        transmissions.put(statement.from(), 0);
         return true;
     }
 
-    /** Drops what a member said: it is not of the group any more. */
-    public void forget(String member) {
-        held.remove(member);
-        spread.remove(member);
+    /** Removes the statement of a member that has left the group. */
+    public void remove(String member) {
+        statements.remove(member);
+        transmissions.remove(member);
     }
 
-    /** Drops statements of which nothing holds any more. Their numbers are kept as long as a replay could pass for new. */
+    /**
+     * Removes old statements. They are kept beyond the validity of their claims, for as long as a replayed statement
+     * could pass for a new one.
+     */
     public void expire(double nowMs) {
-        held.values().removeIf(h -> nowMs - h.atMs() > 2 * settings.windowMs());
-        spread.keySet().retainAll(held.keySet());
+        statements.values().removeIf(stored -> nowMs - stored.receivedMs() > 2 * settings.maxClockSkewMs());
+        transmissions.keySet().retainAll(statements.keySet());
     }
 
-    /** Statements for one message; each goes out so many times. */
-    public List<Statement> take(int times) {
-        List<String> order = new ArrayList<>(spread.keySet());
-        order.sort((a, b) -> Integer.compare(spread.get(a), spread.get(b)));
+    /**
+     * Returns the least-sent pending statements for one message; each one is returned {@code maxTransmissions} times in
+     * all.
+     */
+    public List<Statement> take(int maxTransmissions) {
+        List<String> leastSentFirst = new ArrayList<>(transmissions.keySet());
+        leastSentFirst.sort((first, second) -> Integer.compare(transmissions.get(first), transmissions.get(second)));
         List<Statement> result = new ArrayList<>();
-        for (String from : order.subList(0, Math.min(settings.perMessage(), order.size()))) {
-            result.add(held.get(from).statement());
-            if (spread.merge(from, 1, Integer::sum) >= times) {
-                spread.remove(from);
+        for (String reporter :
+                leastSentFirst.subList(0, Math.min(settings.statementsPerMessage(), leastSentFirst.size()))) {
+            result.add(statements.get(reporter).statement());
+            if (transmissions.merge(reporter, 1, Integer::sum) >= maxTransmissions) {
+                transmissions.remove(reporter);
             }
         }
         return result;
     }
 
-    /** Whether something is to be spread. */
-    public boolean spreads() {
-        return !spread.isEmpty();
+    /** Returns whether a statement is still to be disseminated. */
+    public boolean hasPending() {
+        return !transmissions.isEmpty();
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimProofs.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimProofs.java
@@ -1,10 +1,10 @@
 package calicovale.gossip.claims;
 
-/** Makes and checks proofs of statements; what carries the messages supplies it. */
+/** Creates and verifies proofs of statements; supplied by the layer that carries the messages. */
 public interface ClaimProofs {
-    /** This member's proof of its own statement. */
+    /** Returns this member's proof of its own statement. */
     byte[] prove(Statement statement);
 
-    /** Whether the member that a statement is from said it. */
+    /** Returns whether the member that a statement names as its author made it. */
     boolean proved(Statement statement);
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
@@ -1,42 +1,44 @@
 package calicovale.gossip.claims;
 
 /**
- * The figures of claims; all members should have the same.
+ * Settings of claims; all members of a group should use the same.
  *
- * @param claimsMost claims in one statement
- * @param membersMost members whose statements are held
- * @param lastsMs for which a claim holds without being said again
- * @param refreshMs after which a statement that still holds is said again
- * @param windowMs by which a statement's number may differ from the clock here: clocks differ, and old ones are replayed
- * @param perMessage statements that one message carries
- * @param seenMs for which outcomes at a box count
- * @param leastStrength part of the outcomes that must be bad for a claim
- * @param shortShare share delivered below which a delivery is a symptom
- * @param quorumLeast members that must say so before anything is believed
- * @param quorumPart the same as a part of the members present; the larger counts
- * @param ownMs for which a set-up that worked here outranks whatever others say
- * @param believedMs between two looks at what is to be believed
+ * @param maxClaimsPerStatement largest number of claims in one statement
+ * @param maxMembers largest number of members whose statements are stored
+ * @param lastsMs time for which a claim holds without being refreshed
+ * @param refreshIntervalMs time after which a statement that still holds is sent again
+ * @param maxClockSkewMs largest difference between a statement's version and the local clock: clocks differ, but
+ *     replays of old statements must be rejected
+ * @param statementsPerMessage number of statements in one message
+ * @param outcomeWindowMs time for which an outcome at a box counts
+ * @param minStrength fraction of the outcomes at a box that must be failures for a claim
+ * @param shortShare delivered share below which a delivery counts as a failure
+ * @param minQuorum least number of members that must claim trouble at a box before there is evidence
+ * @param quorumFraction the same as a fraction of the present members; the larger of the two counts
+ * @param ownSuccessPriorityMs time for which this member's own successful set-up at a box overrides the claims of
+ *     others
+ * @param believedMs time between two evaluations of the claims
  */
 public record ClaimSettings(
-        int claimsMost,
-        int membersMost,
+        int maxClaimsPerStatement,
+        int maxMembers,
         double lastsMs,
-        double refreshMs,
-        double windowMs,
-        int perMessage,
-        double seenMs,
-        double leastStrength,
+        double refreshIntervalMs,
+        double maxClockSkewMs,
+        int statementsPerMessage,
+        double outcomeWindowMs,
+        double minStrength,
         double shortShare,
-        int quorumLeast,
-        double quorumPart,
-        double ownMs,
+        int minQuorum,
+        double quorumFraction,
+        double ownSuccessPriorityMs,
         double believedMs) {
-    /** Figures for a local network. */
+    /** Settings for a local network. */
     public static final ClaimSettings LAN =
             new ClaimSettings(8, 1000, 8000, 2000, 30_000, 2, 8000, 0.3, 0.5, 2, 0.2, 4000, 250);
 
-    /** Members that must say so in a group of so many. */
-    public int quorum(int present) {
-        return Math.max(quorumLeast, (int) Math.ceil(quorumPart * present));
+    /** Returns the number of members that must claim trouble at a box in a group of {@code presentMembers}. */
+    public int quorum(int presentMembers) {
+        return Math.max(minQuorum, (int) Math.ceil(quorumFraction * presentMembers));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/Judge.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Judge.java
@@ -9,172 +9,205 @@
 import java.util.TreeMap;
 
 /**
- * Owns what this member makes of all statements: an evidence from 0 to 1 for each box. Below a quorum of members nothing is
- * believed; each has one voice, however often it speaks and under however many boxes it divides it; what worked here of late
- * outranks all of them; and a member whose claims are contradicted by what is seen here has less of a voice until that is past.
+ * Evaluates the statements of all members into evidence from 0 to 1 against each box. There is evidence only from a
+ * quorum of members on. Each member has a total weight of at most 1, which is divided among the boxes that it claims,
+ * however many statements it sends. A recent own success at a box overrides all claims. A member whose claims are
+ * contradicted by own observations loses weight, which it recovers over time.
  */
 public final class Judge {
-    /** What is left of a voice after a claim of its was contradicted: three liars in four are silent after two. */
-    private static final double CONTRADICTED = 0.5;
-    /** Set-ups that worked, none failing between, that contradict a claim: one may be luck at a box that fails half of them. */
-    private static final int WORKED = 2;
-    /** Ms between two contradictions of one member's claims on one box: set-ups are many, a claim is one. */
-    private static final double AGAIN_MS = 2000;
-    /** Voice regained in a second: a whole one in a minute or so. */
-    private static final double REGAIN = 0.015;
-    /** Least voice, so that one who was wrong is still heard of when it is right among others. */
-    private static final double LEAST = 0.05;
-    /** Part of a claim's time from which on it fades, so that all who believe it do not come back in one moment. */
-    private static final double FADES = 0.5;
-    /** Part of the quorum down to which what is believed stays so: else fewer trials, hence fewer claims, would end it at once. */
-    private static final double HOLDS = 0.5;
     /**
-     * Ms in which half of an evidence is forgotten once its claims are: those who failed together fall silent together, and if
-     * all came back with them, all would fail together again.
+     * Factor by which a contradiction lowers a reporter's weight: after two contradictions each, three false reporters
+     * among four members are below the quorum.
      */
-    private static final double FORGETS_MS = 3000;
-    /** Evidence that is none any more. */
-    private static final double NEGLIGIBLE = 0.05;
+    private static final double CONTRADICTION_FACTOR = 0.5;
+    /**
+     * Consecutive successful set-ups that contradict a claim: a single one may be luck at a box that fails half of
+     * them.
+     */
+    private static final int SUCCESSES_TO_CONTRADICT = 2;
+    /**
+     * Least time between two contradictions of one member's claims on one box, in ms: one claim meets many set-ups and
+     * must not be counted against its reporter at each.
+     */
+    private static final double CONTRADICTION_INTERVAL_MS = 2000;
+    /** Weight that a reporter recovers per second: all of it in about a minute. */
+    private static final double WEIGHT_RECOVERY_PER_S = 0.015;
+    /**
+     * Lower bound of a reporter's weight, so that a member that was wrong still counts when it is right together with
+     * others.
+     */
+    private static final double MIN_WEIGHT = 0.05;
+    /**
+     * Fraction of a claim's validity after which its weight fades, so that the members that rely on it do not all
+     * return to the box at the same moment.
+     */
+    private static final double FADE_START_FRACTION = 0.5;
+    /**
+     * Fraction of the quorum that keeps existing evidence valid: evidence reduces the attempts at the box and so the
+     * new claims, which would end it at once at the full quorum.
+     */
+    private static final double RETENTION_QUORUM_FRACTION = 0.5;
+    /**
+     * Time in ms in which evidence halves once its claims are gone: members that failed together stop claiming
+     * together, and if all came back to the box at once, all would fail together again.
+     */
+    private static final double EVIDENCE_HALF_LIFE_MS = 3000;
+    /** Evidence below this counts as none. */
+    private static final double MIN_EVIDENCE = 0.05;
 
-    private static final class Own {
-        double goodMs = Double.NEGATIVE_INFINITY;
-        double badMs = Double.NEGATIVE_INFINITY;
-        int worked;
+    private static final class OwnOutcomes {
+        double lastSuccessMs = Double.NEGATIVE_INFINITY;
+        double lastFailureMs = Double.NEGATIVE_INFINITY;
+        int consecutiveSuccesses;
     }
 
-    private static final class Voice {
+    private static final class ReporterWeight {
         double weight = 1;
-        double atMs;
-        final Map<Long, Double> contradictedMs = new HashMap<>();
+        double updatedMs;
+        final Map<Long, Double> lastContradictionMs = new HashMap<>();
     }
 
     private final ClaimSettings settings;
     private final String self;
-    private final int boxesMost;
-    private final Map<Long, Own> own = new LinkedHashMap<>();
-    private final Map<String, Voice> voices = new HashMap<>();
-    private final Set<Long> believed = new HashSet<>();
-    private final Map<Long, Double> remembered = new TreeMap<>();
-    private double rememberedMs;
+    private final int maxBoxes;
+    private final Map<Long, OwnOutcomes> ownOutcomes = new LinkedHashMap<>();
+    private final Map<String, ReporterWeight> reporterWeights = new HashMap<>();
+    private final Set<Long> quorumReached = new HashSet<>();
+    private final Map<Long, Double> fadingEvidence = new TreeMap<>();
+    private double lastDecayMs;
     private long contradictions;
 
-    /** The judge of one member. */
-    public Judge(ClaimSettings settings, String self, int boxesMost) {
+    /**
+     * Creates the evaluation of one member; {@code self} is its id, {@code maxBoxes} the largest number of boxes with
+     * own outcomes.
+     */
+    public Judge(ClaimSettings settings, String self, int maxBoxes) {
         this.settings = settings;
         this.self = self;
-        this.boxesMost = boxesMost;
+        this.maxBoxes = maxBoxes;
     }
 
-    /** Claims of others that what was seen here contradicted. */
+    /** Returns the number of other members' claims that own observations contradicted. */
     public long contradictions() {
         return contradictions;
     }
 
-    /** A member's voice now, from 0 to 1. */
-    public double voice(String member, double nowMs) {
-        Voice v = voices.get(member);
-        return v == null ? 1 : weight(v, nowMs);
+    /** Returns the weight of a member's claims at this time, from 0 to 1. */
+    public double reporterWeight(String member, double nowMs) {
+        ReporterWeight weight = reporterWeights.get(member);
+        return weight == null ? 1 : recoveredWeight(weight, nowMs);
     }
 
-    private static double weight(Voice v, double nowMs) {
-        v.weight = Math.min(1, v.weight + REGAIN * (nowMs - v.atMs) / 1000);
-        v.atMs = nowMs;
-        return v.weight;
+    private static double recoveredWeight(ReporterWeight reporter, double nowMs) {
+        reporter.weight = Math.min(1, reporter.weight + WEIGHT_RECOVERY_PER_S * (nowMs - reporter.updatedMs) / 1000);
+        reporter.updatedMs = nowMs;
+        return reporter.weight;
     }
 
-    /** This member saw a set-up work or fail; what it worked against among the statements loses weight. */
-    public void saw(double nowMs, long box, boolean good, Collection<ClaimBook.Held> held) {
-        if (!own.containsKey(box) && own.size() >= boxesMost) {
-            own.remove(own.keySet().iterator().next());
+    /**
+     * Records an own set-up that succeeded or failed; repeated success lowers the weight of the members that claim
+     * trouble at the box.
+     */
+    public void saw(double nowMs, long box, boolean success, Collection<ClaimBook.StoredStatement> statements) {
+        if (!ownOutcomes.containsKey(box) && ownOutcomes.size() >= maxBoxes) {
+            ownOutcomes.remove(ownOutcomes.keySet().iterator().next());
         }
-        Own o = own.computeIfAbsent(box, b -> new Own());
-        if (!good) {
-            o.badMs = nowMs;
-            o.worked = 0;
+        OwnOutcomes outcomes = ownOutcomes.computeIfAbsent(box, key -> new OwnOutcomes());
+        if (!success) {
+            outcomes.lastFailureMs = nowMs;
+            outcomes.consecutiveSuccesses = 0;
             return;
         }
-        o.goodMs = nowMs;
-        if (++o.worked < WORKED) {
+        outcomes.lastSuccessMs = nowMs;
+        if (++outcomes.consecutiveSuccesses < SUCCESSES_TO_CONTRADICT) {
             return;
         }
-        for (ClaimBook.Held h : held) {
-            String from = h.statement().from();
-            if (from.equals(self)) {
+        for (ClaimBook.StoredStatement stored : statements) {
+            String reporter = stored.statement().from();
+            if (reporter.equals(self)) {
                 continue;
             }
-            for (Claim c : h.statement().claims()) {
-                double age = nowMs - h.atMs();
-                if (c.box() == box && age < c.lastsMs()) {
-                    contradict(from, box, nowMs);
+            for (Claim claim : stored.statement().claims()) {
+                double ageMs = nowMs - stored.receivedMs();
+                if (claim.box() == box && ageMs < claim.validityMs()) {
+                    contradict(reporter, box, nowMs);
                 }
             }
         }
     }
 
-    /** Lets what was believed fade, and adds what is left of it. */
-    private void remember(double nowMs, Map<Long, Double> present) {
-        double left = Math.pow(0.5, (nowMs - rememberedMs) / FORGETS_MS);
-        rememberedMs = nowMs;
-        remembered.replaceAll((box, strength) -> strength * left);
-        remembered.keySet().removeIf(box -> {
-            Own o = own.get(box);
-            return remembered.get(box) < NEGLIGIBLE
-                    || o != null && o.goodMs > o.badMs && nowMs - o.goodMs < settings.ownMs();
+    /** Decays earlier evidence and merges it into {@code current}, the larger of the two for each box. */
+    private void mergeFadingEvidence(double nowMs, Map<Long, Double> current) {
+        double remainingFraction = Math.pow(0.5, (nowMs - lastDecayMs) / EVIDENCE_HALF_LIFE_MS);
+        lastDecayMs = nowMs;
+        fadingEvidence.replaceAll((box, strength) -> strength * remainingFraction);
+        fadingEvidence.keySet().removeIf(box -> {
+            OwnOutcomes outcomes = ownOutcomes.get(box);
+            return fadingEvidence.get(box) < MIN_EVIDENCE
+                    || outcomes != null
+                            && outcomes.lastSuccessMs > outcomes.lastFailureMs
+                            && nowMs - outcomes.lastSuccessMs < settings.ownSuccessPriorityMs();
         });
-        present.forEach((box, strength) -> remembered.merge(box, strength, Math::max));
-        present.putAll(remembered);
+        current.forEach((box, strength) -> fadingEvidence.merge(box, strength, Math::max));
+        current.putAll(fadingEvidence);
     }
 
-    private void contradict(String from, long box, double nowMs) {
-        if (!voices.containsKey(from) && voices.size() >= settings.membersMost()) {
+    private void contradict(String reporter, long box, double nowMs) {
+        if (!reporterWeights.containsKey(reporter) && reporterWeights.size() >= settings.maxMembers()) {
             return;
         }
-        Voice v = voices.computeIfAbsent(from, f -> new Voice());
-        if (nowMs - v.contradictedMs.getOrDefault(box, Double.NEGATIVE_INFINITY) < AGAIN_MS) {
+        ReporterWeight weight = reporterWeights.computeIfAbsent(reporter, key -> new ReporterWeight());
+        if (nowMs - weight.lastContradictionMs.getOrDefault(box, Double.NEGATIVE_INFINITY)
+                < CONTRADICTION_INTERVAL_MS) {
             return;
         }
-        v.contradictedMs.values().removeIf(at -> nowMs - at >= AGAIN_MS);
-        v.contradictedMs.put(box, nowMs);
-        v.weight = Math.max(LEAST, weight(v, nowMs) * CONTRADICTED);
+        weight.lastContradictionMs.values().removeIf(at -> nowMs - at >= CONTRADICTION_INTERVAL_MS);
+        weight.lastContradictionMs.put(box, nowMs);
+        weight.weight = Math.max(MIN_WEIGHT, recoveredWeight(weight, nowMs) * CONTRADICTION_FACTOR);
         contradictions++;
     }
 
-    /** The evidence against each box of which there is any, in a group of so many present members. */
-    public Map<Long, Double> evidence(double nowMs, int present, Collection<ClaimBook.Held> held) {
+    /** Returns the evidence against each box for which there is any, in a group of {@code presentMembers}. */
+    public Map<Long, Double> evidence(
+            double nowMs, int presentMembers, Collection<ClaimBook.StoredStatement> statements) {
         Map<Long, double[]> votes = new TreeMap<>();
-        for (ClaimBook.Held h : held) {
-            String from = h.statement().from();
-            double age = nowMs - h.atMs();
-            double weight = from.equals(self) ? 1 : voice(from, nowMs);
-            long boxes = h.statement().claims().stream()
-                    .filter(c -> age < c.lastsMs())
+        for (ClaimBook.StoredStatement stored : statements) {
+            String reporter = stored.statement().from();
+            double ageMs = nowMs - stored.receivedMs();
+            double weight = reporter.equals(self) ? 1 : reporterWeight(reporter, nowMs);
+            long validClaims = stored.statement().claims().stream()
+                    .filter(claim -> ageMs < claim.validityMs())
                     .count();
-            for (Claim c : h.statement().claims()) {
-                if (age >= c.lastsMs()) {
+            for (Claim claim : stored.statement().claims()) {
+                if (ageMs >= claim.validityMs()) {
                     continue;
                 }
-                double fresh = Math.min(1, (c.lastsMs() - age) / ((1 - FADES) * c.lastsMs()));
-                double[] of = votes.computeIfAbsent(c.box(), b -> new double[2]);
-                of[0] += weight;
-                of[1] += weight * c.strength() * fresh / boxes;
+                double freshness =
+                        Math.min(1, (claim.validityMs() - ageMs) / ((1 - FADE_START_FRACTION) * claim.validityMs()));
+                double[] weightAndEvidence = votes.computeIfAbsent(claim.box(), key -> new double[2]);
+                weightAndEvidence[0] += weight;
+                weightAndEvidence[1] += weight * claim.strength() * freshness / validClaims;
             }
         }
-        int quorum = settings.quorum(present);
-        believed.retainAll(votes.keySet());
+        int quorum = settings.quorum(presentMembers);
+        quorumReached.retainAll(votes.keySet());
         Map<Long, Double> result = new TreeMap<>();
-        votes.forEach((box, of) -> {
-            Own o = own.get(box);
-            boolean works = o != null && o.goodMs > o.badMs && nowMs - o.goodMs < settings.ownMs();
-            if (of[0] < (believed.contains(box) ? HOLDS * quorum : quorum) - 1e-9) {
-                believed.remove(box);
+        votes.forEach((box, weightAndEvidence) -> {
+            OwnOutcomes outcomes = ownOutcomes.get(box);
+            boolean recentlyWorked = outcomes != null
+                    && outcomes.lastSuccessMs > outcomes.lastFailureMs
+                    && nowMs - outcomes.lastSuccessMs < settings.ownSuccessPriorityMs();
+            if (weightAndEvidence[0]
+                    < (quorumReached.contains(box) ? RETENTION_QUORUM_FRACTION * quorum : quorum) - 1e-9) {
+                quorumReached.remove(box);
                 return;
             }
-            believed.add(box);
-            if (!works) {
-                result.put(box, Math.min(1, of[1] / quorum));
+            quorumReached.add(box);
+            if (!recentlyWorked) {
+                result.put(box, Math.min(1, weightAndEvidence[1] / quorum));
             }
         });
-        remember(nowMs, result);
+        mergeFadingEvidence(nowMs, result);
         return result;
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
@@ -9,89 +9,96 @@
 import java.util.List;
 import java.util.Map;
 
-/** Owns what this member saw of boxes itself of late, and makes its claims of it. Times are ms of one clock. */
+/**
+ * Recent outcomes that this member observed at boxes, from which it makes its claims. Times are in ms of one monotonic
+ * clock.
+ */
 public final class Outcomes {
-    /** Outcomes remembered of one box: enough for a strength in steps of a few per cent. */
-    private static final int MOST_OF_BOX = 64;
+    /** Number of outcomes kept for each box: enough for a strength in steps of a few per cent. */
+    private static final int MAX_OUTCOMES_PER_BOX = 64;
 
     private record Outcome(double atMs, Kind kind) {}
 
     private final ClaimSettings settings;
-    private final int boxesMost;
+    private final int maxBoxes;
     private final Map<Long, ArrayDeque<Outcome>> boxes = new LinkedHashMap<>();
-    private long overBound;
+    private long rejectedOverBound;
 
-    /** Sees at most so many boxes at once. */
-    public Outcomes(ClaimSettings settings, int boxesMost) {
+    /** Creates an empty record of at most {@code maxBoxes} boxes at a time. */
+    public Outcomes(ClaimSettings settings, int maxBoxes) {
         this.settings = settings;
-        this.boxesMost = boxesMost;
+        this.maxBoxes = maxBoxes;
     }
 
-    /** Takes an outcome; {@code kind} null: all was well. */
+    /** Records an outcome; {@code kind} is null for a success. */
     public void saw(double nowMs, long box, Kind kind) {
-        ArrayDeque<Outcome> of = boxes.get(box);
-        if (of == null) {
-            if (boxes.size() >= boxesMost) {
-                overBound++;
+        ArrayDeque<Outcome> outcomes = boxes.get(box);
+        if (outcomes == null) {
+            if (boxes.size() >= maxBoxes) {
+                rejectedOverBound++;
                 return;
             }
-            of = new ArrayDeque<>();
-            boxes.put(box, of);
+            outcomes = new ArrayDeque<>();
+            boxes.put(box, outcomes);
         }
-        if (of.size() >= MOST_OF_BOX) {
-            of.removeFirst();
+        if (outcomes.size() >= MAX_OUTCOMES_PER_BOX) {
+            outcomes.removeFirst();
         }
-        of.addLast(new Outcome(nowMs, kind));
+        outcomes.addLast(new Outcome(nowMs, kind));
     }
 
-    /** Outcomes not taken because too many boxes are known. */
-    public long overBound() {
-        return overBound;
+    /** Returns the number of outcomes not recorded because {@code maxBoxes} boxes are recorded already. */
+    public long rejectedOverBound() {
+        return rejectedOverBound;
     }
 
-    /** The claims that hold now, the strongest first. */
+    /** Returns the claims that hold now, the strongest first. */
     public List<Claim> claims(double nowMs) {
         List<Claim> result = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, ArrayDeque<Outcome>>> i = boxes.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Long, ArrayDeque<Outcome>> e = i.next();
-            ArrayDeque<Outcome> of = e.getValue();
-            while (!of.isEmpty() && nowMs - of.peekFirst().atMs() > settings.seenMs()) {
-                of.removeFirst();
+        for (Iterator<Map.Entry<Long, ArrayDeque<Outcome>>> iterator =
+                        boxes.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<Long, ArrayDeque<Outcome>> entry = iterator.next();
+            ArrayDeque<Outcome> outcomes = entry.getValue();
+            while (!outcomes.isEmpty() && nowMs - outcomes.peekFirst().atMs() > settings.outcomeWindowMs()) {
+                outcomes.removeFirst();
             }
-            if (of.isEmpty()) {
-                i.remove();
+            if (outcomes.isEmpty()) {
+                iterator.remove();
                 continue;
             }
-            Claim claim = claim(nowMs, e.getKey(), of);
+            Claim claim = claim(nowMs, entry.getKey(), outcomes);
             if (claim != null) {
                 result.add(claim);
             }
         }
         result.sort(
                 Comparator.comparingDouble((Claim claim) -> -claim.strength()).thenComparingLong(Claim::box));
-        return List.copyOf(result.subList(0, Math.min(settings.claimsMost(), result.size())));
+        return List.copyOf(result.subList(0, Math.min(settings.maxClaimsPerStatement(), result.size())));
     }
 
-    private Claim claim(double nowMs, long box, ArrayDeque<Outcome> of) {
-        int[] kinds = new int[Kind.values().length];
-        int bad = 0;
-        Outcome last = null;
-        for (Outcome o : of) {
-            if (o.kind() != null) {
-                kinds[o.kind().ordinal()]++;
-                bad++;
-                last = o;
+    private Claim claim(double nowMs, long box, ArrayDeque<Outcome> outcomes) {
+        int[] countByKind = new int[Kind.values().length];
+        int failures = 0;
+        Outcome lastFailure = null;
+        for (Outcome outcome : outcomes) {
+            if (outcome.kind() != null) {
+                countByKind[outcome.kind().ordinal()]++;
+                failures++;
+                lastFailure = outcome;
             }
         }
-        double strength = bad / (double) of.size();
-        // what worked since it last failed is no suspicion any more
-        if (last == null || strength < settings.leastStrength() || of.peekLast().kind() == null) {
+        double strength = failures / (double) outcomes.size();
+        // A box that has worked since its last failure is no longer claimed.
+        if (lastFailure == null
+                || strength < settings.minStrength()
+                || outcomes.peekLast().kind() == null) {
             return null;
         }
-        int most = 0;
-        for (int k = 1; k < kinds.length; k++) {
-            most = kinds[k] > kinds[most] ? k : most;
+        int mostFrequent = 0;
+        for (int kind = 1; kind < countByKind.length; kind++) {
+            mostFrequent = countByKind[kind] > countByKind[mostFrequent] ? kind : mostFrequent;
         }
-        return new Claim(box, Kind.values()[most], strength, nowMs - last.atMs(), settings.lastsMs());
+        return new Claim(box, Kind.values()[mostFrequent], strength, nowMs - lastFailure.atMs(), settings.lastsMs());
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/Statement.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Statement.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * All that one member says of boxes now; a newer one replaces it whole, an empty one takes everything back. It is relayed, so
- * it carries the member's own proof.
+ * All claims of one member at one time. A newer statement replaces the former as a whole, and an empty one withdraws
+ * all claims. Because statements are relayed by others, each carries its author's proof.
  *
- * @param from the member
- * @param number grows from statement to statement of one member, over its lives too: ms of its clock
- * @param claims at most one for each box
- * @param proof that the member said so
+ * @param from id of the member that makes the statement
+ * @param version increases with each statement of a member, also over its restarts: ms of its wall clock
+ * @param claims at most one claim for each box
+ * @param proof proof of the member, made by {@link ClaimProofs}
  */
-public record Statement(String from, long number, List<Claim> claims, byte[] proof) {}
+public record Statement(String from, long version, List<Claim> claims, byte[] proof) {}
--- a/gossip/src/main/java/calicovale/gossip/claims/package-info.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns what members say of boxes and what it is worth: statements, their spreading, and the judge. It has no I/O, no clock and
- * no random source of its own, and must not know sessions or the controller.
+ * Claims of members about boxes: statements, their dissemination, and their evaluation by a quorum. The package has no
+ * I/O, clock or random source of its own, and must not depend on sessions or the controller.
  */
 package calicovale.gossip.claims;
--- a/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
@@ -1,61 +1,66 @@
 package calicovale.gossip.member;
 
 /**
- * The figures of a group; all members should have the same.
+ * Settings of the membership protocol; all members of a group should use the same.
  *
- * @param probeMs between two probes (SWIM's protocol period)
- * @param timeoutMs for an answer to a probe, before others are asked to probe
- * @param indirect members asked to probe in one's place
- * @param suspicionMult a suspicion lasts at least this times log10 of the members times {@code probeMs}
- * @param suspicionMaxMult without independent confirmation it lasts so many times longer
- * @param retransmitMult an update is sent this times log10 of the members, by each member
- * @param newsMs between two sendings of news alone
- * @param newsTo members that each of them goes to
- * @param exchangeMs between two exchanges of all that is known; also with one that is taken for dead
- * @param healthMost bound of the local health score; 1: the member never slows itself
- * @param buddy a suspected member is told so with each probe of it
- * @param updatesMost updates that one message carries
- * @param membersMost members known
- * @param falseAlarmsMost suspicions that one member raised alone and that were refuted, after which it needs a second voice
- * @param deadKeptMs for which a member that is dead or has left is remembered
+ * @param probeIntervalMs time between two probes (SWIM's protocol period)
+ * @param probeTimeoutMs time to wait for an ack before other members are asked to probe
+ * @param indirectProbes number of members asked for an indirect probe
+ * @param suspicionMultiplier the shortest suspicion timeout is this, times log10 of the number of present members (at
+ *     least 1), times {@code probeIntervalMs}
+ * @param maxSuspicionTimeoutMultiplier factor by which the timeout of a suspicion without independent confirmation is
+ *     longer than the shortest
+ * @param retransmitMultiplier each member sends an update this many times log10 of the number of present members plus 1
+ * @param disseminationIntervalMs time between two sendings of updates that are not piggybacked on probes
+ * @param disseminationFanout number of members that each of those sendings goes to
+ * @param pushPullIntervalMs mean time between two anti-entropy rounds: a digest to a present member and the full state
+ *     to one that is taken for dead
+ * @param maxHealthMultiplier largest local health multiplier, that is, health score plus 1; with 1 a member never slows
+ *     its own probes
+ * @param buddySystem whether each ping to a suspected member carries the suspicion (Lifeguard's buddy system)
+ * @param maxUpdatesPerMessage largest number of updates in one message other than a push-pull
+ * @param maxMembers largest number of members known, and of indirect probes made for others at a time
+ * @param maxFalseSuspicions number of suspicions that a member raised alone and that were refuted, from which on its
+ *     suspicions need a second reporter
+ * @param deadRetentionMs time for which a member that is dead or has left is remembered
  */
 public record MemberSettings(
-        double probeMs,
-        double timeoutMs,
-        int indirect,
-        double suspicionMult,
-        double suspicionMaxMult,
-        double retransmitMult,
-        double newsMs,
-        int newsTo,
-        double exchangeMs,
-        int healthMost,
-        boolean buddy,
-        int updatesMost,
-        int membersMost,
-        int falseAlarmsMost,
-        double deadKeptMs) {
-    /** Figures for a local network: those of memberlist, exchanges included. */
+        double probeIntervalMs,
+        double probeTimeoutMs,
+        int indirectProbes,
+        double suspicionMultiplier,
+        double maxSuspicionTimeoutMultiplier,
+        double retransmitMultiplier,
+        double disseminationIntervalMs,
+        int disseminationFanout,
+        double pushPullIntervalMs,
+        int maxHealthMultiplier,
+        boolean buddySystem,
+        int maxUpdatesPerMessage,
+        int maxMembers,
+        int maxFalseSuspicions,
+        double deadRetentionMs) {
+    /** Settings for a local network: those of memberlist, the push-pull interval included. */
     public static final MemberSettings LAN =
             new MemberSettings(1000, 500, 3, 4, 6, 4, 200, 3, 30_000, 8, true, 8, 1000, 6, 3_600_000);
 
-    /** The same group without Lifeguard's parts: SWIM alone, for comparison. */
+    /** Returns the same settings without Lifeguard's extensions, that is plain SWIM, for comparison. */
     public MemberSettings withoutLifeguard() {
         return new MemberSettings(
-                probeMs,
-                timeoutMs,
-                indirect,
-                suspicionMult,
+                probeIntervalMs,
+                probeTimeoutMs,
+                indirectProbes,
+                suspicionMultiplier,
                 1,
-                retransmitMult,
-                newsMs,
-                newsTo,
-                exchangeMs,
+                retransmitMultiplier,
+                disseminationIntervalMs,
+                disseminationFanout,
+                pushPullIntervalMs,
                 1,
                 false,
-                updatesMost,
-                membersMost,
-                falseAlarmsMost,
-                deadKeptMs);
+                maxUpdatesPerMessage,
+                maxMembers,
+                maxFalseSuspicions,
+                deadRetentionMs);
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/member/Membership.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Membership.java
@@ -10,32 +10,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns one member's view of the group and its part of the protocol: it takes messages and the time, and gives messages. A member
- * is probed in turn, then through others, then suspected, and dead only when its suspicion ran out without its own refutation;
- * only a member itself raises its incarnation.
+ * One member's view of the group and its side of the membership protocol. Its input is received messages and the
+ * current time; its output is messages to send and changes of the view. Members are probed in turn, first directly and
+ * then through other members; a member that answers neither way is suspected, and it is dead only once the suspicion
+ * times out without a refutation by the member itself. Only a member raises its own incarnation.
  *
- * <p>All times are ms of one clock that never runs back. To be used by one thread.
+ * <p>All times are in ms of one monotonic clock. Not thread-safe: all calls must come from one thread.
  */
 public final class Membership {
 
-    /** Carries messages; it may lose them. */
-    public interface Wire {
+    /** Sends messages to other members; messages may be lost. */
+    public interface Transport {
         /** Sends a message to an address. */
         void send(String address, Message message);
 
-        /** Sends a message by a way that does not lose it while the peer is there, though it may be slower. */
+        /** Sends a message over a transport that does not lose it while the peer is up, though it may be slower. */
         default void sendReliably(String address, Message message) {
             send(address, message);
         }
     }
 
-    /** Hears of changes of the view. */
+    /** Receives changes of the view. */
     public interface Listener {
-        /** A member is taken for something else now; {@code before} null: it was not known. */
-        void changed(String id, State before, State now, long incarnation);
+        /** Called when the state of a member has changed; {@code before} is null if the member was unknown. */
+        void memberChanged(String id, State before, State after, long incarnation);
     }
 
-    /** One member as it is seen here. */
+    /** One member as seen by this one. */
     public static final class Member {
         private final String id;
         private String address;
@@ -43,95 +44,105 @@
         private State state;
         private double sinceMs;
         private Suspicion suspicion;
-        private Update alive;
-        private String whisperer;
+        private Update lastOwnUpdate;
+        private String untrustedReporter;
 
         private Member(String id) {
             this.id = id;
         }
 
-        /** Its id. */
+        /** Returns the member's id. */
         public String id() {
             return id;
         }
 
-        /** Where it is reached. */
+        /** Returns the address at which the member is reached. */
         public String address() {
             return address;
         }
 
-        /** Its incarnation as last heard. */
+        /** Returns the highest known incarnation of the member. */
         public long incarnation() {
             return incarnation;
         }
 
-        /** What it is taken for. */
+        /** Returns the state in this view. */
         public State state() {
             return state;
         }
 
-        /** Since when. */
+        /** Returns the time at which the current state began, in ms. */
         public double sinceMs() {
             return sinceMs;
         }
 
-        /** Whether it is taken for a part of the group. */
-        public boolean present() {
+        /** Returns whether the member counts as part of the group: alive or suspected. */
+        public boolean isPresent() {
             return state == State.ALIVE || state == State.SUSPECT;
         }
     }
 
-    /** A probe that is out. */
+    /** The probe in progress. */
     private static final class Probe {
         final String target;
-        final long number;
+        final long sequenceNumber;
         double indirectAtMs;
         double endMs;
         boolean indirect;
         boolean answered;
-        int nacksDue;
+        int nacksOutstanding;
 
-        Probe(String target, long number) {
+        Probe(String target, long sequenceNumber) {
             this.target = target;
-            this.number = number;
+            this.sequenceNumber = sequenceNumber;
         }
     }
 
-    /** A probe made for another. */
-    private record Errand(String forAddress, long number, double nackAtMs, double endMs) {}
+    /** An indirect probe made for another member that requested it by ping-req. */
+    private record RelayedProbe(String requesterAddress, long requesterSequenceNumber, double nackAtMs, double endMs) {}
 
-    /** An indirect probe says that it heard nothing after this part of the time-out, so that its word comes in time. */
-    private static final double NACK_PART = 0.8;
-    /** Ms in which a false alarm loses half of its say: trouble of the network that causes some lasts about as long. */
-    private static final double ALARM_HALF_MS = 60_000;
+    /**
+     * Fraction of the probe time-out after which a helper sends a nack, so that the nack still arrives within the
+     * requester's time.
+     */
+    private static final double NACK_TIMEOUT_FRACTION = 0.8;
+    /**
+     * Half-life of counted false suspicions, in ms: about as long as the network troubles last that cause some of them.
+     */
+    private static final double FALSE_SUSPICION_HALF_LIFE_MS = 60_000;
 
     private final MemberSettings settings;
     private final RandomGenerator random;
-    private final Wire wire;
-    private final Proofs proofs;
+    private final Transport transport;
+    private final UpdateProofs proofs;
     private final Listener listener;
     private final Map<String, Member> members = new LinkedHashMap<>();
     private final Member self;
-    private final NewsQueue news = new NewsQueue();
-    private final List<String> turn = new ArrayList<>();
-    private final Map<Long, Errand> errands = new LinkedHashMap<>();
+    private final DisseminationQueue dissemination = new DisseminationQueue();
+    private final List<String> probeOrder = new ArrayList<>();
+    private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
     private final List<String> seeds;
     private Probe probe;
-    private long numbers;
+    private long lastSequenceNumber;
     private int health;
     private boolean leaving;
-    private double probeAtMs;
-    private double newsAtMs;
-    private double exchangeAtMs;
-    private long overBound;
-    private long unproved;
-    /** Suspicions that a member raised alone and that were refuted, and when they were last halved. */
-    private final Map<String, double[]> falseAlarms = new LinkedHashMap<>();
+    private double nextProbeMs;
+    private double nextDisseminationMs;
+    private double nextPushPullMs;
+    private long rejectedOverBound;
+    private long rejectedUpdates;
+    /**
+     * By reporter: number of suspicions that it raised alone and that were refuted, decayed, and the time of the last
+     * decay in ms.
+     */
+    private final Map<String, double[]> falseSuspicions = new LinkedHashMap<>();
 
     /**
-     * A member that begins alone; {@code seeds} are addresses by which it joins, asked again while it is alone.
+     * Creates a member that knows only itself.
      *
-     * @param incarnation above that of any earlier life, if that is known; else it learns it from the others
+     * @param incarnation above that of any earlier process of this member if that is known; otherwise the member learns
+     *     of the earlier one from the others
+     * @param seeds addresses by which it joins; contacted again whenever it knows no present member
      */
     public Membership(
             MemberSettings settings,
@@ -140,12 +151,12 @@
             long incarnation,
             List<String> seeds,
             RandomGenerator random,
-            Wire wire,
-            Proofs proofs,
+            Transport transport,
+            UpdateProofs proofs,
             Listener listener) {
         this.settings = settings;
         this.random = random;
-        this.wire = wire;
+        this.transport = transport;
         this.proofs = proofs;
         this.listener = listener;
         this.seeds = List.copyOf(seeds);
@@ -153,504 +164,571 @@
         self.address = address;
         self.incarnation = incarnation;
         self.state = State.ALIVE;
-        self.alive = saidOf(self, State.ALIVE);
+        self.lastOwnUpdate = signedUpdate(self, State.ALIVE);
         members.put(id, self);
     }
 
-    /** This member as it sees itself. */
+    /** Returns this member as seen by itself. */
     public Member self() {
         return self;
     }
 
-    /** All members known, the dead that are remembered included. */
+    /** Returns all known members, including this one and the dead ones that are still remembered. */
     public Collection<Member> members() {
         return List.copyOf(members.values());
     }
 
-    /** What a member is taken for; null: it is not known. */
+    /** Returns the state of a member, or null if it is unknown. */
     public State state(String id) {
-        Member m = members.get(id);
-        return m == null ? null : m.state;
+        Member member = members.get(id);
+        return member == null ? null : member.state;
     }
 
-    /** Members that are present, this one included. */
+    /** Returns the number of present members, including this one. */
     public int present() {
         int count = 0;
-        for (Member m : members.values()) {
-            count += m.present() ? 1 : 0;
+        for (Member member : members.values()) {
+            count += member.isPresent() ? 1 : 0;
         }
         return count;
     }
 
-    /** The local health score: 0 well, higher the later this member seems to be itself (Lifeguard, 4.A). */
+    /**
+     * Returns the local health score (Lifeguard, section 4.A): 0 is healthy; it grows as this member itself appears to
+     * be slow.
+     */
     public int health() {
         return health;
     }
 
-    /** Members not taken, and probes not made for others, because there are {@code membersMost} already. */
-    public long overBound() {
-        return overBound;
+    /**
+     * Returns the number of members that were not added, and of ping-reqs that were not served, because of the bound
+     * {@code maxMembers}.
+     */
+    public long rejectedOverBound() {
+        return rejectedOverBound;
     }
 
-    /** Updates that were not taken because their proof was wrong. */
-    public long unproved() {
-        return unproved;
+    /** Returns the number of updates rejected because their proof was invalid or their reporter may not make them. */
+    public long rejectedUpdates() {
+        return rejectedUpdates;
     }
 
-    /** Some present members' addresses, drawn anew each time, none twice, without this one. */
-    public List<String> someAddresses(int most) {
+    /**
+     * Returns the addresses of up to {@code limit} present members in random order, without repetition and without this
+     * member.
+     */
+    public List<String> randomAddresses(int limit) {
         List<String> result = new ArrayList<>();
-        some(most, null).forEach(m -> result.add(m.address));
+        randomMembers(limit, null).forEach(member -> result.add(member.address));
         return result;
     }
 
-    /** Its whole state as text, times but for suspicions' left out: two that give the same go on alike. For checks of the model. */
-    public void describe(StringBuilder to) {
-        for (Member m : members.values()) {
-            to.append(m.id)
-                    .append(m.address)
-                    .append(m.incarnation)
-                    .append(m.state)
-                    .append(m.whisperer);
-            to.append(m.suspicion == null ? "" : Double.toString(m.suspicion.endMs()));
-        }
-        to.append(turn).append(health).append(numbers).append(leaving).append(errands.keySet());
-        to.append(probe == null ? "" : probe.target + probe.number + probe.indirect + probe.answered + probe.nacksDue);
-        news.describe(to);
-    }
-
-    private Update saidOf(Member m, State state) {
-        Update u = Update.unproved(m.id, state == State.SUSPECT ? "" : m.address, m.incarnation, state, self.id);
-        return u.with(proofs.prove(u));
+    /**
+     * Appends the whole state as text, without times other than the ends of suspicions, for model checks: two members
+     * with equal text behave alike from there on.
+     */
+    public void appendState(StringBuilder target) {
+        for (Member member : members.values()) {
+            target.append(member.id)
+                    .append(member.address)
+                    .append(member.incarnation)
+                    .append(member.state)
+                    .append(member.untrustedReporter);
+            target.append(member.suspicion == null ? "" : Double.toString(member.suspicion.endMs()));
+        }
+        target.append(probeOrder)
+                .append(health)
+                .append(lastSequenceNumber)
+                .append(leaving)
+                .append(relayedProbes.keySet());
+        target.append(
+                probe == null
+                        ? ""
+                        : probe.target
+                                + probe.sequenceNumber
+                                + probe.indirect
+                                + probe.answered
+                                + probe.nacksOutstanding);
+        dissemination.appendState(target);
+    }
+
+    private Update signedUpdate(Member member, State state) {
+        Update update = Update.withoutProof(
+                member.id, state == State.SUSPECT ? "" : member.address, member.incarnation, state, self.id);
+        return update.withProof(proofs.prove(update));
     }
 
     // --- Time ---
 
-    /** Begins: joins by the seeds. */
+    /** Starts the timers and joins the group by the seeds. */
     public void start(double nowMs) {
         self.sinceMs = nowMs;
-        probeAtMs = nowMs + settings.probeMs() * random.nextDouble();
-        newsAtMs = nowMs + settings.newsMs() * random.nextDouble();
-        exchangeAtMs = nowMs + settings.exchangeMs() * (0.5 + 0.5 * random.nextDouble());
+        nextProbeMs = nowMs + settings.probeIntervalMs() * random.nextDouble();
+        nextDisseminationMs = nowMs + settings.disseminationIntervalMs() * random.nextDouble();
+        nextPushPullMs = nowMs + settings.pushPullIntervalMs() * (0.5 + 0.5 * random.nextDouble());
         join();
     }
 
     private void join() {
         for (String seed : seeds) {
             if (!seed.equals(self.address)) {
-                wire.send(seed, new Message.Exchange(false, all()));
+                transport.send(seed, new Message.PushPull(false, fullState()));
             }
         }
     }
 
-    /** Leaves on purpose: the others hear it from this member itself. */
+    /** Leaves the group on purpose: this member announces it itself, so that the others do not have to detect it. */
     public void leave(double nowMs) {
         leaving = true;
-        set(self, State.LEFT, self.incarnation, nowMs);
-        Update left = saidOf(self, State.LEFT);
-        for (Member m : some(settings.newsTo() * 2, null)) {
-            wire.send(m.address, new Message.News(List.of(left)));
+        setState(self, State.LEFT, self.incarnation, nowMs);
+        Update left = signedUpdate(self, State.LEFT);
+        for (Member member : randomMembers(settings.disseminationFanout() * 2, null)) {
+            transport.send(member.address, new Message.Dissemination(List.of(left)));
         }
     }
 
-    /** Does what is due; gives the time at which something is due next. */
+    /** Does everything that is due and returns the time at which something is due next, in ms. */
     public double tick(double nowMs) {
         if (leaving) {
             return Double.POSITIVE_INFINITY;
         }
-        errands(nowMs);
-        probe(nowMs);
-        suspicions(nowMs);
-        if (nowMs >= newsAtMs) {
-            newsAtMs = nowMs + settings.newsMs();
-            for (Member m : news.size() == 0 ? List.<Member>of() : some(settings.newsTo(), null)) {
-                wire.send(m.address, new Message.News(carried(null)));
+        advanceRelayedProbes(nowMs);
+        advanceProbe(nowMs);
+        expireSuspicions(nowMs);
+        if (nowMs >= nextDisseminationMs) {
+            nextDisseminationMs = nowMs + settings.disseminationIntervalMs();
+            for (Member member : dissemination.size() == 0
+                    ? List.<Member>of()
+                    : randomMembers(settings.disseminationFanout(), null)) {
+                transport.send(member.address, new Message.Dissemination(piggybackedUpdates(null)));
             }
         }
-        if (nowMs >= exchangeAtMs) {
-            exchangeAtMs = nowMs + settings.exchangeMs() * (0.75 + 0.5 * random.nextDouble());
-            exchange(nowMs);
+        if (nowMs >= nextPushPullMs) {
+            nextPushPullMs = nowMs + settings.pushPullIntervalMs() * (0.75 + 0.5 * random.nextDouble());
+            startPushPull(nowMs);
         }
-        double next = Math.min(Math.min(probeAtMs, newsAtMs), exchangeAtMs);
+        double next = Math.min(Math.min(nextProbeMs, nextDisseminationMs), nextPushPullMs);
         if (probe != null) {
             next = Math.min(next, probe.indirect ? probe.endMs : Math.min(probe.indirectAtMs, probe.endMs));
         }
-        for (Errand e : errands.values()) {
-            next = Math.min(next, Math.min(e.nackAtMs(), e.endMs()));
+        for (RelayedProbe relayed : relayedProbes.values()) {
+            next = Math.min(next, Math.min(relayed.nackAtMs(), relayed.endMs()));
         }
-        for (Member m : members.values()) {
-            next = m.suspicion == null ? next : Math.min(next, m.suspicion.endMs());
+        for (Member member : members.values()) {
+            next = member.suspicion == null ? next : Math.min(next, member.suspicion.endMs());
         }
         return next;
     }
 
-    private void exchange(double nowMs) {
-        forgetOld(nowMs);
-        List<Member> present = some(1, null);
-        present.forEach(m -> wire.send(m.address, new Message.Digest(sum(), carried(null))));
+    private void startPushPull(double nowMs) {
+        removeExpiredMembers(nowMs);
+        List<Member> present = randomMembers(1, null);
+        present.forEach(
+                member -> transport.send(member.address, new Message.Digest(viewHash(), piggybackedUpdates(null))));
         if (present.isEmpty()) {
             join();
         }
-        // one that is taken for dead may be the other side of a cut: it hears so, and refutes it
+        // A member taken for dead may be on the other side of a network partition: it learns of its suspicion and
+        // refutes it.
         List<Member> dead = new ArrayList<>();
-        for (Member m : members.values()) {
-            if (m.state == State.DEAD) {
-                dead.add(m);
+        for (Member member : members.values()) {
+            if (member.state == State.DEAD) {
+                dead.add(member);
             }
         }
         if (!dead.isEmpty()) {
-            wire.send(dead.get(random.nextInt(dead.size())).address, new Message.Exchange(false, all()));
+            transport.send(dead.get(random.nextInt(dead.size())).address, new Message.PushPull(false, fullState()));
         }
     }
 
-    private void forgetOld(double nowMs) {
-        for (Iterator<Member> i = members.values().iterator(); i.hasNext(); ) {
-            Member m = i.next();
-            if (!m.present() && m != self && nowMs - m.sinceMs > settings.deadKeptMs()) {
-                i.remove();
+    private void removeExpiredMembers(double nowMs) {
+        for (Iterator<Member> iterator = members.values().iterator(); iterator.hasNext(); ) {
+            Member member = iterator.next();
+            if (!member.isPresent() && member != self && nowMs - member.sinceMs > settings.deadRetentionMs()) {
+                iterator.remove();
             }
         }
     }
 
     // --- Probes ---
 
-    private void probe(double nowMs) {
+    private void advanceProbe(double nowMs) {
         if (probe != null && !probe.answered) {
             if (!probe.indirect && nowMs >= probe.indirectAtMs) {
-                askOthers();
+                startIndirectProbes();
             }
             if (nowMs >= probe.endMs) {
-                Member m = members.get(probe.target);
-                // whoever was asked and did not even say that it heard nothing: perhaps it is this member that is not
-                // heard
-                health(probe.nacksDue > 0 ? probe.nacksDue : probe.indirect ? 0 : 1);
+                Member suspect = members.get(probe.target);
+                // A helper that sent neither an ack nor a nack hints that this member itself is not being heard, or is
+                // slow.
+                adjustHealth(probe.nacksOutstanding > 0 ? probe.nacksOutstanding : probe.indirect ? 0 : 1);
                 probe = null;
-                if (m != null && m.present()) {
-                    // of one that is suspected already it is the confirmation
-                    suspect(saidOf(m, State.SUSPECT), nowMs);
+                if (suspect != null && suspect.isPresent()) {
+                    // If the member is suspected already, this is an independent confirmation.
+                    applySuspicion(signedUpdate(suspect, State.SUSPECT), nowMs);
                 }
             }
         } else if (probe != null) {
             probe = null;
         }
-        if (probe != null || nowMs < probeAtMs) {
+        if (probe != null || nowMs < nextProbeMs) {
             return;
         }
-        double slowed = settings.probeMs() * (health + 1);
-        probeAtMs = nowMs + slowed;
-        Member target = next();
+        double intervalMs = settings.probeIntervalMs() * (health + 1);
+        nextProbeMs = nowMs + intervalMs;
+        Member target = nextProbeTarget();
         if (target == null) {
             return;
         }
-        probe = new Probe(target.id, ++numbers);
-        probe.indirectAtMs = nowMs + settings.timeoutMs() * (health + 1);
-        probe.endMs = nowMs + slowed;
-        wire.send(target.address, new Message.Ping(probe.number, target.id, carried(target)));
+        probe = new Probe(target.id, ++lastSequenceNumber);
+        probe.indirectAtMs = nowMs + settings.probeTimeoutMs() * (health + 1);
+        probe.endMs = nowMs + intervalMs;
+        transport.send(target.address, new Message.Ping(probe.sequenceNumber, target.id, piggybackedUpdates(target)));
     }
 
-    /** The next in turn: each member once, in an order drawn anew each round (SWIM, 4.3). */
-    private Member next() {
-        for (int tries = 0; tries <= 1; tries++) {
-            while (!turn.isEmpty()) {
-                Member m = members.get(turn.remove(turn.size() - 1));
-                if (m != null && m != self && m.present()) {
-                    return m;
+    /**
+     * Returns the next member to probe: each one once per round, in an order shuffled anew each round (SWIM, section
+     * 4.3).
+     */
+    private Member nextProbeTarget() {
+        for (int attempt = 0; attempt <= 1; attempt++) {
+            while (!probeOrder.isEmpty()) {
+                Member member = members.get(probeOrder.remove(probeOrder.size() - 1));
+                if (member != null && member != self && member.isPresent()) {
+                    return member;
                 }
             }
-            members.keySet().forEach(turn::add);
-            for (int i = turn.size() - 1; i > 0; i--) {
-                int k = random.nextInt(i + 1);
-                turn.set(i, turn.set(k, turn.get(i)));
+            members.keySet().forEach(probeOrder::add);
+            for (int i = probeOrder.size() - 1; i > 0; i--) {
+                int other = random.nextInt(i + 1);
+                probeOrder.set(i, probeOrder.set(other, probeOrder.get(i)));
             }
         }
         return null;
     }
 
-    private void askOthers() {
+    private void startIndirectProbes() {
         probe.indirect = true;
         Member target = members.get(probe.target);
         if (target == null) {
             return;
         }
-        for (Member m : some(settings.indirect(), target)) {
-            probe.nacksDue++;
-            wire.send(m.address, new Message.PingReq(probe.number, target.id, target.address, carried(null)));
-        }
-        // a network that loses datagrams may still carry a connection
-        wire.sendReliably(target.address, new Message.Ping(probe.number, target.id, carried(target)));
-    }
-
-    private void errands(double nowMs) {
-        for (Iterator<Map.Entry<Long, Errand>> i = errands.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Long, Errand> e = i.next();
-            Errand errand = e.getValue();
-            if (nowMs >= errand.endMs()) {
-                i.remove();
-            } else if (nowMs >= errand.nackAtMs()) {
-                wire.send(errand.forAddress(), new Message.Nack(errand.number(), carried(null)));
-                e.setValue(new Errand(errand.forAddress(), errand.number(), Double.POSITIVE_INFINITY, errand.endMs()));
+        for (Member helper : randomMembers(settings.indirectProbes(), target)) {
+            probe.nacksOutstanding++;
+            transport.send(
+                    helper.address,
+                    new Message.PingReq(probe.sequenceNumber, target.id, target.address, piggybackedUpdates(null)));
+        }
+        // A network that loses datagrams may still carry a connection.
+        transport.sendReliably(
+                target.address, new Message.Ping(probe.sequenceNumber, target.id, piggybackedUpdates(target)));
+    }
+
+    private void advanceRelayedProbes(double nowMs) {
+        for (Iterator<Map.Entry<Long, RelayedProbe>> iterator =
+                        relayedProbes.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<Long, RelayedProbe> entry = iterator.next();
+            RelayedProbe relayed = entry.getValue();
+            if (nowMs >= relayed.endMs()) {
+                iterator.remove();
+            } else if (nowMs >= relayed.nackAtMs()) {
+                transport.send(
+                        relayed.requesterAddress(),
+                        new Message.Nack(relayed.requesterSequenceNumber(), piggybackedUpdates(null)));
+                entry.setValue(new RelayedProbe(
+                        relayed.requesterAddress(),
+                        relayed.requesterSequenceNumber(),
+                        Double.POSITIVE_INFINITY,
+                        relayed.endMs()));
             }
         }
     }
 
-    private void health(int by) {
-        health = Math.max(0, Math.min(settings.healthMost() - 1, health + by));
+    private void adjustHealth(int delta) {
+        health = Math.max(0, Math.min(settings.maxHealthMultiplier() - 1, health + delta));
     }
 
     // --- Messages ---
 
-    /** Takes a message that came from an address. */
-    public void receive(double nowMs, String address, Message message) {
+    /** Processes a message received from an address. */
+    public void receive(double nowMs, String senderAddress, Message message) {
         if (leaving) {
             return;
         }
-        message.updates().forEach(update -> take(update, nowMs));
+        message.updates().forEach(update -> apply(update, nowMs));
         if (message instanceof Message.Ping ping) {
-            // an address may have been taken over by another member: only the one that is meant answers
+            // The address may have been taken over by another member: only the intended target answers.
             if (ping.target().equals(self.id)) {
-                wire.send(address, new Message.Ack(ping.number(), carried(null)));
+                transport.send(senderAddress, new Message.Ack(ping.sequenceNumber(), piggybackedUpdates(null)));
             }
-        } else if (message instanceof Message.PingReq asked) {
-            long number = ++numbers;
-            if (errands.size() < settings.membersMost()) {
-                errands.put(
-                        number,
-                        new Errand(
-                                address,
-                                asked.number(),
-                                nowMs + NACK_PART * settings.timeoutMs(),
-                                nowMs + settings.probeMs()));
-                wire.send(
-                        asked.targetAddress(),
-                        new Message.Ping(number, asked.target(), carried(members.get(asked.target()))));
+        } else if (message instanceof Message.PingReq pingReq) {
+            long sequenceNumber = ++lastSequenceNumber;
+            if (relayedProbes.size() < settings.maxMembers()) {
+                relayedProbes.put(
+                        sequenceNumber,
+                        new RelayedProbe(
+                                senderAddress,
+                                pingReq.sequenceNumber(),
+                                nowMs + NACK_TIMEOUT_FRACTION * settings.probeTimeoutMs(),
+                                nowMs + settings.probeIntervalMs()));
+                transport.send(
+                        pingReq.targetAddress(),
+                        new Message.Ping(
+                                sequenceNumber, pingReq.target(), piggybackedUpdates(members.get(pingReq.target()))));
             } else {
-                overBound++;
+                rejectedOverBound++;
             }
         } else if (message instanceof Message.Ack ack) {
-            Errand errand = errands.remove(ack.number());
-            if (errand != null) {
-                wire.send(errand.forAddress(), new Message.Ack(errand.number(), carried(null)));
-            } else if (probe != null && probe.number == ack.number() && !probe.answered) {
+            RelayedProbe relayed = relayedProbes.remove(ack.sequenceNumber());
+            if (relayed != null) {
+                transport.send(
+                        relayed.requesterAddress(),
+                        new Message.Ack(relayed.requesterSequenceNumber(), piggybackedUpdates(null)));
+            } else if (probe != null && probe.sequenceNumber == ack.sequenceNumber() && !probe.answered) {
                 probe.answered = true;
-                health(-1);
+                adjustHealth(-1);
             }
         } else if (message instanceof Message.Nack nack) {
-            if (probe != null && probe.number == nack.number() && probe.nacksDue > 0) {
-                probe.nacksDue--;
+            if (probe != null && probe.sequenceNumber == nack.sequenceNumber() && probe.nacksOutstanding > 0) {
+                probe.nacksOutstanding--;
             }
         } else if (message instanceof Message.Digest digest) {
-            if (digest.sum() != sum()) {
-                wire.send(address, new Message.Exchange(false, all()));
+            if (digest.hash() != viewHash()) {
+                transport.send(senderAddress, new Message.PushPull(false, fullState()));
             }
-        } else if (message instanceof Message.Exchange exchange && !exchange.answer()) {
-            wire.send(address, new Message.Exchange(true, all()));
+        } else if (message instanceof Message.PushPull pushPull && !pushPull.reply()) {
+            transport.send(senderAddress, new Message.PushPull(true, fullState()));
         }
     }
 
-    /** Takes one update, whoever brought it. */
-    private void take(Update u, double nowMs) {
-        switch (u.state()) {
-            case ALIVE -> alive(u, nowMs);
-            case SUSPECT -> suspect(u, nowMs);
-            case LEFT -> left(u, nowMs);
-            // nobody dies by another's word: each member lets its own suspicion run out
-            case DEAD -> unproved++;
+    /** Applies one update, regardless of which member relayed it. */
+    private void apply(Update update, double nowMs) {
+        switch (update.state()) {
+            case ALIVE -> applyAlive(update, nowMs);
+            case SUSPECT -> applySuspicion(update, nowMs);
+            case LEFT -> applyLeave(update, nowMs);
+            // Nobody is declared dead by another member's claim: each member waits for its own suspicion to time out.
+            case DEAD -> rejectedUpdates++;
         }
     }
 
-    private boolean proved(Update u) {
-        boolean own = u.from().equals(self.id);
-        if (!own && !proofs.proved(u)) {
-            unproved++;
+    private boolean verify(Update update) {
+        boolean isOwn = update.reporter().equals(self.id);
+        if (!isOwn && !proofs.proved(update)) {
+            rejectedUpdates++;
             return false;
         }
         return true;
     }
 
-    private void alive(Update u, double nowMs) {
-        if (!u.from().equals(u.id())) {
-            unproved++;
+    private void applyAlive(Update update, double nowMs) {
+        if (!update.reporter().equals(update.memberId())) {
+            rejectedUpdates++;
             return;
         }
-        Member m = members.get(u.id());
-        if (m == self) {
-            // an earlier life of this member: the others must hear of this one
-            if ((u.incarnation() > self.incarnation
-                            || u.incarnation() == self.incarnation
-                                    && !u.address().equals(self.address))
-                    && proofs.proved(u)) {
-                refute(u.incarnation(), true);
+        Member member = members.get(update.memberId());
+        if (member == self) {
+            // Told by an earlier process of this member: the others must learn of the current incarnation.
+            if ((update.incarnation() > self.incarnation
+                            || update.incarnation() == self.incarnation
+                                    && !update.address().equals(self.address))
+                    && proofs.proved(update)) {
+                refute(update.incarnation(), true);
             }
             return;
         }
-        if (m != null && u.incarnation() <= m.incarnation || !proved(u)) {
+        if (member != null && update.incarnation() <= member.incarnation || !verify(update)) {
             return;
         }
-        if (m == null) {
-            if (members.size() >= settings.membersMost()) {
-                overBound++;
+        if (member == null) {
+            if (members.size() >= settings.maxMembers()) {
+                rejectedOverBound++;
                 return;
             }
-            m = new Member(u.id());
-            members.put(u.id(), m);
-            turn.add(random.nextInt(turn.size() + 1), u.id());
+            member = new Member(update.memberId());
+            members.put(update.memberId(), member);
+            probeOrder.add(random.nextInt(probeOrder.size() + 1), update.memberId());
         }
-        if (m.suspicion != null && m.suspicion.alone() != null) {
-            falseAlarm(m.suspicion.alone(), nowMs);
+        if (member.suspicion != null && member.suspicion.unconfirmedReporter() != null) {
+            countFalseSuspicion(member.suspicion.unconfirmedReporter(), nowMs);
         }
-        m.address = u.address();
-        m.alive = u;
-        set(m, State.ALIVE, u.incarnation(), nowMs);
-        news.add(u);
+        member.address = update.address();
+        member.lastOwnUpdate = update;
+        setState(member, State.ALIVE, update.incarnation(), nowMs);
+        dissemination.add(update);
     }
 
     /**
-     * Only at the incarnation that the member itself told: a higher one that it never had can't be said of it, and what was
-     * said at a lower one is refuted.
+     * Applies a suspicion, which counts only at the incarnation that the suspected member itself announced: nobody may
+     * claim a higher one for it, and a suspicion at a lower one has been refuted already.
      */
-    private void suspect(Update u, double nowMs) {
-        Member m = members.get(u.id());
-        if (m == null || u.incarnation() != m.incarnation || u.from().equals(u.id())) {
+    private void applySuspicion(Update update, double nowMs) {
+        Member member = members.get(update.memberId());
+        if (member == null
+                || update.incarnation() != member.incarnation
+                || update.reporter().equals(update.memberId())) {
             return;
         }
-        if (m == self) {
-            if (!leaving && proved(u)) {
-                boolean trusted = !mistrusted(u.from(), nowMs);
-                falseAlarm(u.from(), nowMs);
-                refute(u.incarnation(), trusted);
+        if (member == self) {
+            if (!leaving && verify(update)) {
+                boolean trusted = !isDistrusted(update.reporter(), nowMs);
+                countFalseSuspicion(update.reporter(), nowMs);
+                refute(update.incarnation(), trusted);
             }
             return;
         }
-        if (m.suspicion != null) {
-            if (!m.suspicion.by(u.from()) && proved(u) && m.suspicion.confirm(u.from())) {
-                news.add(u);
+        if (member.suspicion != null) {
+            if (!member.suspicion.isReportedBy(update.reporter())
+                    && verify(update)
+                    && member.suspicion.confirm(update.reporter())) {
+                dissemination.add(update);
             }
             return;
         }
-        if (m.state != State.ALIVE || u.from().equals(m.whisperer) || !proved(u)) {
+        if (member.state != State.ALIVE || update.reporter().equals(member.untrustedReporter) || !verify(update)) {
             return;
         }
-        String first = u.from();
-        if (!first.equals(self.id) && mistrusted(first, nowMs)) {
-            if (m.whisperer == null) {
-                m.whisperer = first;
+        String reporter = update.reporter();
+        if (!reporter.equals(self.id) && isDistrusted(reporter, nowMs)) {
+            if (member.untrustedReporter == null) {
+                member.untrustedReporter = reporter;
                 return;
             }
         }
-        String before = m.whisperer;
-        set(m, State.SUSPECT, u.incarnation(), nowMs);
-        int others = present() - 2;
-        double least = settings.suspicionMult() * Math.max(1, Math.log10(Math.max(1, present()))) * settings.probeMs();
-        int expected = (int) settings.suspicionMult() - 2;
-        m.suspicion = new Suspicion(
-                first, nowMs, least, least * settings.suspicionMaxMult(), others < expected ? 0 : expected);
-        if (before != null) {
-            m.suspicion.confirm(before);
-        }
-        news.add(u);
-    }
-
-    private void left(Update u, double nowMs) {
-        Member m = members.get(u.id());
-        if (m == null
-                || m == self
-                || !u.from().equals(u.id())
-                || u.incarnation() < m.incarnation
-                || !m.present()
-                || !proved(u)) {
+        String earlierReporter = member.untrustedReporter;
+        setState(member, State.SUSPECT, update.incarnation(), nowMs);
+        int possibleConfirmers = present() - 2;
+        double minTimeoutMs = settings.suspicionMultiplier()
+                * Math.max(1, Math.log10(Math.max(1, present())))
+                * settings.probeIntervalMs();
+        int expectedConfirmations = (int) settings.suspicionMultiplier() - 2;
+        member.suspicion = new Suspicion(
+                reporter,
+                nowMs,
+                minTimeoutMs,
+                minTimeoutMs * settings.maxSuspicionTimeoutMultiplier(),
+                possibleConfirmers < expectedConfirmations ? 0 : expectedConfirmations);
+        if (earlierReporter != null) {
+            member.suspicion.confirm(earlierReporter);
+        }
+        dissemination.add(update);
+    }
+
+    private void applyLeave(Update update, double nowMs) {
+        Member member = members.get(update.memberId());
+        if (member == null
+                || member == self
+                || !update.reporter().equals(update.memberId())
+                || update.incarnation() < member.incarnation
+                || !member.isPresent()
+                || !verify(update)) {
             return;
         }
-        m.alive = u;
-        set(m, State.LEFT, u.incarnation(), nowMs);
-        news.add(u);
+        member.lastOwnUpdate = update;
+        setState(member, State.LEFT, update.incarnation(), nowMs);
+        dissemination.add(update);
     }
 
-    private void falseAlarm(String by, double nowMs) {
-        if (by.equals(self.id) || !falseAlarms.containsKey(by) && falseAlarms.size() >= settings.membersMost()) {
+    private void countFalseSuspicion(String reporter, double nowMs) {
+        if (reporter.equals(self.id)
+                || !falseSuspicions.containsKey(reporter) && falseSuspicions.size() >= settings.maxMembers()) {
             return;
         }
-        alarms(by, nowMs)[0]++;
+        decayedFalseSuspicions(reporter, nowMs)[0]++;
     }
 
-    private double[] alarms(String by, double nowMs) {
-        double[] count = falseAlarms.computeIfAbsent(by, b -> new double[] {0, nowMs});
-        count[0] *= Math.pow(0.5, (nowMs - count[1]) / ALARM_HALF_MS);
-        count[1] = nowMs;
-        return count;
+    private double[] decayedFalseSuspicions(String reporter, double nowMs) {
+        double[] countAndTimeMs = falseSuspicions.computeIfAbsent(reporter, id -> new double[] {0, nowMs});
+        countAndTimeMs[0] *= Math.pow(0.5, (nowMs - countAndTimeMs[1]) / FALSE_SUSPICION_HALF_LIFE_MS);
+        countAndTimeMs[1] = nowMs;
+        return countAndTimeMs;
     }
 
-    /** Whether a member raised suspicions of late that all others refuted: alone it is not believed any more. */
-    private boolean mistrusted(String id, double nowMs) {
-        return falseAlarms.containsKey(id) && alarms(id, nowMs)[0] >= settings.falseAlarmsMost();
+    /**
+     * Returns whether too many recent suspicions that a member raised alone were refuted, so that it no longer counts
+     * alone.
+     */
+    private boolean isDistrusted(String reporter, double nowMs) {
+        return falseSuspicions.containsKey(reporter)
+                && decayedFalseSuspicions(reporter, nowMs)[0] >= settings.maxFalseSuspicions();
     }
 
-    private void suspicions(double nowMs) {
-        for (Member m : members.values()) {
-            if (m.suspicion != null && nowMs >= m.suspicion.endMs()) {
-                set(m, State.DEAD, m.incarnation, nowMs);
+    private void expireSuspicions(double nowMs) {
+        for (Member member : members.values()) {
+            if (member.suspicion != null && nowMs >= member.suspicion.endMs()) {
+                setState(member, State.DEAD, member.incarnation, nowMs);
             }
         }
     }
 
-    /** Says anew that it is there, by a new incarnation: what it said before is not to be believed for long. */
-    public void renew() {
+    /**
+     * Announces this member at a new incarnation, for example after its key was replaced, so that the others soon stop
+     * relying on what the old key signed.
+     */
+    public void raiseIncarnation() {
         refute(self.incarnation, false);
     }
 
-    private void refute(long incarnation, boolean late) {
-        self.incarnation = Math.max(self.incarnation, incarnation) + 1;
-        self.alive = saidOf(self, State.ALIVE);
-        // a liar's word must not slow this member
-        health(late ? 1 : 0);
-        news.add(self.alive);
+    private void refute(long refutedIncarnation, boolean worsensHealth) {
+        self.incarnation = Math.max(self.incarnation, refutedIncarnation) + 1;
+        self.lastOwnUpdate = signedUpdate(self, State.ALIVE);
+        // A member that reports falsely must not be able to slow this one.
+        adjustHealth(worsensHealth ? 1 : 0);
+        dissemination.add(self.lastOwnUpdate);
     }
 
-    private void set(Member m, State state, long incarnation, double nowMs) {
-        State before = m.state;
-        m.incarnation = incarnation;
-        m.suspicion = null;
-        m.whisperer = null;
-        if (m.state != state) {
-            m.state = state;
-            m.sinceMs = nowMs;
-            listener.changed(m.id, before, state, incarnation);
+    private void setState(Member member, State state, long incarnation, double nowMs) {
+        State before = member.state;
+        member.incarnation = incarnation;
+        member.suspicion = null;
+        member.untrustedReporter = null;
+        if (member.state != state) {
+            member.state = state;
+            member.sinceMs = nowMs;
+            listener.memberChanged(member.id, before, state, incarnation);
         }
     }
 
     // --- What goes out ---
 
     /**
-     * Updates for one message; to a suspected member first what it must refute (Lifeguard, 4.C), and what it last said itself:
-     * it may have begun a new life since.
+     * Returns the updates for one message. A message to a suspected member begins with the member's last own update,
+     * because it may have restarted since, and the suspicion that it has to refute (Lifeguard, section 4.C).
      */
-    private List<Update> carried(Member to) {
-        int times = (int) Math.ceil(settings.retransmitMult() * Math.log10(present() + 1));
-        boolean first = settings.buddy() && to != null && to.state == State.SUSPECT;
-        List<Update> rest = news.take(settings.updatesMost() - (first ? 2 : 0), times);
-        if (!first) {
+    private List<Update> piggybackedUpdates(Member receiver) {
+        int maxTransmissions = (int) Math.ceil(settings.retransmitMultiplier() * Math.log10(present() + 1));
+        boolean notifySuspect = settings.buddySystem() && receiver != null && receiver.state == State.SUSPECT;
+        List<Update> rest =
+                dissemination.take(settings.maxUpdatesPerMessage() - (notifySuspect ? 2 : 0), maxTransmissions);
+        if (!notifySuspect) {
             return rest;
         }
         List<Update> result = new ArrayList<>(rest.size() + 2);
-        result.add(to.alive);
-        result.add(saidOf(to, State.SUSPECT));
+        result.add(receiver.lastOwnUpdate);
+        result.add(signedUpdate(receiver, State.SUSPECT));
         result.addAll(rest);
         return result;
     }
 
-    /** A sum over present members, their incarnations and addresses, in any order (FNV-1a of each). */
-    private long sum() {
+    /**
+     * Returns an order-independent hash of the present members' ids, addresses and incarnations: the sum of an FNV-1a
+     * hash of each.
+     */
+    private long viewHash() {
         long result = 0;
-        for (Member m : members.values()) {
-            if (m.present()) {
+        for (Member member : members.values()) {
+            if (member.isPresent()) {
                 long hash = 0xcbf29ce484222325L;
-                for (String part : List.of(m.id, m.address)) {
+                for (String part : List.of(member.id, member.address)) {
                     for (int i = 0; i < part.length(); i++) {
                         hash = (hash ^ part.charAt(i)) * 0x100000001b3L;
                     }
                     hash = (hash ^ 0xff) * 0x100000001b3L;
                 }
                 for (int shift = 0; shift < 64; shift += 8) {
-                    hash = (hash ^ (m.incarnation >>> shift & 0xff)) * 0x100000001b3L;
+                    hash = (hash ^ (member.incarnation >>> shift & 0xff)) * 0x100000001b3L;
                 }
                 result += hash;
             }
@@ -658,30 +736,33 @@
         return result;
     }
 
-    private List<Update> all() {
+    private List<Update> fullState() {
         List<Update> result = new ArrayList<>(members.size());
-        for (Member m : members.values()) {
-            result.add(m.alive);
-            if (m.state == State.SUSPECT || m.state == State.DEAD) {
-                // what an exchange says of the dead is a suspicion: the member may be on the other side, and live
-                result.add(saidOf(m, State.SUSPECT));
+        for (Member member : members.values()) {
+            result.add(member.lastOwnUpdate);
+            if (member.state == State.SUSPECT || member.state == State.DEAD) {
+                // A dead member is sent as a suspicion: it may be alive on the other side of a network partition.
+                result.add(signedUpdate(member, State.SUSPECT));
             }
         }
         return result;
     }
 
-    /** Some present members, none twice, without this one and {@code but}. */
-    private List<Member> some(int most, Member but) {
+    /**
+     * Returns up to {@code limit} present members in random order, without repetition, this member and {@code
+     * excluded}.
+     */
+    private List<Member> randomMembers(int limit, Member excluded) {
         List<Member> result = new ArrayList<>();
-        for (Member m : members.values()) {
-            if (m != self && m != but && m.present()) {
-                result.add(m);
+        for (Member member : members.values()) {
+            if (member != self && member != excluded && member.isPresent()) {
+                result.add(member);
             }
         }
-        for (int i = 0; i < Math.min(most, result.size()); i++) {
-            int k = i + random.nextInt(result.size() - i);
-            result.set(i, result.set(k, result.get(i)));
+        for (int i = 0; i < Math.min(limit, result.size()); i++) {
+            int other = i + random.nextInt(result.size() - i);
+            result.set(i, result.set(other, result.get(i)));
         }
-        return result.size() > most ? result.subList(0, most) : result;
+        return result.size() > limit ? result.subList(0, limit) : result;
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/member/Message.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Message.java
@@ -3,36 +3,38 @@
 import calicovale.gossip.claims.Statement;
 import java.util.List;
 
-/** One message between members; each carries updates on its back (SWIM, 4.1). */
+/** One message between members; each may carry piggybacked updates (SWIM, section 4.1). */
 public sealed interface Message {
-    /** The updates that it carries. */
+    /** Returns the updates that the message carries. */
     List<Update> updates();
 
-    /** Asks the receiver whether it is there; {@code target} is whom the sender takes it for. */
-    record Ping(long number, String target, List<Update> updates) implements Message {}
+    /** A direct probe; {@code target} is the member that the sender expects at the address. */
+    record Ping(long sequenceNumber, String target, List<Update> updates) implements Message {}
 
-    /** Asks the receiver to ask another: an indirect probe. */
-    record PingReq(long number, String target, String targetAddress, List<Update> updates) implements Message {}
+    /** Asks the receiver to probe {@code target} for the sender (ping-req, an indirect probe). */
+    record PingReq(long sequenceNumber, String target, String targetAddress, List<Update> updates) implements Message {}
 
-    /** The asked one is there. */
-    record Ack(long number, List<Update> updates) implements Message {}
+    /** Answers a ping or, once the target has answered, a ping-req. */
+    record Ack(long sequenceNumber, List<Update> updates) implements Message {}
 
-    /** The asker of an indirect probe is heard, the one it asks about was not (Lifeguard, 4.A). */
-    record Nack(long number, List<Update> updates) implements Message {}
+    /**
+     * Answers a ping-req whose target has not answered so far: the requester itself is heard (Lifeguard, section 4.A).
+     */
+    record Nack(long sequenceNumber, List<Update> updates) implements Message {}
 
-    /** News alone. */
-    record News(List<Update> updates) implements Message {}
+    /** Updates alone, without a probe. */
+    record Dissemination(List<Update> updates) implements Message {}
 
     /**
-     * A sum over the members that the sender takes for present: one that has another sum answers with all that it knows. It is
-     * what keeps exchanges of a group that agrees as small as any message, however many members there are.
+     * A hash of the sender's view of the present members. A receiver whose own hash differs answers with its full
+     * state. This keeps anti-entropy in a converged group as small as any message, regardless of the number of members.
      */
-    record Digest(long sum, List<Update> updates) implements Message {}
+    record Digest(long hash, List<Update> updates) implements Message {}
 
-    /** All that the sender knows of the group; {@code answer}: it answers one, and is not answered itself. */
-    record Exchange(boolean answer, List<Update> updates) implements Message {}
+    /** The sender's full state; {@code reply} is true if it answers another full state, and is not answered in turn. */
+    record PushPull(boolean reply, List<Update> updates) implements Message {}
 
-    /** What members say of boxes. */
+    /** Statements of members about boxes. */
     record Claims(List<Statement> statements) implements Message {
         @Override
         public List<Update> updates() {
--- a/gossip/src/main/java/calicovale/gossip/member/Suspicion.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Suspicion.java
@@ -4,47 +4,54 @@
 import java.util.Set;
 
 /**
- * Owns one suspicion's time (Lifeguard, 4.B): it begins long and shrinks with each independent member that confirms it, so that
- * one member that is itself late can't have another declared dead soon.
+ * The timeout of one suspicion (Lifeguard, section 4.B): it starts long and becomes shorter with each independent
+ * confirmation, so that a single member that is itself slow cannot have another declared dead soon.
  */
 final class Suspicion {
     private final double startMs;
-    private final double leastMs;
-    private final double mostMs;
-    private final int expected;
-    private final Set<String> confirmed = new HashSet<>();
-    private final String first;
+    private final double minTimeoutMs;
+    private final double maxTimeoutMs;
+    private final int expectedConfirmations;
+    private final Set<String> confirmers = new HashSet<>();
+    private final String firstReporter;
 
-    /** {@code expected} confirmations beside the first shorten it to {@code leastMs}; 0: it is that short from the start. */
-    Suspicion(String first, double startMs, double leastMs, double mostMs, int expected) {
-        this.first = first;
+    /**
+     * Creates a suspicion whose timeout shrinks from {@code maxTimeoutMs} to {@code minTimeoutMs} with {@code
+     * expectedConfirmations} confirmations beside the first reporter; with 0 it is {@code minTimeoutMs} from the start.
+     */
+    Suspicion(
+            String firstReporter, double startMs, double minTimeoutMs, double maxTimeoutMs, int expectedConfirmations) {
+        this.firstReporter = firstReporter;
         this.startMs = startMs;
-        this.leastMs = leastMs;
-        this.mostMs = mostMs;
-        this.expected = expected;
+        this.minTimeoutMs = minTimeoutMs;
+        this.maxTimeoutMs = maxTimeoutMs;
+        this.expectedConfirmations = expectedConfirmations;
     }
 
-    /** Counts a member that says the same; false if it did before, or enough have. */
-    boolean confirm(String from) {
-        return !from.equals(first) && confirmed.size() < expected && confirmed.add(from);
+    /**
+     * Adds a confirmation; returns false if the member has reported the suspicion before or enough members have
+     * confirmed it.
+     */
+    boolean confirm(String reporter) {
+        return !reporter.equals(firstReporter) && confirmers.size() < expectedConfirmations && confirmers.add(reporter);
     }
 
-    /** Whether a member raised or confirmed it. */
-    boolean by(String id) {
-        return first.equals(id) || confirmed.contains(id);
+    /** Returns whether a member raised or confirmed the suspicion. */
+    boolean isReportedBy(String reporter) {
+        return firstReporter.equals(reporter) || confirmers.contains(reporter);
     }
 
-    /** The one member that raised it, or null if another confirmed it. */
-    String alone() {
-        return confirmed.isEmpty() ? first : null;
+    /** Returns the member that raised the suspicion if no other has confirmed it, otherwise null. */
+    String unconfirmedReporter() {
+        return confirmers.isEmpty() ? firstReporter : null;
     }
 
-    /** When it is over. */
+    /** Returns the time at which the suspicion times out, in ms. */
     double endMs() {
-        if (expected < 1) {
-            return startMs + leastMs;
+        if (expectedConfirmations < 1) {
+            return startMs + minTimeoutMs;
         }
-        double part = Math.log(confirmed.size() + 1.0) / Math.log(expected + 1.0);
-        return startMs + Math.max(leastMs, mostMs - part * (mostMs - leastMs));
+        double shortened = Math.log(confirmers.size() + 1.0) / Math.log(expectedConfirmations + 1.0);
+        return startMs + Math.max(minTimeoutMs, maxTimeoutMs - shortened * (maxTimeoutMs - minTimeoutMs));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/member/Update.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Update.java
@@ -1,19 +1,19 @@
 package calicovale.gossip.member;
 
 /**
- * What is told of one member. It is relayed by others, so it carries a proof that {@code from} said it: without one a single
- * member could speak for all.
+ * What one member reports about a member. Because updates are relayed by others, each carries a proof that {@code
+ * reporter} made it; otherwise a single member could report in the name of all.
  *
- * @param id of the member that it is about
- * @param address where it is reached; empty in a suspicion
- * @param incarnation its own number, raised only by itself: it refutes what was told at the same one
- * @param state what it is said to be; {@link State#DEAD} is each member's own conclusion and is never told
- * @param from id of the member that says so; only a member itself says that it is alive or has left
- * @param proof by {@link Proofs}
+ * @param memberId id of the member that the update is about
+ * @param address address at which that member is reached; empty in a suspicion
+ * @param incarnation incarnation of that member, raised only by itself; a higher one refutes suspicions at lower ones
+ * @param state the reported state; {@link State#DEAD} is each member's own conclusion and is never sent
+ * @param reporter id of the member that reports; only a member itself reports that it is alive or has left
+ * @param proof proof made by {@link UpdateProofs}
  */
-public record Update(String id, String address, long incarnation, State state, String from, byte[] proof) {
+public record Update(String memberId, String address, long incarnation, State state, String reporter, byte[] proof) {
 
-    /** What a member is taken for. */
+    /** State of a member. The names are part of metrics and the status, and the order is part of the wire format. */
     public enum State {
         ALIVE,
         SUSPECT,
@@ -21,13 +21,13 @@
         LEFT
     }
 
-    /** One that is not proved yet. */
-    public static Update unproved(String id, String address, long incarnation, State state, String from) {
-        return new Update(id, address, incarnation, state, from, new byte[0]);
+    /** Returns an update that has no proof yet. */
+    public static Update withoutProof(String memberId, String address, long incarnation, State state, String reporter) {
+        return new Update(memberId, address, incarnation, state, reporter, new byte[0]);
     }
 
-    /** The same with its proof. */
-    public Update with(byte[] made) {
-        return new Update(id, address, incarnation, state, from, made);
+    /** Returns the same update with a proof. */
+    public Update withProof(byte[] newProof) {
+        return new Update(memberId, address, incarnation, state, reporter, newProof);
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -44,29 +44,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns one member of a group in a process: its sockets on the loop, its timers, and the way of each message between them and the
- * classes that decide. All calls are made on the loop's thread, but for the constructor and {@link #close()}.
+ * One member of a group within a process: its sockets on the event loop, its timers, and the flow of messages between
+ * them and the membership and claims classes. All methods must be called on the loop's thread, except the constructor
+ * and {@link #close()}.
  */
 public final class GossipNode implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GossipNode.class);
-    /** What its connections are called at the loop. */
+    /** Name of this node's connections at the event loop. */
     public static final String CONNECTION = "gossip";
-    /** Names, in place of an address, of the connections by which messages came. */
-    private static final String REPLY = "reply:";
-    /** By how much an evidence must change to be told again: a quarter of the least step that changes a decision. */
-    private static final double TOLD_AGAIN = 0.05;
+    /** Prefix of the names that stand for an address in replies over an accepted connection. */
+    private static final String REPLY_PREFIX = "reply:";
+    /**
+     * Least change of a box's evidence that is reported again: a quarter of the smallest step that changes a decision.
+     */
+    private static final double MIN_EVIDENCE_CHANGE = 0.05;
 
-    private static final double LEAST_WAIT_MS = 1;
-    /** Ports tried where any will do. */
-    private static final int MOST_BINDS = 20;
+    private static final double MIN_TIMER_DELAY_MS = 1;
+    /** Number of ports tried when the settings leave the port to the system. */
+    private static final int MAX_BIND_ATTEMPTS = 20;
 
-    /** Hears what the group says of boxes. */
+    /** Receives the group's evidence about boxes. */
     public interface Listener {
-        /** The evidence against a box is another now; 0: there is none any more. */
-        void evidence(long box, double strength);
+        /** Called when the evidence against a box has changed; a strength of 0 means that there is none any more. */
+        void evidenceChanged(long box, double strength);
     }
 
-    private record Reply(Connection connection, Envelopes.Opened to) {}
+    private record PendingReply(Connection connection, Envelopes.Opened request) {}
 
     private final EventLoop loop;
     private final GossipSettings settings;
@@ -74,68 +77,68 @@
     private final Listener listener;
     private final Roster roster;
     private final Codec codec;
-    private final ThreadPoolExecutor disk;
+    private final ThreadPoolExecutor rosterReader;
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Map<String, Reply> replies = new LinkedHashMap<>();
-    private final Map<Long, Double> told = new TreeMap<>();
+    private final Map<String, PendingReply> pendingReplies = new LinkedHashMap<>();
+    private final Map<Long, Double> reportedEvidence = new TreeMap<>();
     private final Outcomes outcomes;
-    private KeyDocuments.Pair pair;
-    private RosterFolder.Reading reading;
+    private KeyDocuments.MemberKeyPair keyPair;
+    private RosterFolder.Contents rosterContents;
     private Signer signer;
     private Envelopes envelopes;
     private Membership membership;
-    private ClaimBook book;
-    private Judge judge;
+    private ClaimBook statementStore;
+    private Judge claimEvaluator;
     private Datagrams datagrams;
-    private EventLoop.Listener connections;
-    private String here;
-    private Weather weather = Weather.FAIR;
+    private EventLoop.Listener connectionListener;
+    private String localAddress;
+    private NetworkConditions networkConditions = NetworkConditions.NO_FAULTS;
     private Timer timer;
-    private double dueMs = Double.POSITIVE_INFINITY;
-    private double claimsAtMs;
-    private double believedAtMs;
-    private int outgoing;
-    private int incoming;
-    private long references;
+    private double timerDueMs = Double.POSITIVE_INFINITY;
+    private double nextClaimsMs;
+    private double nextEvaluationMs;
+    private int outgoingConnections;
+    private int incomingConnections;
+    private long lastReplyNumber;
     private boolean closed;
 
     /**
-     * Reads key and roster.
+     * Reads the key file and the roster folder; opens no sockets.
      *
-     * @param boxesMost boxes of which outcomes are remembered
-     * @throws InvalidDocumentException if the key file or the roster's folder can't be used
+     * @param maxBoxes largest number of boxes with remembered outcomes
+     * @throws InvalidDocumentException if the key file or the roster folder can't be used
      */
-    public GossipNode(EventLoop loop, GossipSettings settings, RandomGenerator random, int boxesMost, Listener listener)
+    public GossipNode(EventLoop loop, GossipSettings settings, RandomGenerator random, int maxBoxes, Listener listener)
             throws InvalidDocumentException {
         this.loop = loop;
         this.settings = settings;
         this.random = random;
         this.listener = listener;
         roster = new Roster(
-                settings.group(), settings.authority(), settings.wire().membersMost());
-        codec = new Codec(settings.wire());
-        outcomes = new Outcomes(settings.claims(), boxesMost);
-        judge = new Judge(settings.claims(), settings.member(), boxesMost);
-        disk = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), body -> {
+                settings.group(), settings.authority(), settings.wireLimits().maxSenders());
+        codec = new Codec(settings.wireLimits());
+        outcomes = new Outcomes(settings.claims(), maxBoxes);
+        claimEvaluator = new Judge(settings.claims(), settings.member(), maxBoxes);
+        rosterReader = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), body -> {
             Thread thread = new Thread(body, "roster");
             thread.setDaemon(true);
             return thread;
         });
-        pair = KeyDocuments.pair(settings.keyFile());
-        if (!pair.member().equals(settings.member())) {
+        keyPair = KeyDocuments.pair(settings.keyFile());
+        if (!keyPair.member().equals(settings.member())) {
             throw new InvalidDocumentException(
                     List.of(settings.keyFile() + ": /member: " + settings.member() + " is expected"));
         }
         try {
-            reading = RosterFolder.read(
+            rosterContents = RosterFolder.read(
                     settings.rosterFolder(),
                     settings.authority(),
-                    4 * settings.members().membersMost());
+                    4 * settings.membership().maxMembers());
         } catch (IOException e) {
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: a readable folder is expected"));
         }
-        list(List.of());
-        if (roster.of(Ed25519.id(pair.publicKey()), loop.clock().millis()) == null) {
+        applyRoster(List.of());
+        if (roster.find(Ed25519.id(keyPair.publicKey()), loop.clock().millis()) == null) {
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: "
                     + (settings.authority() == null ? "the key" : "a certificate, in force, of the key") + " of "
                     + settings.member() + " is expected"));
@@ -154,25 +157,25 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Opens the sockets and joins; the address bound, for datagrams and connections alike. */
+    /** Opens the sockets and joins the group. Returns the bound address, the same for datagrams and connections. */
     public InetSocketAddress start() throws IOException {
-        InetSocketAddress at = bind();
-        here = text(at);
-        long life = (long) wallMs();
-        signer =
-                new Signer(roster, this::wallMs, pair.privateKey(), pair.publicKey(), ownCertificate(pair.publicKey()));
-        envelopes = new Envelopes(roster, signer, settings.wire(), life, nowMs());
+        InetSocketAddress bound = bind();
+        localAddress = formatAddress(bound);
+        long epoch = (long) wallMs();
+        signer = new Signer(
+                roster, this::wallMs, keyPair.privateKey(), keyPair.publicKey(), ownCertificate(keyPair.publicKey()));
+        envelopes = new Envelopes(roster, signer, settings.wireLimits(), epoch, nowMs());
         membership = new Membership(
-                settings.members(),
+                settings.membership(),
                 settings.member(),
-                here,
-                life,
+                localAddress,
+                epoch,
                 settings.seeds(),
                 random,
-                new Membership.Wire() {
+                new Membership.Transport() {
                     @Override
                     public void send(String address, Message message) {
-                        GossipNode.this.send(address, message, message instanceof Message.Exchange);
+                        GossipNode.this.send(address, message, message instanceof Message.PushPull);
                     }
 
                     @Override
@@ -181,87 +184,90 @@
                     }
                 },
                 signer,
-                this::changed);
-        book = new ClaimBook(settings.claims(), settings.member(), signer);
-        claimsAtMs = nowMs();
-        believedAtMs = nowMs();
+                this::memberChanged);
+        statementStore = new ClaimBook(settings.claims(), settings.member(), signer);
+        nextClaimsMs = nowMs();
+        nextEvaluationMs = nowMs();
         membership.start(nowMs());
-        loop.schedule(settings.rosterMs(), this::lookAtKeys);
-        due();
+        loop.schedule(settings.rosterReadIntervalMs(), this::readKeysPeriodically);
+        tickAndSchedule();
         LOG.atInfo()
                 .addKeyValue("member", settings.member())
-                .log("member {} of group {} at {}", settings.member(), settings.group(), here);
-        return at;
+                .log("member {} of group {} listens at {}", settings.member(), settings.group(), localAddress);
+        return bound;
     }
 
-    /** Binds both sockets to one port; where any will do, the one that the system gives for datagrams may be taken for connections. */
+    /**
+     * Binds both sockets to one port. When the system chooses the port for datagrams, the same port may be taken for
+     * connections, so others are tried.
+     */
     private InetSocketAddress bind() throws IOException {
-        for (int tries = 1; ; tries++) {
+        for (int attempt = 1; ; attempt++) {
             datagrams = loop.datagrams(settings.listen(), this::onDatagram);
-            InetSocketAddress at = datagrams.address();
+            InetSocketAddress bound = datagrams.address();
             try {
-                connections = loop.listen(at, CONNECTION, this::accept);
-                return at;
+                connectionListener = loop.listen(bound, CONNECTION, this::accept);
+                return bound;
             } catch (IOException e) {
                 datagrams.close();
-                if (settings.listen().getPort() != 0 || tries >= MOST_BINDS) {
+                if (settings.listen().getPort() != 0 || attempt >= MAX_BIND_ATTEMPTS) {
                     throw e;
                 }
             }
         }
     }
 
-    /** Sets what the network does to messages: for rehearsals. */
-    public void weather(Weather next) {
-        weather = next;
+    /** Sets faults of the simulated network, for rehearsals. */
+    public void weather(NetworkConditions conditions) {
+        networkConditions = conditions;
     }
 
     // --- Keys ---
 
-    private void list(List<String> faultsKnown) {
-        roster.list(reading.keys(), reading.certificates(), reading.revoked());
-        reading.faults().stream()
-                .filter(fault -> !faultsKnown.contains(fault))
-                .forEach(fault -> LOG.warn("roster: {}", fault));
+    private void applyRoster(List<String> loggedErrors) {
+        roster.replaceListed(rosterContents.keys(), rosterContents.certificates(), rosterContents.revoked());
+        rosterContents.errors().stream()
+                .filter(error -> !loggedErrors.contains(error))
+                .forEach(error -> LOG.warn("roster: {}", error));
     }
 
     private Certificate ownCertificate(byte[] key) {
-        return reading.certificates().stream()
-                .filter(c -> Arrays.equals(c.key(), key)
-                        && c.member().equals(settings.member())
-                        && roster.certifies()
-                        && roster.admit(c))
-                .max((a, b) -> Long.compare(a.untilMs(), b.untilMs()))
+        return rosterContents.certificates().stream()
+                .filter(certificate -> Arrays.equals(certificate.key(), key)
+                        && certificate.member().equals(settings.member())
+                        && roster.usesCertificates()
+                        && roster.admit(certificate))
+                .max((first, second) -> Long.compare(first.untilMs(), second.untilMs()))
                 .orElse(null);
     }
 
-    /** A look at folder and key file, by a thread that may wait for the disk. */
-    private void lookAtKeys() {
+    /** Reads the roster folder and the key file on a thread of its own, because reading may block on the disk. */
+    private void readKeysPeriodically() {
         if (closed) {
             return;
         }
-        loop.schedule(settings.rosterMs(), this::lookAtKeys);
+        loop.schedule(settings.rosterReadIntervalMs(), this::readKeysPeriodically);
         try {
-            disk.execute(() -> {
-                RosterFolder.Reading next = null;
-                KeyDocuments.Pair nextPair = null;
-                String fault = null;
+            rosterReader.execute(() -> {
+                RosterFolder.Contents contents = null;
+                KeyDocuments.MemberKeyPair newPair = null;
+                String error = null;
                 try {
-                    next = RosterFolder.read(
+                    contents = RosterFolder.read(
                             settings.rosterFolder(),
                             settings.authority(),
-                            4 * settings.members().membersMost());
-                    nextPair = KeyDocuments.pair(settings.keyFile());
+                            4 * settings.membership().maxMembers());
+                    newPair = KeyDocuments.pair(settings.keyFile());
                 } catch (IOException | InvalidDocumentException e) {
-                    fault = e.getMessage();
+                    error = e.getMessage();
                 }
-                RosterFolder.Reading found = next;
-                KeyDocuments.Pair key = nextPair;
-                String why = fault;
+                RosterFolder.Contents readContents = contents;
+                KeyDocuments.MemberKeyPair readPair = newPair;
+                String readError = error;
                 try {
-                    loop.execute(() -> foundKeys(found, key, why));
+                    loop.execute(() -> applyKeys(readContents, readPair, readError));
                 } catch (RejectedExecutionException e) {
-                    LOG.debug("the loop ended or is full: the next look tells");
+                    LOG.debug("event loop stopped or full; keys are read again at the next interval");
                 }
             });
         } catch (RejectedExecutionException e) {
@@ -269,144 +275,150 @@
         }
     }
 
-    private void foundKeys(RosterFolder.Reading next, KeyDocuments.Pair key, String fault) {
+    private void applyKeys(RosterFolder.Contents contents, KeyDocuments.MemberKeyPair newPair, String error) {
         if (closed) {
             return;
         }
-        if (fault != null) {
-            // what was read last holds on: a folder that can't be read must not dissolve the group
+        if (error != null) {
+            // The keys read last stay in use: an unreadable folder must not dissolve the group.
             count("roster-unreadable");
-            LOG.warn("keys can't be read: {}", fault);
+            LOG.warn("keys or roster could not be read, the previous ones stay in use: {}", error);
         }
-        if (next != null) {
-            List<String> known = reading.faults();
-            reading = next;
-            list(known);
+        if (contents != null) {
+            List<String> loggedErrors = rosterContents.errors();
+            rosterContents = contents;
+            applyRoster(loggedErrors);
         }
-        if (key != null && !Arrays.equals(key.publicKey(), pair.publicKey())) {
-            if (!key.member().equals(settings.member())
-                    || roster.of(Ed25519.id(key.publicKey()), wallMs()) == null
-                            && (!roster.certifies() || ownCertificate(key.publicKey()) == null)) {
+        if (newPair != null && !Arrays.equals(newPair.publicKey(), keyPair.publicKey())) {
+            if (!newPair.member().equals(settings.member())
+                    || roster.find(Ed25519.id(newPair.publicKey()), wallMs()) == null
+                            && (!roster.usesCertificates() || ownCertificate(newPair.publicKey()) == null)) {
                 count("keys-not-listed");
                 LOG.warn(
-                        "the key file's new key is not of {} in the roster: the old one stays in use",
+                        "new key in the key file is not listed for member {} in the roster; the old key stays in use",
                         settings.member());
                 return;
             }
-            pair = key;
-            signer.use(key.privateKey(), key.publicKey(), ownCertificate(key.publicKey()));
-            // what the old key signed may not be believed for long
-            membership.renew();
+            keyPair = newPair;
+            signer.replaceKey(newPair.privateKey(), newPair.publicKey(), ownCertificate(newPair.publicKey()));
+            // The others must soon stop relying on what the old key signed.
+            membership.raiseIncarnation();
             count("keys-replaced");
-            LOG.info("a new key is in use");
+            LOG.info("the new key from the key file is in use");
         }
     }
 
     // --- Time ---
 
-    private void due() {
-        double now = nowMs();
-        double next = Math.min(membership.tick(now), Math.min(claimsAtMs, believedAtMs));
-        if (closed || next >= dueMs && timer != null) {
+    private void tickAndSchedule() {
+        double nowMs = nowMs();
+        double nextMs = Math.min(membership.tick(nowMs), Math.min(nextClaimsMs, nextEvaluationMs));
+        if (closed || nextMs >= timerDueMs && timer != null) {
             return;
         }
         if (timer != null) {
             timer.cancel();
         }
-        dueMs = next;
-        timer = loop.schedule(Math.max(LEAST_WAIT_MS, next - now), () -> {
+        timerDueMs = nextMs;
+        timer = loop.schedule(Math.max(MIN_TIMER_DELAY_MS, nextMs - nowMs), () -> {
             timer = null;
-            dueMs = Double.POSITIVE_INFINITY;
-            claims();
-            due();
+            timerDueMs = Double.POSITIVE_INFINITY;
+            processClaims();
+            tickAndSchedule();
         });
     }
 
-    private void claims() {
-        double now = nowMs();
-        if (now >= claimsAtMs) {
-            claimsAtMs = now + settings.members().newsMs();
-            book.say(now, wallMs(), outcomes.claims(now));
-            if (book.spreads()) {
-                int times = (int) Math.ceil(settings.members().retransmitMult() * Math.log10(membership.present() + 1));
-                for (String to : membership.someAddresses(settings.members().newsTo())) {
-                    List<Statement> some = book.take(times);
-                    if (!some.isEmpty()) {
-                        send(to, new Message.Claims(some), false);
+    private void processClaims() {
+        double nowMs = nowMs();
+        if (nowMs >= nextClaimsMs) {
+            nextClaimsMs = nowMs + settings.membership().disseminationIntervalMs();
+            statementStore.say(nowMs, wallMs(), outcomes.claims(nowMs));
+            if (statementStore.hasPending()) {
+                int maxTransmissions = (int)
+                        Math.ceil(settings.membership().retransmitMultiplier() * Math.log10(membership.present() + 1));
+                for (String address :
+                        membership.randomAddresses(settings.membership().disseminationFanout())) {
+                    List<Statement> statements = statementStore.take(maxTransmissions);
+                    if (!statements.isEmpty()) {
+                        send(address, new Message.Claims(statements), false);
                     }
                 }
             }
         }
-        if (now >= believedAtMs) {
-            believedAtMs = now + settings.claims().believedMs();
-            book.expire(now);
-            believe(now);
+        if (nowMs >= nextEvaluationMs) {
+            nextEvaluationMs = nowMs + settings.claims().believedMs();
+            statementStore.expire(nowMs);
+            evaluateClaims(nowMs);
         }
     }
 
-    private void believe(double now) {
-        Map<Long, Double> evidence = judge.evidence(now, membership.present(), book.held());
-        for (long box : List.copyOf(told.keySet())) {
+    private void evaluateClaims(double nowMs) {
+        Map<Long, Double> evidence = claimEvaluator.evidence(nowMs, membership.present(), statementStore.held());
+        for (long box : List.copyOf(reportedEvidence.keySet())) {
             if (!evidence.containsKey(box)) {
-                told.remove(box);
+                reportedEvidence.remove(box);
                 count("evidence-ended");
-                LOG.info("members' claims on box {} hold no more", box);
-                listener.evidence(box, 0);
+                LOG.info("evidence against box {} has ended", box);
+                listener.evidenceChanged(box, 0);
             }
         }
         evidence.forEach((box, strength) -> {
-            Double before = told.get(box);
-            if (before == null || Math.abs(before - strength) >= TOLD_AGAIN) {
-                told.put(box, strength);
-                if (before == null) {
+            Double reported = reportedEvidence.get(box);
+            if (reported == null || Math.abs(reported - strength) >= MIN_EVIDENCE_CHANGE) {
+                reportedEvidence.put(box, strength);
+                if (reported == null) {
                     count("evidence-begun");
-                    LOG.info("members' claims on box {} are believed, strength {}", box, strength);
+                    LOG.info("evidence against box {} from members' claims, strength {}", box, strength);
                 }
-                listener.evidence(box, strength);
+                listener.evidenceChanged(box, strength);
             }
         });
     }
 
-    /** This member saw a set-up or a delivery at a box; {@code kind} null: it was well. */
+    /** Records an own set-up or delivery at a box; {@code kind} is null for a success. */
     public void saw(long box, Claim.Kind kind) {
-        double now = nowMs();
-        outcomes.saw(now, box, kind);
+        double nowMs = nowMs();
+        outcomes.saw(nowMs, box, kind);
         if (kind != Claim.Kind.SHORT) {
-            judge.saw(now, box, kind == null, book == null ? List.of() : book.held());
-            if (kind == null && told.containsKey(box)) {
-                believe(now);
+            claimEvaluator.saw(nowMs, box, kind == null, statementStore == null ? List.of() : statementStore.held());
+            if (kind == null && reportedEvidence.containsKey(box)) {
+                evaluateClaims(nowMs);
             }
         }
     }
 
-    private void changed(String id, State before, State now, long incarnation) {
-        count("members-" + now.name().toLowerCase(Locale.ROOT));
+    private void memberChanged(String id, State before, State after, long incarnation) {
+        count("members-" + after.name().toLowerCase(Locale.ROOT));
         LOG.atInfo()
                 .addKeyValue("member", id)
-                .log("member {} is {} (before: {}), incarnation {}", id, now, before, incarnation);
-        if (now == State.DEAD || now == State.LEFT) {
-            book.forget(id);
+                .log("member {} is {} (before: {}), incarnation {}", id, after, before, incarnation);
+        if (after == State.DEAD || after == State.LEFT) {
+            statementStore.remove(id);
         }
     }
 
     // --- Messages out ---
 
-    private static String text(InetSocketAddress a) {
-        // never the host's name, which some lookup may have left in the address: it is part of what is signed
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    private static String formatAddress(InetSocketAddress address) {
+        // Never the host name, which a lookup may have left in the address, because the text is part of what is
+        // signed.
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** The address of a text, or null: others tell addresses, so only numbers are read, never a name looked up, and only loopback. */
-    static InetSocketAddress address(String text) {
+    /**
+     * Returns the address of a text {@code 127.b.c.d:port}, or null for any other text. Addresses come from other
+     * members, so names are never looked up and only loopback is accepted.
+     */
+    static InetSocketAddress parseAddress(String text) {
         int[] parts = new int[5];
         int part = 0;
         int digits = 0;
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c >= '0' && c <= '9' && digits < 5) {
-                parts[part] = 10 * parts[part] + c - '0';
+            char character = text.charAt(i);
+            if (character >= '0' && character <= '9' && digits < 5) {
+                parts[part] = 10 * parts[part] + character - '0';
                 digits++;
-            } else if (digits > 0 && part < 4 && c == (part < 3 ? '.' : ':')) {
+            } else if (digits > 0 && part < 4 && character == (part < 3 ? '.' : ':')) {
                 part++;
                 digits = 0;
             } else {
@@ -432,75 +444,78 @@
         }
     }
 
-    private void send(String to, Message message, boolean connection) {
-        if (to.startsWith(REPLY)) {
-            reply(to, message);
+    private void send(String receiver, Message message, boolean byConnection) {
+        if (receiver.startsWith(REPLY_PREFIX)) {
+            reply(receiver, message);
             return;
         }
-        InetSocketAddress address = address(to);
+        InetSocketAddress address = parseAddress(receiver);
         if (address == null) {
             count("addresses-refused");
             return;
         }
-        double delay = weather.delayMs(here, to, connection);
-        if (delay < 0) {
+        double delayMs = networkConditions.delayMs(localAddress, receiver, byConnection);
+        if (delayMs < 0) {
             return;
         }
-        if (connection) {
-            connect(to, address, message, delay);
+        if (byConnection) {
+            connect(receiver, address, message, delayMs);
             return;
         }
-        byte[] bytes = datagram(to, message);
+        byte[] bytes = encodeDatagram(receiver, message);
         if (bytes == null) {
             return;
         }
         count("sent");
         counts.merge("sent-bytes", (long) bytes.length, Long::sum);
-        if (delay > 0) {
-            loop.schedule(delay, () -> datagrams.send(address, ByteBuffer.wrap(bytes)));
+        if (delayMs > 0) {
+            loop.schedule(delayMs, () -> datagrams.send(address, ByteBuffer.wrap(bytes)));
         } else {
             datagrams.send(address, ByteBuffer.wrap(bytes));
         }
     }
 
-    /** One datagram's bytes: what does not fit stays out. */
-    private byte[] datagram(String to, Message message) {
-        Message m = message;
-        byte[] body = codec.encode(m);
-        while (Envelopes.HEAD + body.length > settings.wire().datagramBytes()) {
+    /**
+     * Returns the datagram of a message, without the last updates or statements if it would be too long; null if it is
+     * too long without them.
+     */
+    private byte[] encodeDatagram(String receiver, Message message) {
+        Message shortened = message;
+        byte[] body = codec.encode(shortened);
+        while (Envelopes.OVERHEAD_BYTES + body.length > settings.wireLimits().maxDatagramBytes()) {
             count("datagrams-cut");
-            m = shorter(m);
-            if (m == null) {
+            shortened = withoutLastItem(shortened);
+            if (shortened == null) {
                 return null;
             }
-            body = codec.encode(m);
+            body = codec.encode(shortened);
         }
-        return envelopes.seal(wallMs(), to, body, false);
+        return envelopes.seal(wallMs(), receiver, body, false);
     }
 
-    private static Message shorter(Message m) {
-        if (m instanceof Message.Claims c) {
-            return c.statements().size() < 2
+    private static Message withoutLastItem(Message message) {
+        if (message instanceof Message.Claims claims) {
+            return claims.statements().size() < 2
                     ? null
                     : new Message.Claims(
-                            c.statements().subList(0, c.statements().size() - 1));
+                            claims.statements().subList(0, claims.statements().size() - 1));
         }
-        if (m.updates().isEmpty()) {
+        if (message.updates().isEmpty()) {
             return null;
         }
-        List<Update> rest = m.updates().subList(0, m.updates().size() - 1);
-        if (m instanceof Message.Ping x) {
-            return new Message.Ping(x.number(), x.target(), rest);
-        } else if (m instanceof Message.PingReq x) {
-            return new Message.PingReq(x.number(), x.target(), x.targetAddress(), rest);
-        } else if (m instanceof Message.Ack x) {
-            return new Message.Ack(x.number(), rest);
-        } else if (m instanceof Message.Nack x) {
-            return new Message.Nack(x.number(), rest);
-        } else if (m instanceof Message.Digest x) {
-            return new Message.Digest(x.sum(), rest);
+        List<Update> remaining = message.updates().subList(0, message.updates().size() - 1);
+        if (message instanceof Message.Ping ping) {
+            return new Message.Ping(ping.sequenceNumber(), ping.target(), remaining);
+        } else if (message instanceof Message.PingReq pingReq) {
+            return new Message.PingReq(pingReq.sequenceNumber(), pingReq.target(), pingReq.targetAddress(), remaining);
+        } else if (message instanceof Message.Ack ack) {
+            return new Message.Ack(ack.sequenceNumber(), remaining);
+        } else if (message instanceof Message.Nack nack) {
+            return new Message.Nack(nack.sequenceNumber(), remaining);
+        } else if (message instanceof Message.Digest digest) {
+            return new Message.Digest(digest.hash(), remaining);
         }
-        return new Message.News(rest);
+        return new Message.Dissemination(remaining);
     }
 
     private static ByteBuffer frame(byte[] sealed) {
@@ -510,42 +525,42 @@
                 .flip();
     }
 
-    private void connect(String to, InetSocketAddress address, Message message, double delay) {
-        if (outgoing >= settings.connections()) {
+    private void connect(String receiver, InetSocketAddress address, Message message, double delayMs) {
+        if (outgoingConnections >= settings.maxConnections()) {
             count("connections-out-hit");
             return;
         }
-        outgoing++;
-        byte[] sealed = envelopes.seal(wallMs(), to, codec.encode(message), true);
+        outgoingConnections++;
+        byte[] sealed = envelopes.seal(wallMs(), receiver, codec.encode(message), true);
         count("connected");
         counts.merge("sent-bytes", (long) sealed.length, Long::sum);
         loop.schedule(
-                delay,
+                delayMs,
                 () -> loop.connect(
                         address,
                         CONNECTION,
-                        settings.connectionMs(),
-                        new Stream(Envelopes.referenceOf(sealed), to, false) {
+                        settings.connectionTimeoutMs(),
+                        new FrameConnection(Envelopes.referenceOf(sealed), receiver, false) {
                             @Override
-                            public void onOpen(Connection c) {
-                                c.write(frame(sealed));
-                                limit(c);
+                            public void onOpen(Connection connection) {
+                                connection.write(frame(sealed));
+                                startTimeout(connection);
                             }
 
                             @Override
-                            public void onClosed(Connection c, IOException cause) {
-                                super.onClosed(c, cause);
-                                outgoing--;
+                            public void onClosed(Connection connection, IOException cause) {
+                                super.onClosed(connection, cause);
+                                outgoingConnections--;
                             }
                         }));
     }
 
-    private void reply(String to, Message message) {
-        Reply reply = replies.remove(to);
+    private void reply(String replyAddress, Message message) {
+        PendingReply reply = pendingReplies.remove(replyAddress);
         if (reply == null) {
             return;
         }
-        byte[] sealed = envelopes.seal(wallMs(), reply.to().reference(), codec.encode(message), true);
+        byte[] sealed = envelopes.seal(wallMs(), reply.request().reference(), codec.encode(message), true);
         counts.merge("sent-bytes", (long) sealed.length, Long::sum);
         reply.connection().write(frame(sealed));
         reply.connection().closeWhenDrained();
@@ -553,242 +568,251 @@
 
     // --- Messages in ---
 
-    private void onDatagram(InetSocketAddress from, ByteBuffer bytes) {
+    private void onDatagram(InetSocketAddress sender, ByteBuffer bytes) {
         count("received");
-        if (closed || bytes.remaining() > settings.wire().datagramBytes()) {
+        if (closed || bytes.remaining() > settings.wireLimits().maxDatagramBytes()) {
             count("dropped-too-long");
             return;
         }
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
-        Envelopes.Opened o = envelopes.open(nowMs(), wallMs(), here, text(from), copy, copy.length);
-        if (o != null) {
-            take(text(from), o, copy);
+        Envelopes.Opened opened =
+                envelopes.open(nowMs(), wallMs(), localAddress, formatAddress(sender), copy, copy.length);
+        if (opened != null) {
+            handleMessage(formatAddress(sender), opened, copy);
         }
     }
 
-    private void take(String address, Envelopes.Opened o, byte[] bytes) {
+    private void handleMessage(String senderAddress, Envelopes.Opened opened, byte[] bytes) {
         Message message;
         try {
-            message = codec.decode(bytes, o.from(), bytes.length - o.from());
+            message = codec.decode(bytes, opened.messageOffset(), bytes.length - opened.messageOffset());
         } catch (WireException e) {
             count("messages-malformed");
-            LOG.warn("member {} sent no message: {}", o.sender(), e.getMessage());
+            LOG.warn("malformed message from member {}: {}", opened.sender(), e.getMessage());
             return;
         }
         if (message instanceof Message.Claims claims) {
-            for (Statement s : claims.statements()) {
-                // one that is not a member any more, or not yet, has no voice
-                State state = membership.state(s.from());
-                boolean present = state == State.ALIVE || state == State.SUSPECT;
-                if (present && book.take(nowMs(), wallMs(), s)) {
+            for (Statement statement : claims.statements()) {
+                // Statements of members that have left the group, or have not joined yet, do not count.
+                State reporterState = membership.state(statement.from());
+                boolean present = reporterState == State.ALIVE || reporterState == State.SUSPECT;
+                if (present && statementStore.take(nowMs(), wallMs(), statement)) {
                     count("statements-taken");
                 }
             }
         } else {
-            membership.receive(nowMs(), address, message);
+            membership.receive(nowMs(), senderAddress, message);
         }
-        due();
+        tickAndSchedule();
     }
 
-    private Connection.Handler accept(Connection c) {
-        if (closed || incoming >= settings.connections()) {
+    private Connection.Handler accept(Connection connection) {
+        if (closed || incomingConnections >= settings.maxConnections()) {
             count("connections-in-hit");
             return null;
         }
-        incoming++;
-        return new Stream(here, null, true) {
+        incomingConnections++;
+        return new FrameConnection(localAddress, null, true) {
             @Override
             public void onOpen(Connection opened) {
-                limit(opened);
+                startTimeout(opened);
             }
 
             @Override
-            public void onClosed(Connection over, IOException cause) {
-                super.onClosed(over, cause);
-                incoming--;
+            public void onClosed(Connection closedConnection, IOException cause) {
+                super.onClosed(closedConnection, cause);
+                incomingConnections--;
             }
         };
     }
 
-    /** One connection: a frame in one direction, and perhaps one back. */
-    private class Stream implements Connection.Handler {
-        private final String expects;
-        private final String peer;
+    /** One connection: carries a frame in one direction and possibly a reply frame back. */
+    private class FrameConnection implements Connection.Handler {
+        private final String expectedReceiver;
+        private final String peerAddress;
         private final boolean accepted;
-        private final String name = REPLY + ++references;
+        private final String replyAddress = REPLY_PREFIX + ++lastReplyNumber;
         private byte[] frame;
-        private final ByteBuffer length = ByteBuffer.allocate(4);
-        private int got;
-        private boolean done;
-        private Timer limit;
-
-        Stream(String expects, String peer, boolean accepted) {
-            this.expects = expects;
-            this.peer = peer;
+        private final ByteBuffer lengthPrefix = ByteBuffer.allocate(4);
+        private int receivedBytes;
+        private boolean complete;
+        private Timer timeout;
+
+        FrameConnection(String expectedReceiver, String peerAddress, boolean accepted) {
+            this.expectedReceiver = expectedReceiver;
+            this.peerAddress = peerAddress;
             this.accepted = accepted;
         }
 
-        void limit(Connection c) {
-            limit = loop.schedule(settings.connectionMs(), () -> {
+        void startTimeout(Connection connection) {
+            timeout = loop.schedule(settings.connectionTimeoutMs(), () -> {
                 count("connections-timed-out");
-                c.close();
+                connection.close();
             });
         }
 
         @Override
-        public void onBytes(Connection c, ByteBuffer bytes) {
-            while (bytes.hasRemaining() && !done) {
-                if (length.hasRemaining()) {
-                    length.put(bytes.get());
-                    if (!length.hasRemaining()) {
-                        int size = length.getInt(0);
-                        if (size < Envelopes.HEAD || size > settings.wire().exchangeBytes()) {
+        public void onBytes(Connection connection, ByteBuffer bytes) {
+            while (bytes.hasRemaining() && !complete) {
+                if (lengthPrefix.hasRemaining()) {
+                    lengthPrefix.put(bytes.get());
+                    if (!lengthPrefix.hasRemaining()) {
+                        int size = lengthPrefix.getInt(0);
+                        if (size < Envelopes.OVERHEAD_BYTES
+                                || size > settings.wireLimits().maxFrameBytes()) {
                             count("frames-refused");
-                            c.close();
+                            connection.close();
                             return;
                         }
-                        // what is declared takes memory only as it comes
+                        // Memory for the declared length is allocated only as the bytes arrive.
                         frame = new byte[Math.min(size, 4096)];
                     }
                 } else {
-                    int size = length.getInt(0);
-                    if (got == frame.length) {
+                    int size = lengthPrefix.getInt(0);
+                    if (receivedBytes == frame.length) {
                         frame = Arrays.copyOf(frame, Math.min(size, 2 * frame.length));
                     }
-                    int some = Math.min(bytes.remaining(), frame.length - got);
-                    bytes.get(frame, got, some);
-                    got += some;
-                    if (got == size) {
-                        done = true;
-                        whole(c);
+                    int copied = Math.min(bytes.remaining(), frame.length - receivedBytes);
+                    bytes.get(frame, receivedBytes, copied);
+                    receivedBytes += copied;
+                    if (receivedBytes == size) {
+                        complete = true;
+                        onFrame(connection);
                     }
                 }
             }
             bytes.position(bytes.limit());
         }
 
-        private void whole(Connection c) {
-            InetSocketAddress remote = c.remote();
+        private void onFrame(Connection connection) {
+            InetSocketAddress remote = connection.remote();
             count("received");
-            Envelopes.Opened o = remote == null
+            Envelopes.Opened opened = remote == null
                     ? null
                     : envelopes.open(
                             nowMs(),
                             wallMs(),
-                            expects,
+                            expectedReceiver,
                             "connection " + remote.getAddress().getHostAddress(),
                             frame,
-                            got);
-            if (o == null) {
-                c.close();
+                            receivedBytes);
+            if (opened == null) {
+                connection.close();
                 return;
             }
             if (accepted) {
-                replies.put(name, new Reply(c, o));
-                take(name, o, frame.length == got ? frame : Arrays.copyOf(frame, got));
+                pendingReplies.put(replyAddress, new PendingReply(connection, opened));
+                handleMessage(
+                        replyAddress,
+                        opened,
+                        frame.length == receivedBytes ? frame : Arrays.copyOf(frame, receivedBytes));
             } else {
-                take(peer, o, frame.length == got ? frame : Arrays.copyOf(frame, got));
-                c.close();
+                handleMessage(
+                        peerAddress,
+                        opened,
+                        frame.length == receivedBytes ? frame : Arrays.copyOf(frame, receivedBytes));
+                connection.close();
             }
         }
 
         @Override
-        public void onClosed(Connection c, IOException cause) {
-            replies.remove(name);
-            if (limit != null) {
-                limit.cancel();
+        public void onClosed(Connection connection, IOException cause) {
+            pendingReplies.remove(replyAddress);
+            if (timeout != null) {
+                timeout.cancel();
             }
         }
     }
 
     // --- What operators see ---
 
-    /** Counters by name. */
+    /** Returns the counters by name. */
     public Map<String, Long> counters() {
         Map<String, Long> result = new TreeMap<>(counts);
         if (envelopes == null) {
-            // not started yet
+            // Not started yet.
             return result;
         }
         envelopes
                 .drops()
-                .forEach((why, times) -> result.put(
-                        "dropped-" + why.name().toLowerCase(Locale.ROOT).replace('_', '-'), times));
-        result.put("updates-unproved", membership.unproved());
-        result.put("members-over-bound", membership.overBound());
-        result.put("statements-refused", book.refused());
-        result.put("claims-contradicted", judge.contradictions());
-        result.put("boxes-over-bound", outcomes.overBound());
+                .forEach((reason, number) -> result.put(
+                        "dropped-" + reason.name().toLowerCase(Locale.ROOT).replace('_', '-'), number));
+        result.put("updates-unproved", membership.rejectedUpdates());
+        result.put("members-over-bound", membership.rejectedOverBound());
+        result.put("statements-refused", statementStore.rejected());
+        result.put("claims-contradicted", claimEvaluator.contradictions());
+        result.put("boxes-over-bound", outcomes.rejectedOverBound());
         return result;
     }
 
-    /** This member's view of the group and of boxes. */
+    /** Returns this member's view of the group and of the claims on boxes, as a status document. */
     public ObjectNode view() {
-        ObjectNode n = Documents.MAPPER
+        ObjectNode view = Documents.MAPPER
                 .createObjectNode()
                 .put("schema", "calicovale/members/1")
                 .put("group", settings.group())
                 .put("member", settings.member())
-                .put("address", here)
+                .put("address", localAddress)
                 .put("health", membership.health())
                 .put("present", membership.present())
                 .put("quorum", settings.claims().quorum(membership.present()));
-        ArrayNode members = n.putArray("members");
-        for (Membership.Member m : membership.members()) {
+        ArrayNode members = view.putArray("members");
+        for (Membership.Member member : membership.members()) {
             members.addObject()
-                    .put("id", m.id())
-                    .put("address", m.address())
-                    .put("state", m.state().name().toLowerCase(Locale.ROOT))
-                    .put("incarnation", m.incarnation())
-                    .put("sinceS", Math.round((nowMs() - m.sinceMs()) / 100) / 10.0)
-                    .put("voice", Math.round(100 * judge.voice(m.id(), nowMs())) / 100.0);
-        }
-        ArrayNode claims = n.putArray("claims");
-        for (ClaimBook.Held h : book.held()) {
-            for (Claim c : h.statement().claims()) {
-                if (nowMs() - h.atMs() < c.lastsMs()) {
+                    .put("id", member.id())
+                    .put("address", member.address())
+                    .put("state", member.state().name().toLowerCase(Locale.ROOT))
+                    .put("incarnation", member.incarnation())
+                    .put("sinceS", Math.round((nowMs() - member.sinceMs()) / 100) / 10.0)
+                    .put("voice", Math.round(100 * claimEvaluator.reporterWeight(member.id(), nowMs())) / 100.0);
+        }
+        ArrayNode claims = view.putArray("claims");
+        for (ClaimBook.StoredStatement stored : statementStore.held()) {
+            for (Claim claim : stored.statement().claims()) {
+                if (nowMs() - stored.receivedMs() < claim.validityMs()) {
                     claims.addObject()
-                            .put("box", c.box())
-                            .put("by", h.statement().from())
-                            .put("kind", c.kind().name().toLowerCase(Locale.ROOT))
-                            .put("strength", c.strength())
-                            .put("seenS", Math.round((nowMs() - h.atMs() + c.ageMs()) / 100) / 10.0);
+                            .put("box", claim.box())
+                            .put("by", stored.statement().from())
+                            .put("kind", claim.kind().name().toLowerCase(Locale.ROOT))
+                            .put("strength", claim.strength())
+                            .put("seenS", Math.round((nowMs() - stored.receivedMs() + claim.ageMs()) / 100) / 10.0);
                 }
             }
         }
-        ObjectNode evidence = n.putObject("evidence");
-        told.forEach((box, strength) -> evidence.put(Long.toString(box), Math.round(100 * strength) / 100.0));
-        ObjectNode counters = n.putObject("counters");
+        ObjectNode evidence = view.putObject("evidence");
+        reportedEvidence.forEach(
+                (box, strength) -> evidence.put(Long.toString(box), Math.round(100 * strength) / 100.0));
+        ObjectNode counters = view.putObject("counters");
         counters().forEach(counters::put);
-        return n;
+        return view;
     }
 
-    /** The membership; for tests and measurements. */
+    /** Returns the membership, for tests and measurements. */
     public Membership membership() {
         return membership;
     }
 
-    /** Where it is reached. */
+    /** Returns the address at which this member is reached, or null before the start. */
     public String address() {
-        return here;
+        return localAddress;
     }
 
-    /** Leaves the group on purpose; the sockets stay until {@link #close()}. */
+    /** Leaves the group on purpose; the sockets stay open until {@link #close()}. */
     public void leave() {
         if (membership != null) {
             membership.leave(nowMs());
         }
     }
 
-    /** Closes the sockets and reads keys no more. To be called on the loop, or when it has ended. */
+    /** Closes the sockets and stops reading keys. To be called on the loop's thread, or once the loop has ended. */
     @Override
     public void close() {
         closed = true;
-        disk.shutdownNow();
+        rosterReader.shutdownNow();
         if (datagrams != null && loop.inLoop()) {
             datagrams.close();
-            connections.close();
+            connectionListener.close();
         }
         if (timer != null && loop.inLoop()) {
             timer.cancel();
--- a/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
@@ -14,21 +14,22 @@
 import java.util.List;
 
 /**
- * One member's settings, checked whole.
+ * Validated settings of one member.
  *
  * @param group name of the group, part of everything that is signed
- * @param member this member's id
- * @param listen where it is reached, by datagrams and connections
- * @param seeds addresses by which it joins
- * @param keyFile its private key, read again when it changes
- * @param rosterFolder keys, certificates and revocations
- * @param authority the operators' key that certifies members, or null: keys in the folder count by themselves
- * @param rosterMs between two looks at folder and key
- * @param members figures of membership
- * @param claims figures of claims
- * @param wire bounds of messages
- * @param connections connections open at once, each way
- * @param connectionMs after which a connection is given up
+ * @param member id of this member
+ * @param listen address for datagrams and connections
+ * @param seeds addresses by which the member joins
+ * @param keyFile file with the private key; read again periodically
+ * @param rosterFolder folder with keys, certificates and revocations
+ * @param authority the operators' key that certifies members, or null if keys in the folder are valid without a
+ *     certificate
+ * @param rosterReadIntervalMs time between two readings of the roster folder and the key file
+ * @param membership settings of the membership protocol
+ * @param claims settings of claims
+ * @param wireLimits bounds of messages
+ * @param maxConnections largest number of open connections in each direction
+ * @param connectionTimeoutMs time after which a connection is closed
  */
 public record GossipSettings(
         String group,
@@ -38,103 +39,105 @@
         Path keyFile,
         Path rosterFolder,
         PublicKey authority,
-        double rosterMs,
-        MemberSettings members,
+        double rosterReadIntervalMs,
+        MemberSettings membership,
         ClaimSettings claims,
-        WireLimits wire,
-        int connections,
-        double connectionMs) {
+        WireLimits wireLimits,
+        int maxConnections,
+        double connectionTimeoutMs) {
 
-    /** Checks a document whole; {@code name} leads each fault. */
+    /** Validates and parses a settings document; {@code name} precedes each reported error. */
     public static GossipSettings parse(String name, JsonNode document) throws InvalidDocumentException {
-        JsonNode n = Documents.check(name, document.toString(), GossipSettings.class, "gossip.schema.json");
-        List<String> faults = new ArrayList<>();
-        MemberSettings d = MemberSettings.LAN;
-        MemberSettings members = new MemberSettings(
-                num(n, "probeMs", d.probeMs()),
-                num(n, "timeoutMs", d.timeoutMs()),
-                n.path("indirect").asInt(d.indirect()),
-                num(n, "suspicionMult", d.suspicionMult()),
-                num(n, "suspicionMaxMult", d.suspicionMaxMult()),
-                num(n, "retransmitMult", d.retransmitMult()),
-                num(n, "newsMs", d.newsMs()),
-                n.path("newsTo").asInt(d.newsTo()),
-                num(n, "exchangeMs", d.exchangeMs()),
-                n.path("healthMost").asInt(d.healthMost()),
-                d.buddy(),
-                n.path("updatesMost").asInt(d.updatesMost()),
-                n.path("membersMost").asInt(d.membersMost()),
-                n.path("falseAlarmsMost").asInt(d.falseAlarmsMost()),
-                num(n, "deadKeptMs", d.deadKeptMs()));
-        if (members.timeoutMs() >= members.probeMs()) {
-            faults.add(name + ": /timeoutMs: less than /probeMs is expected (" + members.probeMs() + ")");
+        JsonNode root = Documents.check(name, document.toString(), GossipSettings.class, "gossip.schema.json");
+        List<String> errors = new ArrayList<>();
+        MemberSettings memberDefaults = MemberSettings.LAN;
+        MemberSettings membership = new MemberSettings(
+                numberOr(root, "probeMs", memberDefaults.probeIntervalMs()),
+                numberOr(root, "timeoutMs", memberDefaults.probeTimeoutMs()),
+                root.path("indirect").asInt(memberDefaults.indirectProbes()),
+                numberOr(root, "suspicionMult", memberDefaults.suspicionMultiplier()),
+                numberOr(root, "suspicionMaxMult", memberDefaults.maxSuspicionTimeoutMultiplier()),
+                numberOr(root, "retransmitMult", memberDefaults.retransmitMultiplier()),
+                numberOr(root, "newsMs", memberDefaults.disseminationIntervalMs()),
+                root.path("newsTo").asInt(memberDefaults.disseminationFanout()),
+                numberOr(root, "exchangeMs", memberDefaults.pushPullIntervalMs()),
+                root.path("healthMost").asInt(memberDefaults.maxHealthMultiplier()),
+                memberDefaults.buddySystem(),
+                root.path("updatesMost").asInt(memberDefaults.maxUpdatesPerMessage()),
+                root.path("membersMost").asInt(memberDefaults.maxMembers()),
+                root.path("falseAlarmsMost").asInt(memberDefaults.maxFalseSuspicions()),
+                numberOr(root, "deadKeptMs", memberDefaults.deadRetentionMs()));
+        if (membership.probeTimeoutMs() >= membership.probeIntervalMs()) {
+            errors.add(name + ": /timeoutMs: less than /probeMs is expected (" + membership.probeIntervalMs() + ")");
         }
         PublicKey authority = null;
         try {
-            authority =
-                    n.has("authority") ? Ed25519.publicKey(n.get("authority").asText()) : null;
+            authority = root.has("authority")
+                    ? Ed25519.publicKey(root.get("authority").asText())
+                    : null;
         } catch (IllegalArgumentException e) {
-            faults.add(name + ": /authority: " + e.getMessage());
+            errors.add(name + ": /authority: " + e.getMessage());
         }
-        for (int i = 0; i < n.get("seeds").size(); i++) {
-            String seed = n.get("seeds").get(i).asText();
+        for (int i = 0; i < root.get("seeds").size(); i++) {
+            String seed = root.get("seeds").get(i).asText();
             int port = Integer.parseInt(seed.substring(seed.indexOf(':') + 1));
             if (port < 1 || port > 65535) {
-                faults.add(name + ": /seeds/" + i + ": a port from 1 to 65535 is expected");
+                errors.add(name + ": /seeds/" + i + ": a port from 1 to 65535 is expected");
             }
         }
-        WireLimits w = WireLimits.DEFAULT;
-        WireLimits wire = new WireLimits(
-                n.path("datagramBytes").asInt(w.datagramBytes()),
-                n.path("exchangeBytes").asInt(w.exchangeBytes()),
-                4 * members.membersMost(),
-                w.claimsMost(),
-                num(n, "skewMs", w.skewMs()),
-                members.membersMost(),
-                num(n, "perPeer", w.perPeer()),
-                num(n, "strangers", w.strangers()));
-        JsonNode c = n.path("claims");
-        ClaimSettings k = ClaimSettings.LAN;
+        WireLimits wireDefaults = WireLimits.DEFAULT;
+        WireLimits wireLimits = new WireLimits(
+                root.path("datagramBytes").asInt(wireDefaults.maxDatagramBytes()),
+                root.path("exchangeBytes").asInt(wireDefaults.maxFrameBytes()),
+                4 * membership.maxMembers(),
+                wireDefaults.maxClaims(),
+                numberOr(root, "skewMs", wireDefaults.maxClockSkewMs()),
+                membership.maxMembers(),
+                numberOr(root, "perPeer", wireDefaults.knownSourceRatePerS()),
+                numberOr(root, "strangers", wireDefaults.unknownSourceRatePerS()));
+        JsonNode claimsNode = root.path("claims");
+        ClaimSettings claimDefaults = ClaimSettings.LAN;
         ClaimSettings claims = new ClaimSettings(
-                c.path("claimsMost").asInt(k.claimsMost()),
-                members.membersMost(),
-                num(c, "lastsMs", k.lastsMs()),
-                num(c, "refreshMs", k.refreshMs()),
-                wire.skewMs(),
-                k.perMessage(),
-                num(c, "seenMs", k.seenMs()),
-                num(c, "leastStrength", k.leastStrength()),
-                num(c, "shortShare", k.shortShare()),
-                c.path("quorumLeast").asInt(k.quorumLeast()),
-                num(c, "quorumPart", k.quorumPart()),
-                num(c, "ownMs", k.ownMs()),
-                num(c, "believedMs", k.believedMs()));
-        if (claims.refreshMs() >= claims.lastsMs()) {
-            faults.add(name + ": /claims/refreshMs: less than /claims/lastsMs is expected (" + claims.lastsMs() + ")");
+                claimsNode.path("claimsMost").asInt(claimDefaults.maxClaimsPerStatement()),
+                membership.maxMembers(),
+                numberOr(claimsNode, "lastsMs", claimDefaults.lastsMs()),
+                numberOr(claimsNode, "refreshMs", claimDefaults.refreshIntervalMs()),
+                wireLimits.maxClockSkewMs(),
+                claimDefaults.statementsPerMessage(),
+                numberOr(claimsNode, "seenMs", claimDefaults.outcomeWindowMs()),
+                numberOr(claimsNode, "leastStrength", claimDefaults.minStrength()),
+                numberOr(claimsNode, "shortShare", claimDefaults.shortShare()),
+                claimsNode.path("quorumLeast").asInt(claimDefaults.minQuorum()),
+                numberOr(claimsNode, "quorumPart", claimDefaults.quorumFraction()),
+                numberOr(claimsNode, "ownMs", claimDefaults.ownSuccessPriorityMs()),
+                numberOr(claimsNode, "believedMs", claimDefaults.believedMs()));
+        if (claims.refreshIntervalMs() >= claims.lastsMs()) {
+            errors.add(name + ": /claims/refreshMs: less than /claims/lastsMs is expected (" + claims.lastsMs() + ")");
         }
-        if (!faults.isEmpty()) {
-            throw new InvalidDocumentException(faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidDocumentException(errors);
         }
         List<String> seeds = new ArrayList<>();
-        n.get("seeds").forEach(seed -> seeds.add(seed.asText()));
-        JsonNode at = n.get("listen");
+        root.get("seeds").forEach(seed -> seeds.add(seed.asText()));
+        JsonNode listenNode = root.get("listen");
         return new GossipSettings(
-                n.get("group").asText(),
-                n.get("member").asText(),
-                new InetSocketAddress(at.get("host").asText(), at.get("port").asInt()),
+                root.get("group").asText(),
+                root.get("member").asText(),
+                new InetSocketAddress(
+                        listenNode.get("host").asText(), listenNode.get("port").asInt()),
                 List.copyOf(seeds),
-                Path.of(n.get("keyFile").asText()),
-                Path.of(n.get("rosterFolder").asText()),
+                Path.of(root.get("keyFile").asText()),
+                Path.of(root.get("rosterFolder").asText()),
                 authority,
-                num(n, "rosterMs", 5000),
-                members,
+                numberOr(root, "rosterMs", 5000),
+                membership,
                 claims,
-                wire,
-                n.path("connections").asInt(64),
-                num(n, "connectionMs", 2000));
+                wireLimits,
+                root.path("connections").asInt(64),
+                numberOr(root, "connectionMs", 2000));
     }
 
-    private static double num(JsonNode n, String key, double absent) {
-        return n.path(key).asDouble(absent);
+    private static double numberOr(JsonNode node, String key, double defaultValue) {
+        return node.path(key).asDouble(defaultValue);
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
+++ b/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
@@ -14,31 +14,34 @@
 import java.util.Base64;
 import java.util.List;
 
-/** Owns the documents of keys: a member's pair, a listed key, a certificate, a revocation. */
+/** Reads and writes JSON documents of keys: a member's key pair, a listed key, a certificate, a revocation. */
 public final class KeyDocuments {
 
-    /** A member's pair. */
-    public record Pair(String member, byte[] publicKey, PrivateKey privateKey) {}
+    /** Key pair of a member; {@code publicKey} is in raw form. */
+    public record MemberKeyPair(String member, byte[] publicKey, PrivateKey privateKey) {}
 
     private KeyDocuments() {}
 
-    private static byte[] bytes(JsonNode n, String member) {
-        return Base64.getUrlDecoder().decode(n.get(member).asText());
+    private static byte[] decodeBytes(JsonNode document, String field) {
+        return Base64.getUrlDecoder().decode(document.get(field).asText());
     }
 
-    private static String text(Object... members) {
-        var n = Documents.MAPPER.createObjectNode();
-        for (int i = 0; i < members.length; i += 2) {
-            n.putPOJO((String) members[i], members[i + 1]);
+    private static String toJson(Object... fieldsAndValues) {
+        var document = Documents.MAPPER.createObjectNode();
+        for (int i = 0; i < fieldsAndValues.length; i += 2) {
+            document.putPOJO((String) fieldsAndValues[i], fieldsAndValues[i + 1]);
         }
-        return n.toPrettyString();
+        return document.toPrettyString();
     }
 
-    /** A new pair for a member; of the two texts the first is to be kept secret, the second lists its key. */
+    /**
+     * Generates a key pair for a member. Returns two documents: the key pair, to be kept secret, and the public key for
+     * the roster.
+     */
     public static List<String> make(String member) throws GeneralSecurityException {
         Ed25519.Pair pair = Ed25519.Pair.make();
         return List.of(
-                text(
+                toJson(
                         "schema",
                         "calicovale/key/1",
                         "member",
@@ -47,21 +50,21 @@
                         pair.publicKey(),
                         "privateKey",
                         pair.privateKey()),
-                text("schema", "calicovale/member-key/1", "member", member, "key", pair.publicKey()));
+                toJson("schema", "calicovale/member-key/1", "member", member, "key", pair.publicKey()));
     }
 
-    /** Reads a pair. */
-    public static Pair pair(Path file) throws InvalidDocumentException {
-        JsonNode n = Documents.read(file, KeyDocuments.class, "key.schema.json");
+    /** Reads a key pair document. */
+    public static MemberKeyPair pair(Path file) throws InvalidDocumentException {
+        JsonNode document = Documents.read(file, KeyDocuments.class, "key.schema.json");
         try {
-            Ed25519.publicKey(n.get("publicKey").asText());
-            Pair pair = new Pair(
-                    n.get("member").asText(),
-                    bytes(n, "publicKey"),
-                    Ed25519.privateKey(n.get("privateKey").asText()));
-            byte[] probe = {1};
-            if (!Ed25519.verify(Ed25519.publicKey(pair.publicKey()), Ed25519.sign(pair.privateKey(), probe), probe)) {
-                throw new IllegalArgumentException("halves of one pair are expected");
+            Ed25519.publicKey(document.get("publicKey").asText());
+            MemberKeyPair pair = new MemberKeyPair(
+                    document.get("member").asText(),
+                    decodeBytes(document, "publicKey"),
+                    Ed25519.privateKey(document.get("privateKey").asText()));
+            byte[] sample = {1};
+            if (!Ed25519.verify(Ed25519.publicKey(pair.publicKey()), Ed25519.sign(pair.privateKey(), sample), sample)) {
+                throw new IllegalArgumentException("the private key that belongs to /publicKey is expected");
             }
             return pair;
         } catch (IllegalArgumentException e) {
@@ -69,26 +72,29 @@
         }
     }
 
-    /** A listed key. */
-    static Roster.Entry listed(String name, String text) throws InvalidDocumentException {
-        JsonNode n = Documents.check(name, text, KeyDocuments.class, "member-key.schema.json");
+    /** Parses a listed key; it is valid without a time limit. */
+    static Roster.Entry parseMemberKey(String name, String json) throws InvalidDocumentException {
+        JsonNode document = Documents.check(name, json, KeyDocuments.class, "member-key.schema.json");
         return new Roster.Entry(
-                n.get("member").asText(), key(name, n), Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY);
+                document.get("member").asText(),
+                parsePublicKey(name, document),
+                Double.NEGATIVE_INFINITY,
+                Double.POSITIVE_INFINITY);
     }
 
-    private static PublicKey key(String name, JsonNode n) throws InvalidDocumentException {
+    private static PublicKey parsePublicKey(String name, JsonNode document) throws InvalidDocumentException {
         try {
-            return Ed25519.publicKey(n.get("key").asText());
+            return Ed25519.publicKey(document.get("key").asText());
         } catch (IllegalArgumentException e) {
             throw new InvalidDocumentException(List.of(name + ": /key: " + e.getMessage()));
         }
     }
 
-    /** A certificate as a document. */
+    /** Returns the document of a new certificate, signed by {@code authority}. */
     public static String certificate(
             PrivateKey authority, String group, String member, byte[] key, long fromMs, long untilMs) {
-        Certificate c = Certificate.sign(authority, group, member, key, fromMs, untilMs);
-        return text(
+        Certificate certificate = Certificate.sign(authority, group, member, key, fromMs, untilMs);
+        return toJson(
                 "schema",
                 "calicovale/certificate/1",
                 "group",
@@ -102,50 +108,53 @@
                 "untilMs",
                 untilMs,
                 "signature",
-                Ed25519.text(c.signature()));
+                Ed25519.text(certificate.signature()));
     }
 
-    /** Reads a certificate; whether it is the operators' is for the roster to say. */
-    static Certificate certificate(String name, String text) throws InvalidDocumentException {
-        JsonNode n = Documents.check(name, text, KeyDocuments.class, "certificate.schema.json");
-        key(name, n);
+    /** Parses a certificate; its signature is verified by the roster. */
+    static Certificate certificate(String name, String json) throws InvalidDocumentException {
+        JsonNode document = Documents.check(name, json, KeyDocuments.class, "certificate.schema.json");
+        parsePublicKey(name, document);
         return new Certificate(
-                n.get("member").asText(),
-                bytes(n, "key"),
-                n.get("fromMs").asLong(),
-                n.get("untilMs").asLong(),
-                bytes(n, "signature"));
+                document.get("member").asText(),
+                decodeBytes(document, "key"),
+                document.get("fromMs").asLong(),
+                document.get("untilMs").asLong(),
+                decodeBytes(document, "signature"));
     }
 
-    private static byte[] revoked(String key) {
-        return ("calicovale-revocation-1\0" + key).getBytes(StandardCharsets.UTF_8);
+    private static byte[] revocationBytes(String keyText) {
+        return ("calicovale-revocation-1\0" + keyText).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A revocation as a document; {@code authority} null: for a group without an operators' key. */
+    /** Returns the document of a revocation; {@code authority} is null in a group without an operators' key. */
     public static String revocation(PrivateKey authority, byte[] key) {
         String text = Ed25519.text(key);
         return authority == null
-                ? text("schema", "calicovale/revocation/1", "key", text)
-                : text(
+                ? toJson("schema", "calicovale/revocation/1", "key", text)
+                : toJson(
                         "schema",
                         "calicovale/revocation/1",
                         "key",
                         text,
                         "signature",
-                        Ed25519.text(Ed25519.sign(authority, revoked(text))));
+                        Ed25519.text(Ed25519.sign(authority, revocationBytes(text))));
     }
 
-    /** The id of a revoked key; with an operators' key only what that signed counts. */
+    /**
+     * Parses a revocation and returns the id of the revoked key. If {@code authority} is not null, the document must be
+     * signed by it.
+     */
     static long revocation(String name, String text, PublicKey authority) throws InvalidDocumentException {
-        JsonNode n = Documents.check(name, text, KeyDocuments.class, "revocation.schema.json");
+        JsonNode document = Documents.check(name, text, KeyDocuments.class, "revocation.schema.json");
         if (authority != null
-                && !(n.has("signature")
+                && !(document.has("signature")
                         && Ed25519.verify(
                                 authority,
-                                bytes(n, "signature"),
-                                revoked(n.get("key").asText())))) {
+                                decodeBytes(document, "signature"),
+                                revocationBytes(document.get("key").asText())))) {
             throw new InvalidDocumentException(List.of(name + ": /signature: the operators' signature is expected"));
         }
-        return Ed25519.id(bytes(n, "key"));
+        return Ed25519.id(decodeBytes(document, "key"));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
+++ b/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
@@ -14,55 +14,58 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** Owns one reading of the roster's folder: all of its JSON files, whatever is wrong with some of them. */
+/** Reads the JSON files of the roster folder; invalid files are reported and skipped. */
 final class RosterFolder {
-    private static final int MOST_BYTES = 4096;
+    private static final int MAX_FILE_BYTES = 4096;
 
-    /** What a reading gave. */
-    record Reading(List<Roster.Entry> keys, List<Certificate> certificates, Set<Long> revoked, List<String> faults) {}
+    /** Contents of the folder: valid documents, and an error for each invalid one. */
+    record Contents(List<Roster.Entry> keys, List<Certificate> certificates, Set<Long> revoked, List<String> errors) {}
 
     private RosterFolder() {}
 
-    /** Reads at most so many files, in the order of their names. */
-    static Reading read(Path folder, PublicKey authority, int most) throws IOException {
-        Reading result = new Reading(new ArrayList<>(), new ArrayList<>(), new HashSet<>(), new ArrayList<>());
+    /** Reads at most {@code maxFiles} files, in the order of their names. */
+    static Contents read(Path folder, PublicKey authority, int maxFiles) throws IOException {
+        Contents contents = new Contents(new ArrayList<>(), new ArrayList<>(), new HashSet<>(), new ArrayList<>());
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
-            files = all.filter(f -> f.getFileName().toString().endsWith(".json"))
+            files = all.filter(file -> file.getFileName().toString().endsWith(".json"))
                     .sorted()
                     .toList();
         }
-        if (files.size() > most) {
-            result.faults().add(folder + ": at most " + most + " files are expected, " + files.size() + " are there");
+        if (files.size() > maxFiles) {
+            contents.errors()
+                    .add(folder + ": at most " + maxFiles + " files are expected, " + files.size() + " were found");
         }
-        for (Path file : files.subList(0, Math.min(most, files.size()))) {
+        for (Path file : files.subList(0, Math.min(maxFiles, files.size()))) {
             try {
-                one(file, authority, result);
+                readFile(file, authority, contents);
             } catch (InvalidDocumentException e) {
-                result.faults().addAll(e.faults());
+                contents.errors().addAll(e.faults());
             } catch (IOException e) {
-                result.faults().add(file + ": /: a readable JSON file is expected");
+                contents.errors().add(file + ": /: a readable JSON file is expected");
             }
         }
-        return result;
+        return contents;
     }
 
-    private static void one(Path file, PublicKey authority, Reading into) throws IOException, InvalidDocumentException {
-        if (Files.size(file) > MOST_BYTES) {
-            throw new InvalidDocumentException(List.of(file + ": /: at most " + MOST_BYTES + " bytes are expected"));
+    private static void readFile(Path file, PublicKey authority, Contents contents)
+            throws IOException, InvalidDocumentException {
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new InvalidDocumentException(
+                    List.of(file + ": /: at most " + MAX_FILE_BYTES + " bytes are expected"));
         }
-        String text = Files.readString(file);
+        String json = Files.readString(file);
         String name = file.toString();
-        switch (Documents.MAPPER.readTree(text).path("schema").asText()) {
+        switch (Documents.MAPPER.readTree(json).path("schema").asText()) {
             case "calicovale/member-key/1" -> {
                 if (authority != null) {
                     throw new InvalidDocumentException(
-                            List.of(name + ": /schema: a certificate is expected, since /authority is set"));
+                            List.of(name + ": /schema: a certificate is expected because /authority is set"));
                 }
-                into.keys().add(KeyDocuments.listed(name, text));
+                contents.keys().add(KeyDocuments.parseMemberKey(name, json));
             }
-            case "calicovale/certificate/1" -> into.certificates().add(KeyDocuments.certificate(name, text));
-            case "calicovale/revocation/1" -> into.revoked().add(KeyDocuments.revocation(name, text, authority));
+            case "calicovale/certificate/1" -> contents.certificates().add(KeyDocuments.certificate(name, json));
+            case "calicovale/revocation/1" -> contents.revoked().add(KeyDocuments.revocation(name, json, authority));
             default ->
                 throw new InvalidDocumentException(List.of(name + ": /schema: one of calicovale/member-key/1, "
                         + "calicovale/certificate/1, calicovale/revocation/1 is expected"));
--- a/gossip/src/main/java/calicovale/gossip/net/package-info.java
+++ b/gossip/src/main/java/calicovale/gossip/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns what drives the group's classes in a process: settings, key files and the roster's folder, and the sockets on the selector
- * loop. It must not know sessions or the controller.
+ * Runs a member of the group within a process: settings, key files and the roster folder, and the sockets on the event
+ * loop. The package must not depend on sessions or the controller.
  */
 package calicovale.gossip.net;
