--- a/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
+++ b/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
@@ -3,9 +3,9 @@
 import calicovale.gossip.member.MemberSettings;
 import calicovale.gossip.member.Membership;
 import calicovale.gossip.member.Message;
-import calicovale.gossip.member.Proofs;
 import calicovale.gossip.member.Update;
 import calicovale.gossip.member.Update.State;
+import calicovale.gossip.member.UpdateProofs;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,97 +19,103 @@
 import java.util.function.BiPredicate;
 
 /**
- * Owns one simulated group in virtual time: members named {@code m0}, {@code m1}, ... at addresses of the same names, what is
- * on its way between them, and the record of what each took the others for. Messages are reckoned at the bytes that their
- * updates, ids and numbers need in a compact binary form.
+ * Simulates a group in virtual time: members named {@code m0}, {@code m1}, ... at addresses of the same names, the
+ * messages in flight between them, and a record of the changes of each member's view. The size of a message is
+ * estimated as the bytes that its updates, ids and numbers need in a compact binary form.
  */
 public final class GroupSimulator {
-    /** Bytes of a message beside its updates: signature (64), sender, incarnation, sequence, time, kind. */
-    private static final int HEAD_BYTES = 110;
-    /** Bytes of an update beside its three names. */
-    private static final int UPDATE_BYTES = 14;
-    /** Bytes of an update's proof: key id, signature, and their length. */
+    /**
+     * Estimated bytes of a message without its updates: signature (64), sender, incarnation, sequence number, time and
+     * kind.
+     */
+    private static final int MESSAGE_OVERHEAD_BYTES = 110;
+    /** Estimated bytes of an update without its proof and its three texts (member id, address, reporter). */
+    private static final int UPDATE_OVERHEAD_BYTES = 14;
+    /** Estimated bytes of an update's proof: key id, signature, and their length. */
     private static final int PROOF_BYTES = 74;
-    /** Ms after which a lost segment of a connection is sent again, doubling (RFC 6298, 2). */
-    private static final double RETRANSMIT_MS = 1000;
+    /**
+     * Time in ms after which a lost segment of a connection is sent again; it doubles with each retransmission (RFC
+     * 6298, section 2).
+     */
+    private static final double RETRANSMISSION_TIMEOUT_MS = 1000;
 
-    private static final int RETRANSMISSIONS = 3;
+    private static final int MAX_RETRANSMISSIONS = 3;
 
-    /** One change of one member's view. */
-    public record Seen(double atMs, String by, String of, State now) {}
+    /** A change of one member's view of another. */
+    public record Seen(double atMs, String observer, String of, State now) {}
 
-    private record Event(double atMs, long order, Runnable body) {}
+    private record Event(double atMs, long number, Runnable action) {}
 
-    /** One member with its process. */
+    /** One simulated member and its process. */
     private final class Node {
         final String id;
-        final double slowMs;
+        final double maxExtraDelayMs;
         Membership membership;
         boolean running;
         double stalledUntilMs;
-        double wakeAtMs = Double.POSITIVE_INFINITY;
-        long wakes;
-        long messages;
-        long bytes;
+        double nextTickMs = Double.POSITIVE_INFINITY;
+        long lastScheduledTick;
+        long sentMessages;
+        long sentBytes;
 
-        Node(String id, double slowMs) {
+        Node(String id, double maxExtraDelayMs) {
             this.id = id;
-            this.slowMs = slowMs;
+            this.maxExtraDelayMs = maxExtraDelayMs;
         }
 
         void start(long incarnation, List<String> seeds) {
             running = true;
-            Membership[] own = new Membership[1];
-            own[0] = new Membership(
+            Membership[] started = new Membership[1];
+            started[0] = new Membership(
                     settings,
                     id,
                     id,
                     incarnation,
                     seeds,
                     random.split(),
-                    wire(own),
-                    new Signs(id),
-                    (of, before, now, at) -> {
-                        if (membership == own[0]) {
-                            seen.add(new Seen(nowMs, id, of, now));
+                    transport(started),
+                    new NameProofs(id),
+                    (memberId, before, after, atIncarnation) -> {
+                        if (membership == started[0]) {
+                            viewChanges.add(new Seen(nowMs, id, memberId, after));
                         }
                     });
-            membership = own[0];
-            wakeAtMs = Double.POSITIVE_INFINITY;
-            wakes++;
+            membership = started[0];
+            nextTickMs = Double.POSITIVE_INFINITY;
+            lastScheduledTick++;
             membership.start(nowMs);
-            wake(nowMs);
+            scheduleTick(nowMs);
         }
 
-        private Membership.Wire wire(Membership[] own) {
-            return new Membership.Wire() {
+        private Membership.Transport transport(Membership[] started) {
+            return new Membership.Transport() {
                 @Override
                 public void send(String to, Message message) {
-                    GroupSimulator.this.send(Node.this, own[0], to, message, message instanceof Message.Exchange);
+                    GroupSimulator.this.send(Node.this, started[0], to, message, message instanceof Message.PushPull);
                 }
 
                 @Override
                 public void sendReliably(String to, Message message) {
-                    GroupSimulator.this.send(Node.this, own[0], to, message, true);
+                    GroupSimulator.this.send(Node.this, started[0], to, message, true);
                 }
             };
         }
 
-        void wake(double atMs) {
-            Membership present = membership;
-            double at = Math.max(atMs, stalledUntilMs);
-            if (at == wakeAtMs) {
+        void scheduleTick(double atMs) {
+            Membership scheduledFor = membership;
+            double dueMs = Math.max(atMs, stalledUntilMs);
+            if (dueMs == nextTickMs) {
                 return;
             }
-            wakeAtMs = at;
-            long mine = ++wakes;
-            schedule(at, () -> {
-                if (running && membership == present && wakes == mine) {
-                    wakeAtMs = Double.POSITIVE_INFINITY;
+            nextTickMs = dueMs;
+            long tickNumber = ++lastScheduledTick;
+            schedule(dueMs, () -> {
+                if (running && membership == scheduledFor && lastScheduledTick == tickNumber) {
+                    nextTickMs = Double.POSITIVE_INFINITY;
                     if (nowMs < stalledUntilMs) {
-                        wake(stalledUntilMs);
+                        scheduleTick(stalledUntilMs);
                     } else {
-                        wake(Math.max(nowMs + 1, membership.tick(nowMs)));
+                        scheduleTick(Math.max(nowMs + 1, membership.tick(nowMs)));
                     }
                 }
             });
@@ -120,193 +126,210 @@
                 return;
             }
             if (nowMs < stalledUntilMs) {
-                // it waits in the socket's buffer
+                // The message waits in the socket's buffer.
                 schedule(stalledUntilMs, () -> receive(from, message));
                 return;
             }
             membership.receive(nowMs, from, message);
-            wake(Math.max(nowMs, membership.tick(nowMs)));
+            scheduleTick(Math.max(nowMs, membership.tick(nowMs)));
         }
     }
 
     private final MemberSettings settings;
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            (a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((first, second) -> first.atMs() != second.atMs()
+            ? Double.compare(first.atMs(), second.atMs())
+            : Long.compare(first.number(), second.number()));
     private final Map<String, Node> nodes = new HashMap<>();
-    private final List<Seen> seen = new ArrayList<>();
+    private final List<Seen> viewChanges = new ArrayList<>();
     private double nowMs;
-    private long order;
-    private double loss;
-    private double delayLeastMs = 0.2;
-    private double delayMostMs = 2;
-    private BiPredicate<String, String> cut = (from, to) -> false;
+    private long nextEventNumber;
+    private double lossProbability;
+    private double minDelayMs = 0.2;
+    private double maxDelayMs = 2;
+    private BiPredicate<String, String> isCut = (from, to) -> false;
 
-    /** An empty group. */
+    /** Creates a simulator of an empty group; the same seed gives the same run. */
     public GroupSimulator(MemberSettings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
     }
 
-    /** Virtual time. */
+    /** Returns the virtual time in ms. */
     public double nowMs() {
         return nowMs;
     }
 
-    private void schedule(double atMs, Runnable body) {
-        events.add(new Event(Math.max(nowMs, atMs), order++, body));
+    private void schedule(double atMs, Runnable action) {
+        events.add(new Event(Math.max(nowMs, atMs), nextEventNumber++, action));
     }
 
-    /** Starts {@code count} members that join by the first; each takes {@code slowMs} longer to hear, for the first {@code slow}. */
-    public void start(int count, int slow, double slowMs) {
+    /**
+     * Starts {@code count} members that join by the first. Messages to the first {@code slowMembers} of them take up to
+     * {@code maxExtraDelayMs} longer.
+     */
+    public void start(int count, int slowMembers, double maxExtraDelayMs) {
         for (int i = 0; i < count; i++) {
-            Node node = new Node("m" + i, i < slow ? slowMs : 0);
+            Node node = new Node("m" + i, i < slowMembers ? maxExtraDelayMs : 0);
             nodes.put(node.id, node);
             schedule(nowMs + 10.0 * i, () -> node.start(1, List.of("m0")));
         }
     }
 
-    /** A network's part of messages that is lost, and the range of its delays. */
-    public void network(double lossPart, double leastMs, double mostMs) {
-        loss = lossPart;
-        delayLeastMs = leastMs;
-        delayMostMs = mostMs;
+    /** Sets the probability with which a message is lost, and the range of delays in ms. */
+    public void network(double probability, double minMs, double maxMs) {
+        lossProbability = probability;
+        minDelayMs = minMs;
+        maxDelayMs = maxMs;
     }
 
-    /** From whom to whom nothing goes. */
-    public void cut(BiPredicate<String, String> between) {
-        cut = between;
+    /** Sets from which member to which member no message arrives. */
+    public void cut(BiPredicate<String, String> noneArrives) {
+        isCut = noneArrives;
     }
 
-    /** A member's process ends without a word. */
+    /** Ends a member's process without notice to the others. */
     public void kill(String id) {
         nodes.get(id).running = false;
     }
 
-    /** A member leaves on purpose. */
+    /** Lets a member leave on purpose. */
     public void leave(String id) {
         nodes.get(id).membership.leave(nowMs);
         nodes.get(id).running = false;
     }
 
-    /** A member's process starts anew, at an incarnation that it takes from elsewhere or begins with. */
+    /** Restarts a member's process with an incarnation. */
     public void restart(String id, long incarnation) {
         nodes.get(id).start(incarnation, List.of("m0", "m1"));
     }
 
-    /** A member's process stands still: it neither sends nor hears, and takes up later what came. */
+    /**
+     * Stalls a member's process for a time in ms: it neither sends nor receives, and processes later what arrived
+     * meanwhile.
+     */
     public void stall(String id, double forMs) {
         nodes.get(id).stalledUntilMs = nowMs + forMs;
     }
 
-    /** Proofs that only their member can make: here its name is the secret, and liars of a run keep to it. */
-    private record Signs(String self) implements Proofs {
+    /**
+     * Proofs for simulation: a member's name takes the place of its key, which even members with false reports do not
+     * forge.
+     */
+    private record NameProofs(String self) implements UpdateProofs {
         @Override
-        public byte[] prove(Update u) {
-            return text(self, u);
+        public byte[] prove(Update update) {
+            return proofOf(self, update);
         }
 
         @Override
-        public boolean proved(Update u) {
-            return Arrays.equals(u.proof(), text(u.from(), u));
+        public boolean proved(Update update) {
+            return Arrays.equals(update.proof(), proofOf(update.reporter(), update));
         }
 
-        private static byte[] text(String by, Update u) {
-            return (by + " " + u.id() + " " + u.address() + " " + u.incarnation() + " " + u.state())
+        private static byte[] proofOf(String reporter, Update update) {
+            return (reporter + " " + update.memberId() + " " + update.address() + " " + update.incarnation() + " "
+                            + update.state())
                     .getBytes(StandardCharsets.UTF_8);
         }
     }
 
-    /** An update as a member would prove it, for scripted liars: they can say anything, but only in their own name. */
-    public static Update said(String by, String of, String address, long incarnation, State state) {
-        Update u = Update.unproved(of, address, incarnation, state, by);
-        return u.with(new Signs(by).prove(u));
+    /**
+     * Returns an update with the reporter's proof, for scripted members that report falsely: any content is possible,
+     * but only in their own name.
+     */
+    public static Update updateBy(String reporter, String memberId, String address, long incarnation, State state) {
+        Update update = Update.withoutProof(memberId, address, incarnation, state, reporter);
+        return update.withProof(new NameProofs(reporter).prove(update));
     }
 
-    /** Something goes to a member past the network's faults, as if from an address. */
+    /** Delivers a message to a member as if from an address, without the network's faults. */
     public void inject(String from, String to, Message message) {
         schedule(nowMs, () -> nodes.get(to).receive(from, message));
     }
 
-    private void send(Node from, Membership by, String to, Message message, boolean connection) {
-        if (from.membership != by && from.membership != null) {
+    private void send(Node from, Membership sender, String to, Message message, boolean byConnection) {
+        if (from.membership != sender && from.membership != null) {
             return;
         }
-        from.messages++;
-        from.bytes += bytes(message);
+        from.sentMessages++;
+        from.sentBytes += estimatedBytes(message);
         Node target = nodes.get(to);
-        if (target == null || cut.test(from.id, to)) {
+        if (target == null || isCut.test(from.id, to)) {
             return;
         }
-        double delay =
-                delayLeastMs + (delayMostMs - delayLeastMs) * random.nextDouble() + target.slowMs * random.nextDouble();
-        if (!connection) {
-            if (random.nextDouble() >= loss) {
-                schedule(nowMs + delay, () -> target.receive(from.id, message));
+        double delayMs = minDelayMs
+                + (maxDelayMs - minDelayMs) * random.nextDouble()
+                + target.maxExtraDelayMs * random.nextDouble();
+        if (!byConnection) {
+            if (random.nextDouble() >= lossProbability) {
+                schedule(nowMs + delayMs, () -> target.receive(from.id, message));
             }
             return;
         }
-        // set-up and data are a round trip each, and each is tried again when either half of it is lost
-        for (int trip = 0; trip < 2; trip++) {
-            double wait = RETRANSMIT_MS;
-            int tries = 0;
-            while (random.nextDouble() >= (1 - loss) * (1 - loss)) {
-                if (++tries > RETRANSMISSIONS) {
+        // Connection set-up and data each take a round trip, which is repeated when either direction loses it.
+        for (int roundTrip = 0; roundTrip < 2; roundTrip++) {
+            double timeoutMs = RETRANSMISSION_TIMEOUT_MS;
+            int retransmissions = 0;
+            while (random.nextDouble() >= (1 - lossProbability) * (1 - lossProbability)) {
+                if (++retransmissions > MAX_RETRANSMISSIONS) {
                     return;
                 }
-                delay += wait;
-                wait *= 2;
+                delayMs += timeoutMs;
+                timeoutMs *= 2;
             }
-            delay += delayLeastMs + (delayMostMs - delayLeastMs) * random.nextDouble();
+            delayMs += minDelayMs + (maxDelayMs - minDelayMs) * random.nextDouble();
         }
-        schedule(nowMs + delay, () -> target.receive(from.id, message));
+        schedule(nowMs + delayMs, () -> target.receive(from.id, message));
     }
 
-    private static int bytes(Message message) {
-        int result = HEAD_BYTES;
-        for (Update u : message.updates()) {
-            result += UPDATE_BYTES
+    private static int estimatedBytes(Message message) {
+        int result = MESSAGE_OVERHEAD_BYTES;
+        for (Update update : message.updates()) {
+            result += UPDATE_OVERHEAD_BYTES
                     + PROOF_BYTES
-                    + u.id().length()
-                    + u.address().length()
-                    + u.from().length();
+                    + update.memberId().length()
+                    + update.address().length()
+                    + update.reporter().length();
         }
         return result;
     }
 
-    /** Lets virtual time pass. */
+    /** Advances the virtual time by {@code forMs} and processes the events that are due. */
     public void run(double forMs) {
-        double until = nowMs + forMs;
-        while (!events.isEmpty() && events.peek().atMs() <= until) {
-            Event e = events.poll();
-            nowMs = e.atMs();
-            e.body().run();
+        double endMs = nowMs + forMs;
+        while (!events.isEmpty() && events.peek().atMs() <= endMs) {
+            Event event = events.poll();
+            nowMs = event.atMs();
+            event.action().run();
         }
-        nowMs = until;
+        nowMs = endMs;
     }
 
-    /** What a member takes another for; null: it does not know it. */
-    public State view(String by, String of) {
-        return nodes.get(by).membership.state(of);
+    /** Returns the state of a member in another member's view; null if it is unknown there. */
+    public State view(String observer, String memberId) {
+        return nodes.get(observer).membership.state(memberId);
     }
 
-    /** A member's own incarnation. */
+    /** Returns the incarnation that a member currently has. */
     public long incarnation(String id) {
         return nodes.get(id).membership.self().incarnation();
     }
 
-    /** Whether every running member takes every running one for alive, and no other for present. */
+    /**
+     * Returns whether every running member sees exactly the running members as present, and none of them as suspected.
+     */
     public boolean agreed() {
         Set<String> running = new HashSet<>();
-        nodes.values().forEach(n -> {
-            if (n.running) {
-                running.add(n.id);
+        nodes.values().forEach(node -> {
+            if (node.running) {
+                running.add(node.id);
             }
         });
-        for (String by : running) {
-            Membership view = nodes.get(by).membership;
-            for (Membership.Member m : view.members()) {
-                if (m.present() != running.contains(m.id()) || m.state() == State.SUSPECT) {
+        for (String observer : running) {
+            Membership view = nodes.get(observer).membership;
+            for (Membership.Member member : view.members()) {
+                if (member.isPresent() != running.contains(member.id()) || member.state() == State.SUSPECT) {
                     return false;
                 }
             }
@@ -317,26 +340,29 @@
         return true;
     }
 
-    /** All changes of views since the last call. */
+    /** Returns all view changes since the last call. */
     public List<Seen> seen() {
-        List<Seen> result = List.copyOf(seen);
-        seen.clear();
+        List<Seen> result = List.copyOf(viewChanges);
+        viewChanges.clear();
         return result;
     }
 
-    /** Messages that each running member sent a second, on the mean, since the last call over so many ms; and bytes. */
+    /**
+     * Returns the mean number of messages, and of bytes, that each running member sent per second since the last call,
+     * {@code overMs} ms ago.
+     */
     public double[] traffic(double overMs) {
         double messages = 0;
         double bytes = 0;
         int running = 0;
-        for (Node n : nodes.values()) {
-            if (n.running) {
+        for (Node node : nodes.values()) {
+            if (node.running) {
                 running++;
-                messages += n.messages;
-                bytes += n.bytes;
+                messages += node.sentMessages;
+                bytes += node.sentBytes;
             }
-            n.messages = 0;
-            n.bytes = 0;
+            node.sentMessages = 0;
+            node.sentBytes = 0;
         }
         return new double[] {messages / running * 1000 / overMs, bytes / running * 1000 / overMs};
     }
--- a/gossip/src/main/java/calicovale/gossip/sim/package-info.java
+++ b/gossip/src/main/java/calicovale/gossip/sim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the simulator of a group: many members over the pure classes in virtual time, with a network that loses, delays and
- * cuts. The same seed gives the same run.
+ * Simulator of a group: many members run the membership protocol in virtual time, over a network with losses, delays
+ * and partitions. The same seed gives the same run.
  */
 package calicovale.gossip.sim;
--- a/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
@@ -7,25 +7,25 @@
 import java.security.PublicKey;
 
 /**
- * The operators' word that a key is a member's, for a while.
+ * Certificate by which the operators confirm that a key belongs to a member, for a limited time.
  *
- * @param member id
- * @param key the 32 bytes of its public key
- * @param fromMs from which it holds, ms since 1970
- * @param untilMs until which it holds
- * @param signature by the operators' key
+ * @param member id of the member
+ * @param key the 32 bytes of the member's public key
+ * @param fromMs start of the validity, in ms since 1970
+ * @param untilMs end of the validity, exclusive, in ms since 1970
+ * @param signature signature by the operators' key
  */
 public record Certificate(String member, byte[] key, long fromMs, long untilMs, byte[] signature) {
-    private static final int MOST_MEMBER = 64;
+    private static final int MAX_MEMBER_ID_BYTES = 64;
 
-    /** Signs one for a group. */
+    /** Signs a certificate for a member of a group. */
     public static Certificate sign(
             PrivateKey authority, String group, String member, byte[] key, long fromMs, long untilMs) {
-        byte[] text = text(group, member, key, fromMs, untilMs);
-        return new Certificate(member, key, fromMs, untilMs, Ed25519.sign(authority, text));
+        byte[] signed = signedBytes(group, member, key, fromMs, untilMs);
+        return new Certificate(member, key, fromMs, untilMs, Ed25519.sign(authority, signed));
     }
 
-    private static byte[] text(String group, String member, byte[] key, long fromMs, long untilMs) {
+    private static byte[] signedBytes(String group, String member, byte[] key, long fromMs, long untilMs) {
         byte[] names = ("calicovale-certificate-1\0" + group + "\0" + member + "\0").getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(names.length + key.length + 16)
                 .put(names)
@@ -35,17 +35,17 @@
                 .array();
     }
 
-    /** Whether the operators signed it for this group. */
+    /** Returns whether the operators' key signed this certificate for the group. */
     public boolean signedBy(PublicKey authority, String group) {
-        return Ed25519.verify(authority, signature, text(group, member, key, fromMs, untilMs));
+        return Ed25519.verify(authority, signature, signedBytes(group, member, key, fromMs, untilMs));
     }
 
-    /** Its bytes as they go with messages. */
-    public byte[] bytes() {
-        byte[] name = member.getBytes(StandardCharsets.US_ASCII);
-        return ByteBuffer.allocate(1 + name.length + key.length + 16 + signature.length)
-                .put((byte) name.length)
-                .put(name)
+    /** Returns the binary form that is sent with messages. */
+    public byte[] encode() {
+        byte[] id = member.getBytes(StandardCharsets.US_ASCII);
+        return ByteBuffer.allocate(1 + id.length + key.length + 16 + signature.length)
+                .put((byte) id.length)
+                .put(id)
                 .put(key)
                 .putLong(fromMs)
                 .putLong(untilMs)
@@ -53,23 +53,23 @@
                 .array();
     }
 
-    /** One of its bytes, or null if they are none; nothing is verified yet. */
-    public static Certificate of(byte[] bytes) {
-        int name = bytes.length == 0 ? 0 : bytes[0];
-        if (name <= 0
-                || name > MOST_MEMBER
-                || bytes.length != 1 + name + Ed25519.KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
+    /** Returns the certificate of a binary form, or null if that is malformed. The signature is not verified. */
+    public static Certificate decode(byte[] bytes) {
+        int idLength = bytes.length == 0 ? 0 : bytes[0];
+        if (idLength <= 0
+                || idLength > MAX_MEMBER_ID_BYTES
+                || bytes.length != 1 + idLength + Ed25519.KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
-        byte[] member = new byte[name];
+        byte[] idBytes = new byte[idLength];
         byte[] key = new byte[Ed25519.KEY_BYTES];
         byte[] signature = new byte[Ed25519.SIGNATURE_BYTES];
-        in.get(member).get(key);
-        long from = in.getLong();
-        long until = in.getLong();
+        in.get(idBytes).get(key);
+        long fromMs = in.getLong();
+        long untilMs = in.getLong();
         in.get(signature);
-        String id = new String(member, StandardCharsets.US_ASCII);
-        return id.matches("[A-Za-z0-9][A-Za-z0-9._-]*") ? new Certificate(id, key, from, until, signature) : null;
+        String id = new String(idBytes, StandardCharsets.US_ASCII);
+        return id.matches("[A-Za-z0-9][A-Za-z0-9._-]*") ? new Certificate(id, key, fromMs, untilMs, signature) : null;
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/Codec.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Codec.java
@@ -17,133 +17,142 @@
 import java.util.List;
 
 /**
- * Owns the CBOR form of messages: arrays by position, whole numbers, short texts and byte strings, each with a bound that is
- * checked before more than a few hundred bytes are taken for it. What differs in the least from that is refused whole.
+ * Encodes and decodes messages as CBOR: arrays with elements by position, integers, short texts and byte strings. Each
+ * element has a bound, which is checked before more than a few hundred bytes are allocated for it. A message that
+ * deviates from the format in any way is rejected as a whole.
  */
 public final class Codec {
-    /** Version of the form; another is refused. */
+    /** Version of the format; messages of other versions are rejected. */
     public static final int VERSION = 1;
-    /** Characters of a member's id or an address. */
-    private static final int MOST_TEXT = 64;
-    /** Bytes of a proof: key id, signature and, with what a member says of itself, its certificate. */
-    private static final int MOST_PROOF = 400;
-    /** Strengths go as whole per cents. */
-    private static final double PER_CENT = 100;
-    /** Ms that a claim may be old or last: a day, far above any setting. */
-    private static final long MOST_MS = 86_400_000;
+    /** Largest number of characters of a member id or an address. */
+    private static final int MAX_TEXT_CHARS = 64;
+    /**
+     * Largest number of bytes of a proof: key id, signature and, in what a member reports about itself, its
+     * certificate.
+     */
+    private static final int MAX_PROOF_BYTES = 400;
+    /** Units of a strength of 1 on the wire: strengths are sent as whole per cents. */
+    private static final double STRENGTH_UNITS = 100;
+    /** Largest age or validity of a claim, in ms: one day, far above any setting. */
+    private static final long MAX_CLAIM_MS = 86_400_000;
 
     private static final CBORFactory FACTORY = CBORFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
                     .maxNestingDepth(6)
-                    .maxStringLength(4 * MOST_TEXT)
+                    .maxStringLength(4 * MAX_TEXT_CHARS)
                     .maxNumberLength(20)
-                    .maxNameLength(MOST_TEXT)
+                    .maxNameLength(MAX_TEXT_CHARS)
                     .build())
             .build();
 
     private final WireLimits limits;
 
-    /** With bounds. */
+    /** Creates a codec that enforces {@code limits} on decoded messages. */
     public Codec(WireLimits limits) {
         this.limits = limits;
     }
 
     // --- Writing ---
 
-    /** A message's bytes. */
-    public byte[] encode(Message m) {
+    /** Returns the encoded message. */
+    public byte[] encode(Message message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            g.writeStartArray(null, size(m));
-            g.writeNumber(VERSION);
-            if (m instanceof Message.Ping x) {
-                g.writeNumber(0);
-                g.writeNumber(x.number());
-                g.writeString(x.target());
-            } else if (m instanceof Message.PingReq x) {
-                g.writeNumber(1);
-                g.writeNumber(x.number());
-                g.writeString(x.target());
-                g.writeString(x.targetAddress());
-            } else if (m instanceof Message.Ack x) {
-                g.writeNumber(2);
-                g.writeNumber(x.number());
-            } else if (m instanceof Message.Nack x) {
-                g.writeNumber(3);
-                g.writeNumber(x.number());
-            } else if (m instanceof Message.News) {
-                g.writeNumber(4);
-            } else if (m instanceof Message.Digest x) {
-                g.writeNumber(5);
-                g.writeNumber(x.sum());
-            } else if (m instanceof Message.Exchange x) {
-                g.writeNumber(6);
-                g.writeNumber(x.answer() ? 1 : 0);
-            } else if (m instanceof Message.Claims x) {
-                g.writeNumber(7);
-                g.writeStartArray(null, x.statements().size());
-                for (Statement s : x.statements()) {
-                    write(g, s, true);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            generator.writeStartArray(null, arrayLength(message));
+            generator.writeNumber(VERSION);
+            if (message instanceof Message.Ping ping) {
+                generator.writeNumber(0);
+                generator.writeNumber(ping.sequenceNumber());
+                generator.writeString(ping.target());
+            } else if (message instanceof Message.PingReq pingReq) {
+                generator.writeNumber(1);
+                generator.writeNumber(pingReq.sequenceNumber());
+                generator.writeString(pingReq.target());
+                generator.writeString(pingReq.targetAddress());
+            } else if (message instanceof Message.Ack ack) {
+                generator.writeNumber(2);
+                generator.writeNumber(ack.sequenceNumber());
+            } else if (message instanceof Message.Nack nack) {
+                generator.writeNumber(3);
+                generator.writeNumber(nack.sequenceNumber());
+            } else if (message instanceof Message.Dissemination) {
+                generator.writeNumber(4);
+            } else if (message instanceof Message.Digest digest) {
+                generator.writeNumber(5);
+                generator.writeNumber(digest.hash());
+            } else if (message instanceof Message.PushPull pushPull) {
+                generator.writeNumber(6);
+                generator.writeNumber(pushPull.reply() ? 1 : 0);
+            } else if (message instanceof Message.Claims claims) {
+                generator.writeNumber(7);
+                generator.writeStartArray(null, claims.statements().size());
+                for (Statement statement : claims.statements()) {
+                    write(generator, statement, true);
                 }
-                g.writeEndArray();
+                generator.writeEndArray();
             }
-            if (!(m instanceof Message.Claims)) {
-                g.writeStartArray(null, m.updates().size());
-                for (Update u : m.updates()) {
-                    write(g, u);
+            if (!(message instanceof Message.Claims)) {
+                generator.writeStartArray(null, message.updates().size());
+                for (Update update : message.updates()) {
+                    write(generator, update);
                 }
-                g.writeEndArray();
+                generator.writeEndArray();
             }
-            g.writeEndArray();
+            generator.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return out.toByteArray();
     }
 
-    private static int size(Message m) {
-        return m instanceof Message.PingReq
+    private static int arrayLength(Message message) {
+        return message instanceof Message.PingReq
                 ? 6
-                : m instanceof Message.Ping ? 5 : m instanceof Message.News || m instanceof Message.Claims ? 3 : 4;
+                : message instanceof Message.Ping
+                        ? 5
+                        : message instanceof Message.Dissemination || message instanceof Message.Claims ? 3 : 4;
     }
 
-    private static void write(JsonGenerator g, Update u) throws IOException {
-        g.writeStartArray(null, 6);
-        g.writeString(u.id());
-        g.writeString(u.address());
-        g.writeNumber(u.incarnation());
-        g.writeNumber(u.state().ordinal());
-        g.writeString(u.from());
-        g.writeBinary(u.proof());
-        g.writeEndArray();
+    private static void write(JsonGenerator generator, Update update) throws IOException {
+        generator.writeStartArray(null, 6);
+        generator.writeString(update.memberId());
+        generator.writeString(update.address());
+        generator.writeNumber(update.incarnation());
+        generator.writeNumber(update.state().ordinal());
+        generator.writeString(update.reporter());
+        generator.writeBinary(update.proof());
+        generator.writeEndArray();
     }
 
-    private static void write(JsonGenerator g, Statement s, boolean withProof) throws IOException {
-        g.writeStartArray(null, withProof ? 4 : 3);
-        g.writeString(s.from());
-        g.writeNumber(s.number());
-        g.writeStartArray(null, s.claims().size());
-        for (Claim c : s.claims()) {
-            g.writeStartArray(null, 5);
-            g.writeNumber(c.box());
-            g.writeNumber(c.kind().ordinal());
-            g.writeNumber(Math.max(1, Math.round(PER_CENT * c.strength())));
-            g.writeNumber(Math.round(c.ageMs()));
-            g.writeNumber(Math.round(c.lastsMs()));
-            g.writeEndArray();
+    private static void write(JsonGenerator generator, Statement statement, boolean withProof) throws IOException {
+        generator.writeStartArray(null, withProof ? 4 : 3);
+        generator.writeString(statement.from());
+        generator.writeNumber(statement.version());
+        generator.writeStartArray(null, statement.claims().size());
+        for (Claim claim : statement.claims()) {
+            generator.writeStartArray(null, 5);
+            generator.writeNumber(claim.box());
+            generator.writeNumber(claim.kind().ordinal());
+            generator.writeNumber(Math.max(1, Math.round(STRENGTH_UNITS * claim.strength())));
+            generator.writeNumber(Math.round(claim.ageMs()));
+            generator.writeNumber(Math.round(claim.validityMs()));
+            generator.writeEndArray();
         }
-        g.writeEndArray();
+        generator.writeEndArray();
         if (withProof) {
-            g.writeBinary(s.proof());
+            generator.writeBinary(statement.proof());
         }
-        g.writeEndArray();
+        generator.writeEndArray();
     }
 
-    /** What a statement's proof signs: the same bytes here and there, since all its numbers are whole on the wire. */
-    static byte[] signed(Statement s) {
+    /**
+     * Returns the bytes that the proof of a statement signs; sender and receiver compute the same bytes because all
+     * numbers are rounded to integers on the wire.
+     */
+    static byte[] signedBytes(Statement statement) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            write(g, s, false);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            write(generator, statement, false);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -153,152 +162,153 @@
     // --- Reading ---
 
     /**
-     * The message of bytes.
+     * Decodes a message.
      *
-     * @throws WireException if they are not exactly one message of this version
+     * @throws WireException if the bytes are not exactly one message of this version
      */
     public Message decode(byte[] bytes, int offset, int length) throws WireException {
-        try (JsonParser p = FACTORY.createParser(bytes, offset, length)) {
-            Message result = message(p);
-            if (p.nextToken() != null) {
-                throw new WireException("nothing is expected after the message");
+        try (JsonParser parser = FACTORY.createParser(bytes, offset, length)) {
+            Message result = readMessage(parser);
+            if (parser.nextToken() != null) {
+                throw new WireException("the end of the input is expected after the message");
             }
             return result;
         } catch (IOException | RuntimeException e) {
-            // the library says by one kind or the other that it is no CBOR, or more than its bounds
-            throw new WireException("CBOR of a message is expected");
+            // Jackson reports malformed CBOR and exceeded bounds by either kind of exception.
+            throw new WireException("a message in CBOR is expected");
         }
     }
 
-    private Message message(JsonParser p) throws IOException, WireException {
-        open(p);
-        number(p, VERSION, VERSION);
-        int kind = (int) number(p, 0, 7);
+    private Message readMessage(JsonParser parser) throws IOException, WireException {
+        beginArray(parser);
+        readLongInRange(parser, VERSION, VERSION);
+        int kind = (int) readLongInRange(parser, 0, 7);
         Message result =
                 switch (kind) {
-                    case 0 -> new Message.Ping(any(p), text(p), updates(p));
-                    case 1 -> new Message.PingReq(any(p), text(p), text(p), updates(p));
-                    case 2 -> new Message.Ack(any(p), updates(p));
-                    case 3 -> new Message.Nack(any(p), updates(p));
-                    case 4 -> new Message.News(updates(p));
-                    case 5 -> new Message.Digest(any(p), updates(p));
-                    case 6 -> new Message.Exchange(number(p, 0, 1) == 1, updates(p));
-                    default -> new Message.Claims(statements(p));
+                    case 0 -> new Message.Ping(readLong(parser), readText(parser), readUpdates(parser));
+                    case 1 ->
+                        new Message.PingReq(readLong(parser), readText(parser), readText(parser), readUpdates(parser));
+                    case 2 -> new Message.Ack(readLong(parser), readUpdates(parser));
+                    case 3 -> new Message.Nack(readLong(parser), readUpdates(parser));
+                    case 4 -> new Message.Dissemination(readUpdates(parser));
+                    case 5 -> new Message.Digest(readLong(parser), readUpdates(parser));
+                    case 6 -> new Message.PushPull(readLongInRange(parser, 0, 1) == 1, readUpdates(parser));
+                    default -> new Message.Claims(readStatements(parser));
                 };
-        close(p);
+        endArray(parser);
         return result;
     }
 
-    private List<Update> updates(JsonParser p) throws IOException, WireException {
-        open(p);
+    private List<Update> readUpdates(JsonParser parser) throws IOException, WireException {
+        beginArray(parser);
         List<Update> result = new ArrayList<>();
-        while (more(p)) {
-            if (result.size() >= limits.updatesMost()) {
-                throw new WireException("at most " + limits.updatesMost() + " updates are expected");
+        while (nextArray(parser)) {
+            if (result.size() >= limits.maxUpdates()) {
+                throw new WireException("at most " + limits.maxUpdates() + " updates are expected");
             }
-            String id = text(p);
-            String address = text(p);
-            long incarnation = number(p, 0, Long.MAX_VALUE / 2);
-            Update.State state = Update.State.values()[(int) number(p, 0, 3)];
-            String from = text(p);
-            result.add(new Update(id, address, incarnation, state, from, bytes(p)));
-            close(p);
+            String memberId = readText(parser);
+            String address = readText(parser);
+            long incarnation = readLongInRange(parser, 0, Long.MAX_VALUE / 2);
+            Update.State state = Update.State.values()[(int) readLongInRange(parser, 0, 3)];
+            String reporter = readText(parser);
+            result.add(new Update(memberId, address, incarnation, state, reporter, readProof(parser)));
+            endArray(parser);
         }
         return result;
     }
 
-    private List<Statement> statements(JsonParser p) throws IOException, WireException {
-        open(p);
+    private List<Statement> readStatements(JsonParser parser) throws IOException, WireException {
+        beginArray(parser);
         List<Statement> result = new ArrayList<>();
-        while (more(p)) {
-            if (result.size() >= limits.updatesMost()) {
-                throw new WireException("at most " + limits.updatesMost() + " statements are expected");
+        while (nextArray(parser)) {
+            if (result.size() >= limits.maxUpdates()) {
+                throw new WireException("at most " + limits.maxUpdates() + " statements are expected");
             }
-            String from = text(p);
-            long number = number(p, 0, Long.MAX_VALUE / 2);
-            open(p);
+            String reporter = readText(parser);
+            long version = readLongInRange(parser, 0, Long.MAX_VALUE / 2);
+            beginArray(parser);
             List<Claim> claims = new ArrayList<>();
-            while (more(p)) {
-                if (claims.size() >= limits.claimsMost()) {
-                    throw new WireException("at most " + limits.claimsMost() + " claims are expected");
+            while (nextArray(parser)) {
+                if (claims.size() >= limits.maxClaims()) {
+                    throw new WireException("at most " + limits.maxClaims() + " claims are expected");
                 }
                 claims.add(new Claim(
-                        any(p),
-                        Claim.Kind.values()[(int) number(p, 0, Claim.Kind.values().length - 1)],
-                        number(p, 1, (long) PER_CENT) / PER_CENT,
-                        number(p, 0, MOST_MS),
-                        number(p, 0, MOST_MS)));
-                close(p);
+                        readLong(parser),
+                        Claim.Kind.values()[(int) readLongInRange(parser, 0, Claim.Kind.values().length - 1)],
+                        readLongInRange(parser, 1, (long) STRENGTH_UNITS) / STRENGTH_UNITS,
+                        readLongInRange(parser, 0, MAX_CLAIM_MS),
+                        readLongInRange(parser, 0, MAX_CLAIM_MS)));
+                endArray(parser);
             }
-            result.add(new Statement(from, number, List.copyOf(claims), bytes(p)));
-            close(p);
+            result.add(new Statement(reporter, version, List.copyOf(claims), readProof(parser)));
+            endArray(parser);
         }
         return result;
     }
 
-    private static void open(JsonParser p) throws IOException, WireException {
-        expect(p.nextToken() == JsonToken.START_ARRAY, "an array");
+    private static void beginArray(JsonParser parser) throws IOException, WireException {
+        expect(parser.nextToken() == JsonToken.START_ARRAY, "an array");
     }
 
-    private static void close(JsonParser p) throws IOException, WireException {
-        expect(p.nextToken() == JsonToken.END_ARRAY, "the end of an array");
+    private static void endArray(JsonParser parser) throws IOException, WireException {
+        expect(parser.nextToken() == JsonToken.END_ARRAY, "the end of an array");
     }
 
-    /** Whether another array begins; else the one around it has ended. */
-    private static boolean more(JsonParser p) throws IOException, WireException {
-        JsonToken token = p.nextToken();
+    /** Reads the start of another array and returns true, or the end of the surrounding array and returns false. */
+    private static boolean nextArray(JsonParser parser) throws IOException, WireException {
+        JsonToken token = parser.nextToken();
         expect(token == JsonToken.START_ARRAY || token == JsonToken.END_ARRAY, "an array or the end of one");
         return token == JsonToken.START_ARRAY;
     }
 
-    private static long any(JsonParser p) throws IOException, WireException {
-        return number(p, Long.MIN_VALUE, Long.MAX_VALUE);
+    private static long readLong(JsonParser parser) throws IOException, WireException {
+        return readLongInRange(parser, Long.MIN_VALUE, Long.MAX_VALUE);
     }
 
-    private static long number(JsonParser p, long least, long most) throws IOException, WireException {
-        expect(p.nextToken() == JsonToken.VALUE_NUMBER_INT, "a whole number");
-        long value = p.getLongValue();
-        expect(value >= least && value <= most, "a number from " + least + " to " + most);
+    private static long readLongInRange(JsonParser parser, long min, long max) throws IOException, WireException {
+        expect(parser.nextToken() == JsonToken.VALUE_NUMBER_INT, "an integer");
+        long value = parser.getLongValue();
+        expect(value >= min && value <= max, "a number from " + min + " to " + max);
         return value;
     }
 
-    private static String text(JsonParser p) throws IOException, WireException {
-        expect(p.nextToken() == JsonToken.VALUE_STRING, "a text");
-        String value = p.getText();
-        expect(value.length() <= MOST_TEXT, "at most " + MOST_TEXT + " characters");
+    private static String readText(JsonParser parser) throws IOException, WireException {
+        expect(parser.nextToken() == JsonToken.VALUE_STRING, "a text");
+        String value = parser.getText();
+        expect(value.length() <= MAX_TEXT_CHARS, "at most " + MAX_TEXT_CHARS + " characters");
         for (int i = 0; i < value.length(); i++) {
-            // they go into log lines and pages
+            // The texts are written to log lines and status pages.
             expect(value.charAt(i) > 0x20 && value.charAt(i) < 0x7f, "printable characters");
         }
         return value;
     }
 
-    private static byte[] bytes(JsonParser p) throws IOException, WireException {
-        expect(p.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "a byte string");
-        // copied in pieces: a declared length alone takes no memory
-        Bounded out = new Bounded();
-        p.readBinaryValue(out);
+    private static byte[] readProof(JsonParser parser) throws IOException, WireException {
+        expect(parser.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "a byte string");
+        // Read in chunks, so that a large declared length alone allocates nothing.
+        BoundedOutputStream out = new BoundedOutputStream();
+        parser.readBinaryValue(out);
         return out.bytes.toByteArray();
     }
 
-    private static void expect(boolean so, String what) throws WireException {
-        if (!so) {
-            throw new WireException(what + " is expected");
+    private static void expect(boolean condition, String expected) throws WireException {
+        if (!condition) {
+            throw new WireException(expected + " is expected");
         }
     }
 
-    private static final class Bounded extends OutputStream {
+    private static final class BoundedOutputStream extends OutputStream {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream(96);
 
         @Override
-        public void write(int b) throws IOException {
-            write(new byte[] {(byte) b}, 0, 1);
+        public void write(int value) throws IOException {
+            write(new byte[] {(byte) value}, 0, 1);
         }
 
         @Override
         public void write(byte[] from, int offset, int length) throws IOException {
-            if (bytes.size() + length > MOST_PROOF) {
-                throw new IOException("more than " + MOST_PROOF + " bytes");
+            if (bytes.size() + length > MAX_PROOF_BYTES) {
+                throw new IOException("more than " + MAX_PROOF_BYTES + " bytes");
             }
             bytes.write(from, offset, length);
         }
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -9,29 +9,35 @@
 import java.util.Map;
 
 /**
- * Owns the envelope around every message, and what is dropped by it before the message itself is looked at: its places are
- * fixed, so nothing of a stranger's is parsed.
+ * Seals and opens the signed envelope around each message. All fields of an envelope are at fixed positions, so that
+ * nothing of an unauthenticated sender has to be parsed: a message is decoded only after its envelope was accepted.
  *
  * <pre>
- * 0  'c' 'v'                    14  life, ms          38  certificate
- * 2  version (16 bits)          22  sequence          ..  signature (64)
- * 4  certificate's length (16)  30  time, ms          ..  message
- * 6  key id
+ *  0  'c' 'v'
+ *  2  version (16 bits)
+ *  4  length of the certificate (16 bits)
+ *  6  key id
+ * 14  epoch of the sender: start time of its process, ms since 1970
+ * 22  sequence number in the epoch
+ * 30  time of sending, ms since 1970
+ * 38  certificate, may be empty
+ * ..  signature (64 bytes)
+ * ..  message
  * </pre>
  *
- * <p>The signature is over the group, whom it is for, all that stands before it and the message. So a message can't be led to
- * another member, into another group, or be taken twice.
+ * <p>The signature covers the group, the receiver, all fields before it and the message. A message therefore cannot be
+ * redirected to another member or group, or be accepted twice.
  */
 public final class Envelopes {
-    /** Where the certificate begins. */
-    private static final int CERTIFICATE = 38;
-    /** Bytes of an envelope without a certificate. */
-    public static final int HEAD = CERTIFICATE + Ed25519.SIGNATURE_BYTES;
+    /** Position of the certificate, in bytes. */
+    private static final int CERTIFICATE_OFFSET = 38;
+    /** Length of an envelope without a certificate and a message, in bytes. */
+    public static final int OVERHEAD_BYTES = CERTIFICATE_OFFSET + Ed25519.SIGNATURE_BYTES;
 
     private static final int VERSION = 1;
-    private static final int MOST_CERTIFICATE = 256;
+    private static final int MAX_CERTIFICATE_BYTES = 256;
 
-    /** Why a message was dropped. */
+    /** Reason for which a message was dropped. The names are part of metrics. */
     public enum Drop {
         MALFORMED,
         VERSION,
@@ -44,155 +50,172 @@
     }
 
     /**
-     * A message whose sender is certain.
+     * An accepted message with its authenticated sender.
      *
-     * @param sender the member
-     * @param keyId by which it signed
-     * @param life of the sender
-     * @param sequence in that life
-     * @param from first byte of the message in what was opened
+     * @param sender id of the sending member
+     * @param keyId id of the key that signed the message
+     * @param epoch start time of the sender's process, ms since 1970
+     * @param sequence sequence number of the message in that epoch
+     * @param messageOffset position of the message in the opened bytes
      */
-    public record Opened(String sender, long keyId, long life, long sequence, int from) {
-        /** What an answer to it is bound to, in place of an address. */
+    public record Opened(String sender, long keyId, long epoch, long sequence, int messageOffset) {
+        /**
+         * Returns the reference to this message, which takes the place of the receiver's address in the signature of a
+         * reply.
+         */
         public String reference() {
-            return "re:" + Long.toHexString(keyId) + ":" + life + ":" + sequence;
+            return "re:" + Long.toHexString(keyId) + ":" + epoch + ":" + sequence;
         }
     }
 
     private final Roster roster;
     private final Signer signer;
     private final WireLimits limits;
-    private final long life;
+    private final long epoch;
     private final ReplayGuard replays;
-    private final Map<String, TokenBucket> homes = new LinkedHashMap<>();
-    private final TokenBucket strangers;
+    private final Map<String, TokenBucket> knownSources = new LinkedHashMap<>();
+    private final TokenBucket unknownSources;
     private final EnumMap<Drop, Long> drops = new EnumMap<>(Drop.class);
     private long sequence;
 
-    /** For one life of a member, told apart from its others by its begin in ms. */
-    public Envelopes(Roster roster, Signer signer, WireLimits limits, long life, double nowMs) {
+    /**
+     * Creates the envelopes of one process of a member, told apart from its other processes by {@code epoch}, its start
+     * time in ms since 1970.
+     */
+    public Envelopes(Roster roster, Signer signer, WireLimits limits, long epoch, double nowMs) {
         this.roster = roster;
         this.signer = signer;
         this.limits = limits;
-        this.life = life;
-        replays = new ReplayGuard(limits.membersMost(), 2 * limits.skewMs());
-        strangers = new TokenBucket(limits.strangers(), nowMs);
-        for (Drop d : Drop.values()) {
-            drops.put(d, 0L);
+        this.epoch = epoch;
+        replays = new ReplayGuard(limits.maxSenders(), 2 * limits.maxClockSkewMs());
+        unknownSources = new TokenBucket(limits.unknownSourceRatePerS(), nowMs);
+        for (Drop reason : Drop.values()) {
+            drops.put(reason, 0L);
         }
     }
 
-    /** Messages dropped, by reason. */
+    /** Returns the number of dropped messages by reason. */
     public Map<Drop, Long> drops() {
         return new EnumMap<>(drops);
     }
 
-    private static byte[] context(String group, String to) {
-        return ("calicovale-gossip-1\0" + group + "\0" + to + "\0").getBytes(StandardCharsets.UTF_8);
+    private static byte[] signatureContext(String group, String receiver) {
+        return ("calicovale-gossip-1\0" + group + "\0" + receiver + "\0").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** An envelope for a receiver's address, or for what an answer refers to. */
-    public byte[] seal(double wallMs, String to, byte[] message, boolean certified) {
-        byte[] certificate = certified ? signer.certificate() : new byte[0];
-        ByteBuffer out = ByteBuffer.allocate(HEAD + certificate.length + message.length);
+    /**
+     * Returns a signed envelope for a receiver: an address, or the reference of the message that this one replies to.
+     */
+    public byte[] seal(double wallMs, String receiver, byte[] message, boolean withCertificate) {
+        byte[] certificate = withCertificate ? signer.certificate() : new byte[0];
+        ByteBuffer out = ByteBuffer.allocate(OVERHEAD_BYTES + certificate.length + message.length);
         out.put((byte) 'c').put((byte) 'v').putShort((short) VERSION);
         out.putShort((short) certificate.length)
                 .putLong(signer.keyId())
-                .putLong(life)
+                .putLong(epoch)
                 .putLong(++sequence)
                 .putLong((long) wallMs);
         out.put(certificate);
         byte[] head = Arrays.copyOf(out.array(), out.position());
-        out.put(signer.sign(context(roster.group(), to), head, message)).put(message);
+        out.put(signer.sign(signatureContext(roster.group(), receiver), head, message))
+                .put(message);
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    /** What an answer to a sealed envelope is bound to. */
+    /** Returns the reference that a reply to a sealed envelope must be signed for. */
     public static String referenceOf(byte[] sealed) {
         ByteBuffer in = ByteBuffer.wrap(sealed, 6, 24);
         return new Opened("", in.getLong(), in.getLong(), in.getLong(), 0).reference();
     }
 
-    private Opened drop(Drop why) {
-        drops.merge(why, 1L, Long::sum);
+    private Opened drop(Drop reason) {
+        drops.merge(reason, 1L, Long::sum);
         return null;
     }
 
     /**
-     * Opens an envelope; null if it was dropped, and counted.
+     * Opens an envelope. Returns null if the message was dropped; the reason is counted.
      *
-     * @param here the address that the sender must have meant, or the reference of the message that this answers
-     * @param source where it came from; floods from elsewhere than where a key is at home have a rate of their own
+     * @param receiver the address that the sender must have sent to, or the reference of the message that this one
+     *     replies to
+     * @param source where the message came from; each key has a rate of its own at the sources from which its messages
+     *     were verified, and all other sources share one rate, so that a flood from there does not silence the member
      */
-    public Opened open(double nowMs, double wallMs, String here, String source, byte[] bytes, int length) {
-        if (length < HEAD || bytes[0] != 'c' || bytes[1] != 'v') {
+    public Opened open(double nowMs, double wallMs, String receiver, String source, byte[] bytes, int length) {
+        if (length < OVERHEAD_BYTES || bytes[0] != 'c' || bytes[1] != 'v') {
             return drop(Drop.MALFORMED);
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 2, length - 2);
         if (in.getShort() != VERSION) {
             return drop(Drop.VERSION);
         }
-        int certificate = in.getShort();
+        int certificateLength = in.getShort();
         long keyId = in.getLong();
-        long itsLife = in.getLong();
-        long itsSequence = in.getLong();
-        long time = in.getLong();
-        if (certificate < 0 || certificate > MOST_CERTIFICATE || length < HEAD + certificate) {
+        long senderEpoch = in.getLong();
+        long senderSequence = in.getLong();
+        long sentMs = in.getLong();
+        if (certificateLength < 0
+                || certificateLength > MAX_CERTIFICATE_BYTES
+                || length < OVERHEAD_BYTES + certificateLength) {
             return drop(Drop.MALFORMED);
         }
-        if (Math.abs(time - wallMs) > limits.skewMs()) {
+        if (Math.abs(sentMs - wallMs) > limits.maxClockSkewMs()) {
             return drop(Drop.SKEWED);
         }
-        Roster.Entry entry = roster.of(keyId, wallMs);
+        Roster.Entry entry = roster.find(keyId, wallMs);
         if (entry == null) {
-            if (!roster.certifies() || certificate == 0) {
+            if (!roster.usesCertificates() || certificateLength == 0) {
                 return drop(Drop.UNKNOWN_KEY);
             }
-            if (!strangers.take(nowMs)) {
+            if (!unknownSources.take(nowMs)) {
                 return drop(Drop.RATE);
             }
-            Certificate c = Certificate.of(Arrays.copyOfRange(bytes, CERTIFICATE, CERTIFICATE + certificate));
-            entry = c != null && Ed25519.id(c.key()) == keyId && roster.admit(c) ? roster.of(keyId, wallMs) : null;
+            Certificate certificate = Certificate.decode(
+                    Arrays.copyOfRange(bytes, CERTIFICATE_OFFSET, CERTIFICATE_OFFSET + certificateLength));
+            entry = certificate != null && Ed25519.id(certificate.key()) == keyId && roster.admit(certificate)
+                    ? roster.find(keyId, wallMs)
+                    : null;
             if (entry == null) {
                 return drop(Drop.UNKNOWN_KEY);
             }
         }
-        if (!replays.fresh(keyId, itsLife, itsSequence)) {
+        if (!replays.mayBeNew(keyId, senderEpoch, senderSequence)) {
             return drop(Drop.REPLAYED);
         }
-        String place = Long.toHexString(keyId) + " " + source;
-        TokenBucket home = homes.get(place);
-        if (!(home == null ? strangers : home).take(nowMs)) {
+        String sourceKey = Long.toHexString(keyId) + " " + source;
+        TokenBucket sourceRate = knownSources.get(sourceKey);
+        if (!(sourceRate == null ? unknownSources : sourceRate).take(nowMs)) {
             return drop(Drop.RATE);
         }
-        int head = CERTIFICATE + certificate;
-        byte[] signature = Arrays.copyOfRange(bytes, head, head + Ed25519.SIGNATURE_BYTES);
-        int from = head + Ed25519.SIGNATURE_BYTES;
-        if (from > length) {
+        int signatureOffset = CERTIFICATE_OFFSET + certificateLength;
+        byte[] signature = Arrays.copyOfRange(bytes, signatureOffset, signatureOffset + Ed25519.SIGNATURE_BYTES);
+        int messageOffset = signatureOffset + Ed25519.SIGNATURE_BYTES;
+        if (messageOffset > length) {
             return drop(Drop.MALFORMED);
         }
         if (!Ed25519.verify(
                 entry.key(),
                 signature,
-                context(roster.group(), here),
-                Arrays.copyOf(bytes, head),
-                Arrays.copyOfRange(bytes, from, length))) {
+                signatureContext(roster.group(), receiver),
+                Arrays.copyOf(bytes, signatureOffset),
+                Arrays.copyOfRange(bytes, messageOffset, length))) {
             return drop(Drop.SIGNATURE);
         }
-        if (!replays.took(keyId, itsLife, itsSequence, nowMs)) {
+        if (!replays.accept(keyId, senderEpoch, senderSequence, nowMs)) {
             return drop(Drop.BOUND);
         }
-        if (home == null) {
-            // the place where a verified message came from has a rate of its own from now on
-            if (homes.size() >= 2 * limits.membersMost()) {
-                homes.remove(homes.entrySet().stream()
-                        .min((a, b) -> Double.compare(
-                                a.getValue().lastMs(), b.getValue().lastMs()))
+        if (sourceRate == null) {
+            // The source of a verified message has a rate of its own from now on.
+            if (knownSources.size() >= 2 * limits.maxSenders()) {
+                knownSources.remove(knownSources.entrySet().stream()
+                        .min((first, second) -> Double.compare(
+                                first.getValue().lastRefillMs(),
+                                second.getValue().lastRefillMs()))
                         .orElseThrow()
                         .getKey());
             }
-            homes.put(place, new TokenBucket(limits.perPeer(), nowMs));
+            knownSources.put(sourceKey, new TokenBucket(limits.knownSourceRatePerS(), nowMs));
         }
-        return new Opened(entry.member(), keyId, itsLife, itsSequence, from);
+        return new Opened(entry.member(), keyId, senderEpoch, senderSequence, messageOffset);
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/ReplayGuard.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/ReplayGuard.java
@@ -4,73 +4,76 @@
 import java.util.Map;
 
 /**
- * Owns which messages of each key were taken: one life after the other, and in a life each sequence number once, by a window
- * that slides (RFC 4303, 3.4.3). A sender that was not heard of for as long as an old message passes for new is forgotten.
+ * Rejects replayed messages. For each key it accepts only the latest epoch, and each sequence number of that epoch only
+ * once, by a sliding window (RFC 4303, section 3.4.3). When there is no room for a new sender, those are removed that
+ * were silent for longer than an old message passes for new.
  */
 final class ReplayGuard {
-    private static final int WINDOW = 1024;
+    private static final int WINDOW_MESSAGES = 1024;
 
     private static final class Sender {
-        long life = Long.MIN_VALUE;
+        long epoch = Long.MIN_VALUE;
         long highest;
-        final long[] seen = new long[WINDOW / 64];
-        double lastMs;
+        final long[] received = new long[WINDOW_MESSAGES / 64];
+        double lastMessageMs;
     }
 
     private final Map<Long, Sender> senders = new HashMap<>();
-    private final int most;
-    private final double keptMs;
+    private final int maxSenders;
+    private final double retentionMs;
 
-    ReplayGuard(int most, double keptMs) {
-        this.most = most;
-        this.keptMs = keptMs;
+    ReplayGuard(int maxSenders, double retentionMs) {
+        this.maxSenders = maxSenders;
+        this.retentionMs = retentionMs;
     }
 
-    /** Whether a message could be new; asked before it is verified, and changes nothing. */
-    boolean fresh(long key, long life, long sequence) {
-        Sender s = senders.get(key);
-        if (s == null || life > s.life) {
+    /** Returns whether a message may be new. It is called before the signature is verified, so it changes nothing. */
+    boolean mayBeNew(long keyId, long epoch, long sequence) {
+        Sender sender = senders.get(keyId);
+        if (sender == null || epoch > sender.epoch) {
             return true;
         }
-        return life == s.life && (sequence > s.highest || s.highest - sequence < WINDOW && !seen(s, sequence));
+        return epoch == sender.epoch
+                && (sequence > sender.highest
+                        || sender.highest - sequence < WINDOW_MESSAGES && !isReceived(sender, sequence));
     }
 
-    private static boolean seen(Sender s, long sequence) {
-        int at = (int) Math.floorMod(sequence, (long) WINDOW);
-        return (s.seen[at / 64] & 1L << at % 64) != 0;
+    private static boolean isReceived(Sender sender, long sequence) {
+        int bit = (int) Math.floorMod(sequence, (long) WINDOW_MESSAGES);
+        return (sender.received[bit / 64] & 1L << bit % 64) != 0;
     }
 
-    /** Remembers a message that was verified; false if there is no room for its sender. */
-    boolean took(long key, long life, long sequence, double nowMs) {
-        Sender s = senders.get(key);
-        if (s == null) {
-            if (senders.size() >= most) {
-                senders.values().removeIf(old -> nowMs - old.lastMs > keptMs);
+    /** Records a verified message; returns false if there is no room for its sender. */
+    boolean accept(long keyId, long epoch, long sequence, double nowMs) {
+        Sender sender = senders.get(keyId);
+        if (sender == null) {
+            if (senders.size() >= maxSenders) {
+                senders.values().removeIf(old -> nowMs - old.lastMessageMs > retentionMs);
             }
-            if (senders.size() >= most) {
+            if (senders.size() >= maxSenders) {
                 return false;
             }
-            s = new Sender();
-            senders.put(key, s);
+            sender = new Sender();
+            senders.put(keyId, sender);
         }
-        s.lastMs = nowMs;
-        if (life > s.life) {
-            s.life = life;
-            s.highest = sequence;
-            java.util.Arrays.fill(s.seen, 0);
-        } else if (sequence > s.highest) {
-            if (sequence - s.highest >= WINDOW) {
-                java.util.Arrays.fill(s.seen, 0);
+        sender.lastMessageMs = nowMs;
+        if (epoch > sender.epoch) {
+            sender.epoch = epoch;
+            sender.highest = sequence;
+            java.util.Arrays.fill(sender.received, 0);
+        } else if (sequence > sender.highest) {
+            if (sequence - sender.highest >= WINDOW_MESSAGES) {
+                java.util.Arrays.fill(sender.received, 0);
             } else {
-                for (long i = s.highest + 1; i < sequence; i++) {
-                    int at = (int) Math.floorMod(i, (long) WINDOW);
-                    s.seen[at / 64] &= ~(1L << at % 64);
+                for (long i = sender.highest + 1; i < sequence; i++) {
+                    int bit = (int) Math.floorMod(i, (long) WINDOW_MESSAGES);
+                    sender.received[bit / 64] &= ~(1L << bit % 64);
                 }
             }
-            s.highest = sequence;
+            sender.highest = sequence;
         }
-        int at = (int) Math.floorMod(sequence, (long) WINDOW);
-        s.seen[at / 64] |= 1L << at % 64;
+        int bit = (int) Math.floorMod(sequence, (long) WINDOW_MESSAGES);
+        sender.received[bit / 64] |= 1L << bit % 64;
         return true;
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/Roster.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Roster.java
@@ -12,38 +12,39 @@
 import java.util.Set;
 
 /**
- * Owns which keys may speak for which members: those that operators listed, or, where there is an operators' signing key, those
- * that it certified; never one that was revoked. A member may have several keys while one replaces another.
+ * The keys that may sign for each member: those that the operators listed or, if the group has an operators' signing
+ * key, those that it certified. Revoked keys are never valid. A member may have several keys, so that one can replace
+ * another.
  */
 public final class Roster {
 
-    /** A key that may speak for a member from one time to another, ms since 1970. */
+    /** A key that may sign for a member from {@code fromMs} until {@code untilMs} (exclusive), in ms since 1970. */
     public record Entry(String member, PublicKey key, double fromMs, double untilMs) {}
 
     private final String group;
     private final PublicKey authority;
-    private final int most;
+    private final int maxCertificates;
     private Map<Long, Entry> listed = Map.of();
     private Set<Long> revoked = Set.of();
     private final Map<Long, Entry> certified = new LinkedHashMap<>();
 
-    /** Nobody is allowed yet; {@code authority} null: only listed keys count. */
-    public Roster(String group, PublicKey authority, int most) {
+    /** Creates an empty roster; with {@code authority} null, listed keys are valid without a certificate. */
+    public Roster(String group, PublicKey authority, int maxCertificates) {
         this.group = group;
         this.authority = authority;
-        this.most = most;
+        this.maxCertificates = maxCertificates;
     }
 
-    /** The group's name, part of everything signed. */
+    /** Returns the group's name, which is part of everything that is signed. */
     public String group() {
         return group;
     }
 
-    /** What operators list now: keys by themselves, certificates, and revoked keys by their ids. */
-    public void list(Collection<Entry> keys, Collection<Certificate> certificates, Set<Long> revokedIds) {
+    /** Replaces the operators' list: member keys, certificates, and the ids of revoked keys. */
+    public void replaceListed(Collection<Entry> keys, Collection<Certificate> certificates, Set<Long> revokedIds) {
         Map<Long, Entry> next = new HashMap<>();
         if (authority == null) {
-            keys.forEach(e -> next.put(Ed25519.id(Ed25519.raw(e.key())), e));
+            keys.forEach(entry -> next.put(Ed25519.id(Ed25519.raw(entry.key())), entry));
         }
         listed = next;
         revoked = new HashSet<>(revokedIds);
@@ -51,45 +52,54 @@
         certificates.forEach(this::admit);
     }
 
-    /** Takes a certificate; false if the operators did not sign it. */
-    public boolean admit(Certificate c) {
-        long id = Ed25519.id(c.key());
+    /**
+     * Adds a certificate; returns false if it is not signed by the operators, its key is revoked, or there are too
+     * many.
+     */
+    public boolean admit(Certificate certificate) {
+        long id = Ed25519.id(certificate.key());
         if (authority == null || revoked.contains(id)) {
             return false;
         }
         Entry known = certified.get(id);
-        if (known != null && known.member().equals(c.member()) && known.untilMs() >= c.untilMs()) {
+        if (known != null && known.member().equals(certificate.member()) && known.untilMs() >= certificate.untilMs()) {
             return true;
         }
-        if (!c.signedBy(authority, group) || known == null && certified.size() >= most) {
+        if (!certificate.signedBy(authority, group) || known == null && certified.size() >= maxCertificates) {
             return false;
         }
         try {
-            certified.put(id, new Entry(c.member(), Ed25519.publicKey(c.key()), c.fromMs(), c.untilMs()));
+            certified.put(
+                    id,
+                    new Entry(
+                            certificate.member(),
+                            Ed25519.publicKey(certificate.key()),
+                            certificate.fromMs(),
+                            certificate.untilMs()));
         } catch (IllegalArgumentException e) {
             return false;
         }
         return true;
     }
 
-    /** Whether certificates count here. */
-    public boolean certifies() {
+    /** Returns whether keys need a certificate of the operators. */
+    public boolean usesCertificates() {
         return authority != null;
     }
 
-    /** Who speaks by a key now, or null. */
-    public Entry of(long keyId, double wallMs) {
-        Entry e = revoked.contains(keyId) ? null : authority == null ? listed.get(keyId) : certified.get(keyId);
-        return e != null && wallMs >= e.fromMs() && wallMs < e.untilMs() ? e : null;
+    /** Returns the entry of a key that is valid at the time, or null. */
+    public Entry find(long keyId, double wallMs) {
+        Entry entry = revoked.contains(keyId) ? null : authority == null ? listed.get(keyId) : certified.get(keyId);
+        return entry != null && wallMs >= entry.fromMs() && wallMs < entry.untilMs() ? entry : null;
     }
 
-    /** All members that have a key now. */
+    /** Returns the ids of all members that have a valid key at the time. */
     public List<String> members(double wallMs) {
         List<String> result = new ArrayList<>();
         for (long id : (authority == null ? listed : certified).keySet()) {
-            Entry e = of(id, wallMs);
-            if (e != null && !result.contains(e.member())) {
-                result.add(e.member());
+            Entry entry = find(id, wallMs);
+            if (entry != null && !result.contains(entry.member())) {
+                result.add(entry.member());
             }
         }
         return result;
--- a/gossip/src/main/java/calicovale/gossip/wire/Signer.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Signer.java
@@ -2,9 +2,9 @@
 
 import calicovale.gossip.claims.ClaimProofs;
 import calicovale.gossip.claims.Statement;
-import calicovale.gossip.member.Proofs;
 import calicovale.gossip.member.Update;
 import calicovale.gossip.member.Update.State;
+import calicovale.gossip.member.UpdateProofs;
 import calicovale.protocols.keys.Ed25519;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -13,34 +13,35 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Owns this member's key, and the proofs that members add to what they say: the key's id, its signature, and with what a member
- * says of itself the certificate of its key, so that who hears of it can check it.
+ * Signs with this member's key and verifies the proofs of others. A proof consists of the key id, the signature and, in
+ * what a member reports about itself, the certificate of its key, so that receivers that don't know the key yet can
+ * verify it.
  */
-public final class Signer implements Proofs, ClaimProofs {
+public final class Signer implements UpdateProofs, ClaimProofs {
     private final Roster roster;
     private final DoubleSupplier wallMs;
     private PrivateKey key;
     private long keyId;
     private byte[] certificate = new byte[0];
 
-    /** Signs by a key; {@code ofKey} null: it has none. */
-    public Signer(Roster roster, DoubleSupplier wallMs, PrivateKey key, byte[] publicKey, Certificate ofKey) {
+    /** Creates a signer that uses {@code key}; {@code keyCertificate} is null if the key has no certificate. */
+    public Signer(Roster roster, DoubleSupplier wallMs, PrivateKey key, byte[] publicKey, Certificate keyCertificate) {
         this.roster = roster;
         this.wallMs = wallMs;
-        use(key, publicKey, ofKey);
+        replaceKey(key, publicKey, keyCertificate);
     }
 
-    /** Signs by another key from now on. */
-    public void use(PrivateKey next, byte[] publicKey, Certificate ofKey) {
-        key = next;
+    /** Replaces the key in use. */
+    public void replaceKey(PrivateKey newKey, byte[] publicKey, Certificate keyCertificate) {
+        key = newKey;
         keyId = Ed25519.id(publicKey);
-        certificate = ofKey == null ? new byte[0] : ofKey.bytes();
-        if (ofKey != null) {
-            roster.admit(ofKey);
+        certificate = keyCertificate == null ? new byte[0] : keyCertificate.encode();
+        if (keyCertificate != null) {
+            roster.admit(keyCertificate);
         }
     }
 
-    /** The id of the key in use. */
+    /** Returns the id of the key in use. */
     public long keyId() {
         return keyId;
     }
@@ -53,42 +54,46 @@
         return Ed25519.sign(key, parts);
     }
 
-    private byte[] proof(byte[] text, boolean certified) {
-        byte[] signature = Ed25519.sign(key, text);
-        byte[] more = certified ? certificate : new byte[0];
-        return ByteBuffer.allocate(8 + signature.length + more.length)
+    private byte[] createProof(byte[] signed, boolean withCertificate) {
+        byte[] signature = Ed25519.sign(key, signed);
+        byte[] attached = withCertificate ? certificate : new byte[0];
+        return ByteBuffer.allocate(8 + signature.length + attached.length)
                 .putLong(keyId)
                 .put(signature)
-                .put(more)
+                .put(attached)
                 .array();
     }
 
-    private boolean proved(String from, byte[] proof, byte[] text) {
+    private boolean proved(String reporter, byte[] proof, byte[] signed) {
         if (proof.length < 8 + Ed25519.SIGNATURE_BYTES) {
             return false;
         }
-        long by = ByteBuffer.wrap(proof).getLong();
-        Roster.Entry entry = roster.of(by, wallMs.getAsDouble());
-        if (entry == null && roster.certifies()) {
-            Certificate c = Certificate.of(Arrays.copyOfRange(proof, 8 + Ed25519.SIGNATURE_BYTES, proof.length));
-            if (c != null && c.member().equals(from) && Ed25519.id(c.key()) == by && roster.admit(c)) {
-                entry = roster.of(by, wallMs.getAsDouble());
+        long signingKeyId = ByteBuffer.wrap(proof).getLong();
+        Roster.Entry entry = roster.find(signingKeyId, wallMs.getAsDouble());
+        if (entry == null && roster.usesCertificates()) {
+            Certificate carried =
+                    Certificate.decode(Arrays.copyOfRange(proof, 8 + Ed25519.SIGNATURE_BYTES, proof.length));
+            if (carried != null
+                    && carried.member().equals(reporter)
+                    && Ed25519.id(carried.key()) == signingKeyId
+                    && roster.admit(carried)) {
+                entry = roster.find(signingKeyId, wallMs.getAsDouble());
             }
         }
         return entry != null
-                && entry.member().equals(from)
-                && Ed25519.verify(entry.key(), Arrays.copyOfRange(proof, 8, 8 + Ed25519.SIGNATURE_BYTES), text);
+                && entry.member().equals(reporter)
+                && Ed25519.verify(entry.key(), Arrays.copyOfRange(proof, 8, 8 + Ed25519.SIGNATURE_BYTES), signed);
     }
 
-    private byte[] text(Update u) {
-        return ("calicovale-update-1\0" + roster.group() + "\0" + u.from() + "\0" + u.id() + "\0" + u.address() + "\0"
-                        + u.incarnation() + "\0" + u.state())
+    private byte[] signedBytes(Update update) {
+        return ("calicovale-update-1\0" + roster.group() + "\0" + update.reporter() + "\0" + update.memberId() + "\0"
+                        + update.address() + "\0" + update.incarnation() + "\0" + update.state())
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private byte[] text(Statement s) {
+    private byte[] signedBytes(Statement statement) {
         byte[] head = ("calicovale-statement-1\0" + roster.group() + "\0").getBytes(StandardCharsets.UTF_8);
-        byte[] body = Codec.signed(s);
+        byte[] body = Codec.signedBytes(statement);
         return ByteBuffer.allocate(head.length + body.length)
                 .put(head)
                 .put(body)
@@ -96,22 +101,22 @@
     }
 
     @Override
-    public byte[] prove(Update u) {
-        return proof(text(u), u.state() == State.ALIVE || u.state() == State.LEFT);
+    public byte[] prove(Update update) {
+        return createProof(signedBytes(update), update.state() == State.ALIVE || update.state() == State.LEFT);
     }
 
     @Override
-    public boolean proved(Update u) {
-        return proved(u.from(), u.proof(), text(u));
+    public boolean proved(Update update) {
+        return proved(update.reporter(), update.proof(), signedBytes(update));
     }
 
     @Override
-    public byte[] prove(Statement s) {
-        return proof(text(s), false);
+    public byte[] prove(Statement statement) {
+        return createProof(signedBytes(statement), false);
     }
 
     @Override
-    public boolean proved(Statement s) {
-        return proved(s.from(), s.proof(), text(s));
+    public boolean proved(Statement statement) {
+        return proved(statement.from(), statement.proof(), signedBytes(statement));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/TokenBucket.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/TokenBucket.java
@@ -1,21 +1,21 @@
 package calicovale.gossip.wire;
 
-/** Owns one rate: so many a second, and as many at once as two seconds give. */
+/** Token bucket that allows a rate per second, with bursts of up to two seconds' worth. */
 final class TokenBucket {
-    private static final double BURST_S = 2;
+    private static final double MAX_BURST_S = 2;
     private final double perSecond;
     private double tokens;
-    private double atMs;
+    private double lastRefillMs;
 
     TokenBucket(double perSecond, double nowMs) {
         this.perSecond = perSecond;
-        tokens = perSecond * BURST_S;
-        atMs = nowMs;
+        tokens = perSecond * MAX_BURST_S;
+        lastRefillMs = nowMs;
     }
 
     boolean take(double nowMs) {
-        tokens = Math.min(perSecond * BURST_S, tokens + perSecond * (nowMs - atMs) / 1000);
-        atMs = nowMs;
+        tokens = Math.min(perSecond * MAX_BURST_S, tokens + perSecond * (nowMs - lastRefillMs) / 1000);
+        lastRefillMs = nowMs;
         if (tokens < 1) {
             return false;
         }
@@ -23,7 +23,7 @@
         return true;
     }
 
-    double lastMs() {
-        return atMs;
+    double lastRefillMs() {
+        return lastRefillMs;
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/WireLimits.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/WireLimits.java
@@ -3,24 +3,27 @@
 /**
  * Bounds of messages.
  *
- * @param datagramBytes of one datagram, envelope included; below what any path carries whole (RFC 8200, 5: 1280)
- * @param exchangeBytes of one message by a connection
- * @param updatesMost updates in one message by a connection
- * @param claimsMost claims in one statement
- * @param skewMs by which a message's time may differ from the clock here: clocks differ, and old messages are replayed
- * @param membersMost senders whose sequences are remembered, and certificates that are held
- * @param perPeer messages a second verified of one key from the address that it is known by
- * @param strangers the same for all other addresses together
+ * @param maxDatagramBytes largest datagram, envelope included; below the 1280 bytes that every path carries
+ *     unfragmented (RFC 8200, section 5)
+ * @param maxFrameBytes largest message over a connection, envelope included
+ * @param maxUpdates largest number of updates or statements in one message
+ * @param maxClaims largest number of claims in one statement
+ * @param maxClockSkewMs largest difference between a message's time of sending and the local clock: clocks differ, but
+ *     replays of old messages must be rejected
+ * @param maxSenders largest number of senders whose sequence numbers are remembered, and of certificates held; twice
+ *     as many sources have a rate of their own
+ * @param knownSourceRatePerS messages per second that are verified for one key from one known source
+ * @param unknownSourceRatePerS messages per second that are verified from all other sources together
  */
 public record WireLimits(
-        int datagramBytes,
-        int exchangeBytes,
-        int updatesMost,
-        int claimsMost,
-        double skewMs,
-        int membersMost,
-        double perPeer,
-        double strangers) {
-    /** Bounds for groups of up to a thousand. */
+        int maxDatagramBytes,
+        int maxFrameBytes,
+        int maxUpdates,
+        int maxClaims,
+        double maxClockSkewMs,
+        int maxSenders,
+        double knownSourceRatePerS,
+        double unknownSourceRatePerS) {
+    /** Bounds for groups of up to 1000 members. */
     public static final WireLimits DEFAULT = new WireLimits(1200, 1 << 19, 4000, 8, 30_000, 1000, 200, 100);
 }
--- a/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
@@ -96,8 +96,8 @@
         for (int k = 1; k <= 20; k++) {
             hear(3000, "p" + k, 7);
         }
-        assertEquals(0, evidence(100 + LAN.ownMs() - 1, 30, 7));
-        assertTrue(evidence(100 + LAN.ownMs() + 1, 30, 7) > 0);
+        assertEquals(0, evidence(100 + LAN.ownSuccessPriorityMs() - 1, 30, 7));
+        assertTrue(evidence(100 + LAN.ownSuccessPriorityMs() + 1, 30, 7) > 0);
         judge.saw(4300, 7, true, book.held());
         judge.saw(4400, 7, false, book.held());
         assertTrue(evidence(4500, 30, 7) > 0, "it failed here since");
@@ -147,20 +147,20 @@
             judge.saw(now + 20, 7, true, book.held());
             judge.saw(now + 30, 7, true, book.held());
         }
-        assertTrue(judge.voice("liar", 27_100) < 0.1, judge.voice("liar", 27_100) + "");
-        assertEquals(1, judge.voice("honest", 27_100));
+        assertTrue(judge.reporterWeight("liar", 27_100) < 0.1, judge.reporterWeight("liar", 27_100) + "");
+        assertEquals(1, judge.reporterWeight("honest", 27_100));
         // three liars with such voices are not two members
         assertTrue(judge.contradictions() >= 9 && judge.contradictions() <= 10, judge.contradictions() + "");
         hear(27_200, "honest", 8);
         hear(27_200, "liar", 8);
         assertEquals(0, evidence(27_300, 5, 8));
-        assertEquals(1, judge.voice("liar", 27_100 + 70_000), 1e-9);
+        assertEquals(1, judge.reporterWeight("liar", 27_100 + 70_000), 1e-9);
         // a box that fails every second set-up contradicts nobody
         for (int round = 0; round < 10; round++) {
             judge.saw(30_000 + round, 8, true, book.held());
             judge.saw(30_000 + round, 8, false, book.held());
         }
-        assertEquals(1, judge.voice("honest", 31_000));
+        assertEquals(1, judge.reporterWeight("honest", 31_000));
     }
 
     @Test
@@ -178,8 +178,8 @@
         assertFalse(book.take(20, 1_000_000, new Statement("p2", 1_000_000 - 30_001, List.of(), new byte[0])));
         assertFalse(hear(20, "p2", 1, 1), "one box twice");
         assertFalse(hear(20, "p2", 1, 2, 3, 4, 5, 6, 7, 8, 9), "too many");
-        assertEquals(5, book.refused());
-        book.forget("p1");
+        assertEquals(5, book.rejected());
+        book.remove("p1");
         assertEquals(0, book.held().size());
     }
 
@@ -190,15 +190,15 @@
         assertEquals(1, book.take(2).size());
         assertEquals(0, book.take(2).size(), "sent often enough");
         book.say(100, 5100, List.of(claim(3)));
-        assertFalse(book.spreads(), "nothing new");
-        book.say(LAN.refreshMs(), 7000, List.of(claim(3)));
-        assertTrue(book.spreads(), "said again");
-        book.say(LAN.refreshMs() + 1, 6000, List.of());
+        assertFalse(book.hasPending(), "nothing new");
+        book.say(LAN.refreshIntervalMs(), 7000, List.of(claim(3)));
+        assertTrue(book.hasPending(), "said again");
+        book.say(LAN.refreshIntervalMs() + 1, 6000, List.of());
         Statement last = book.take(9).get(0);
         // the clock went back: the number does not
-        assertTrue(last.claims().isEmpty() && last.number() == 7001, last.toString());
-        book.say(LAN.refreshMs() + 2, 6000, List.of());
-        assertEquals(7001, book.take(9).get(0).number(), "nothing to say, and said");
+        assertTrue(last.claims().isEmpty() && last.version() == 7001, last.toString());
+        book.say(LAN.refreshIntervalMs() + 2, 6000, List.of());
+        assertEquals(7001, book.take(9).get(0).version(), "nothing to say, and said");
     }
 
     @Test
@@ -213,7 +213,7 @@
         assertTrue(o.claims(210).isEmpty(), "it works again");
         o.saw(220, 1, Kind.FAILED);
         assertEquals(0.8, o.claims(230).get(0).strength(), 1e-9);
-        assertTrue(o.claims(220 + LAN.seenMs() + 1).isEmpty(), "too old");
+        assertTrue(o.claims(220 + LAN.outcomeWindowMs() + 1).isEmpty(), "too old");
         for (int i = 0; i < 9; i++) {
             o.saw(9000, 2, null);
         }
@@ -221,7 +221,7 @@
         assertTrue(o.claims(9002).isEmpty(), "one in ten is no suspicion");
         o.saw(9001, 1, Kind.FAILED);
         o.saw(9001, 99, Kind.FAILED);
-        assertEquals(1, o.overBound());
+        assertEquals(1, o.rejectedOverBound());
         assertEquals(
                 Map.of(1L, 1.0),
                 Map.of(o.claims(9002).get(0).box(), o.claims(9002).get(0).strength()));
--- a/gossip/src/test/java/calicovale/gossip/GroupTest.java
+++ b/gossip/src/test/java/calicovale/gossip/GroupTest.java
@@ -50,7 +50,9 @@
             GroupSimulator g = group(LAN, members, members);
             g.kill("m1");
             // one round of probes, the longest suspicion, and its spreading
-            double bound = LAN.probeMs() * members + 24 * LAN.probeMs() * Math.max(1, Math.log10(members)) + 5000;
+            double bound = LAN.probeIntervalMs() * members
+                    + 24 * LAN.probeIntervalMs() * Math.max(1, Math.log10(members))
+                    + 5000;
             until(g, members + " members see it", bound, () -> all(g, members, 1, State.DEAD));
             assertTrue(g.agreed());
             assertTrue(
@@ -214,7 +216,8 @@
         g.inject(
                 by,
                 "m0",
-                new Message.News(List.of(GroupSimulator.said(by, "m1", "", g.incarnation("m1"), State.SUSPECT))));
+                new Message.Dissemination(
+                        List.of(GroupSimulator.updateBy(by, "m1", "", g.incarnation("m1"), State.SUSPECT))));
         g.run(1);
         boolean suspected = g.view("m0", "m1") == State.SUSPECT;
         until(g, "it is refuted", 60_000, () -> g.agreed());
@@ -224,7 +227,7 @@
     @Test
     void whoRaisesFalseAlarmsAloneNeedsASecondVoiceAndIsBelievedAgainLater() {
         GroupSimulator g = group(LAN, 6, 14);
-        for (int i = 0; i < LAN.falseAlarmsMost(); i++) {
+        for (int i = 0; i < LAN.maxFalseSuspicions(); i++) {
             assertTrue(persuades(g, "m5"), "alarm " + i);
         }
         // an old alarm counts a little less than one
@@ -234,7 +237,8 @@
         g.inject(
                 "m5",
                 "m0",
-                new Message.News(List.of(GroupSimulator.said("m5", "m1", "", g.incarnation("m1"), State.SUSPECT))));
+                new Message.Dissemination(
+                        List.of(GroupSimulator.updateBy("m5", "m1", "", g.incarnation("m1"), State.SUSPECT))));
         assertTrue(persuades(g, "m4"));
         g.run(300_000);
         assertTrue(persuades(g, "m5"), "it is forgiven");
--- a/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
@@ -13,9 +13,9 @@
 import calicovale.gossip.member.MemberSettings;
 import calicovale.gossip.member.Membership;
 import calicovale.gossip.member.Message;
-import calicovale.gossip.member.Proofs;
 import calicovale.gossip.member.Update;
 import calicovale.gossip.member.Update.State;
+import calicovale.gossip.member.UpdateProofs;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -61,7 +61,7 @@
 
     private record Flight(int from, int to, Message message) {}
 
-    private static final Proofs TRUSTING = new Proofs() {
+    private static final UpdateProofs TRUSTING = new UpdateProofs() {
         @Override
         public byte[] prove(Update update) {
             return new byte[0];
@@ -145,9 +145,9 @@
         void timer(int i) {
             now = Math.max(now, due[i]);
             books[i].say(now, now, outcomes[i].claims(now));
-            if (books[i].spreads()) {
+            if (books[i].hasPending()) {
                 List<Statement> some = books[i].take(2);
-                for (String to : members[i].someAddresses(2)) {
+                for (String to : members[i].randomAddresses(2)) {
                     flights.add(new Flight(i, to.charAt(1) - '0', new Message.Claims(some)));
                 }
             }
@@ -232,7 +232,7 @@
                         flights.add(new Flight(
                                 1,
                                 0,
-                                new Message.News(List.of(Update.unproved(
+                                new Message.Dissemination(List.of(Update.withoutProof(
                                         "m2", "", members[2].self().incarnation(), State.SUSPECT, "m1")))));
                     case 4000 -> saw(0, false);
                     case 4001 -> saw(1, false);
@@ -252,7 +252,7 @@
                     State was = last.get(key);
                     boolean gone = was == State.DEAD || was == State.LEFT;
                     assertTrue(
-                            !(gone && m.present() && m.incarnation() == before),
+                            !(gone && m.isPresent() && m.incarnation() == before),
                             key + " came back by its old incarnation " + before);
                     highest.put(key, m.incarnation());
                     last.put(key, m.state());
@@ -260,7 +260,9 @@
                 double evidence = judges[i].evidence(now, 3, books[i].held()).getOrDefault(BOX, 0.0);
                 int claimers = (failed[0] ? 1 : 0) + (failed[1] ? 1 : 0);
                 assertTrue(evidence == 0 || claimers >= 2, "evidence by " + claimers);
-                assertTrue(evidence == 0 || now - workedMs[i] >= CLAIMS.ownMs(), "evidence against what works here");
+                assertTrue(
+                        evidence == 0 || now - workedMs[i] >= CLAIMS.ownSuccessPriorityMs(),
+                        "evidence against what works here");
             }
         }
 
@@ -313,10 +315,10 @@
                         .append(due[i] - now)
                         .append(' ')
                         .append(randoms[i].state);
-                members[i].describe(b);
+                members[i].appendState(b);
                 books[i].held()
-                        .forEach(
-                                h -> b.append(h.atMs() - now).append(text(new Message.Claims(List.of(h.statement())))));
+                        .forEach(h -> b.append(h.receivedMs() - now)
+                                .append(text(new Message.Claims(List.of(h.statement())))));
             }
             flights.forEach(f -> b.append(f.from()).append(f.to()).append(text(f.message())));
             return b.append(losses).append(' ').append(events).toString();
@@ -325,7 +327,7 @@
         private static String text(Message m) {
             return m.getClass().getSimpleName()
                     + m.updates().stream()
-                            .map(u -> u.id() + u.incarnation() + u.state() + u.from())
+                            .map(u -> u.memberId() + u.incarnation() + u.state() + u.reporter())
                             .toList()
                     + (m instanceof Message.Claims c ? c.statements().toString().replaceAll("\\[B@[0-9a-f]+", "") : "");
         }
--- a/gossip/src/test/java/calicovale/gossip/net/GossipNodesTest.java
+++ b/gossip/src/test/java/calicovale/gossip/net/GossipNodesTest.java
@@ -114,7 +114,7 @@
                                             .proof()));
                         }
                         for (int from = 0; from < lies.size(); from += 5) {
-                            liar.send(g.of(i), new Message.News(lies.subList(from, from + 5)));
+                            liar.send(g.of(i), new Message.Dissemination(lies.subList(from, from + 5)));
                         }
                     }
                     Group.pause(20);
@@ -155,7 +155,7 @@
             long dropped = target.count("dropped-unknown-key");
             long malformed = target.count("dropped-malformed");
             try (Liar member = new Liar(g, "m2")) {
-                Message lie = new Message.News(
+                Message lie = new Message.Dissemination(
                         List.of(member.says("m2", member.address(), System.currentTimeMillis() + 10, State.ALIVE)));
                 byte[] good = member.sealed("127.0.0.1:" + target.at.getPort(), lie);
                 for (int cut : new int[] {0, 1, 37, 101}) {
@@ -211,10 +211,10 @@
 
     @Test
     void onlyLoopbackNumbersAreGoneToNeverANameThatWouldBeLookedUp() {
-        assertEquals("/127.0.0.1:80", GossipNode.address("127.0.0.1:80").toString());
+        assertEquals("/127.0.0.1:80", GossipNode.parseAddress("127.0.0.1:80").toString());
         assertEquals(
                 "/127.255.0.254:65535",
-                GossipNode.address("127.255.0.254:65535").toString());
+                GossipNode.parseAddress("127.255.0.254:65535").toString());
         for (String bad : List.of(
                 "",
                 ":",
@@ -231,7 +231,7 @@
                 "127.0.0.1:999999",
                 "localhost:80",
                 "127.0.0.1:80:80")) {
-            assertNull(GossipNode.address(bad), bad);
+            assertNull(GossipNode.parseAddress(bad), bad);
         }
     }
 
@@ -278,11 +278,11 @@
     }
 
     /** The group runs in some weather, and nobody may be dead in between; afterwards all agree. */
-    private static void holds(Group g, Weather weather, long ms) {
+    private static void holds(Group g, NetworkConditions weather, long ms) {
         g.weather(weather);
         Group.pause(ms);
         assertEquals(0, g.deaths());
-        g.weather(Weather.FAIR);
+        g.weather(NetworkConditions.NO_FAULTS);
         g.awaitAgreement();
         assertEquals(0, g.deaths());
     }
@@ -311,7 +311,7 @@
                     "probes were lost",
                     () -> g.instances.values().stream().anyMatch(i -> i.count("members-suspect") > 0));
             Group.pause(3000);
-            g.weather(Weather.FAIR);
+            g.weather(NetworkConditions.NO_FAULTS);
             g.awaitAgreement();
             for (int i = 0; i < 8; i++) {
                 assertTrue(g.of(i).running());
@@ -362,7 +362,7 @@
                     "each half is alone",
                     () -> g.instances.values().stream()
                             .allMatch(i -> i.ask(n -> n.membership().present()) == 4));
-            g.weather(Weather.FAIR);
+            g.weather(NetworkConditions.NO_FAULTS);
             g.awaitAgreement();
         }
     }
@@ -468,7 +468,7 @@
                         List<Statement> inTheirNames = new ArrayList<>();
                         for (int of = 0; of < 4; of++) {
                             Statement own = lies.claims(all);
-                            inTheirNames.add(new Statement("m" + of, own.number(), own.claims(), own.proof()));
+                            inTheirNames.add(new Statement("m" + of, own.version(), own.claims(), own.proof()));
                         }
                         lies.send(g.of(i), new Message.Claims(inTheirNames.subList(0, 2)));
                         lies.send(g.of(i), new Message.Claims(inTheirNames.subList(2, 4)));
--- a/gossip/src/test/java/calicovale/gossip/net/Group.java
+++ b/gossip/src/test/java/calicovale/gossip/net/Group.java
@@ -113,7 +113,7 @@
     final SplittableRandom random = new SplittableRandom(1);
     private final String[] more;
     private final boolean certificates;
-    volatile Weather weather = Weather.FAIR;
+    volatile NetworkConditions weather = NetworkConditions.NO_FAULTS;
     private final List<String> authority;
 
     /** {@code more}: pairs of a member of the settings and its JSON value. */
@@ -210,7 +210,7 @@
         for (String id : running) {
             boolean well = instances.get(id).ask(n -> {
                 for (Membership.Member m : n.membership().members()) {
-                    if (m.present() != running.contains(m.id()) || m.state() == State.SUSPECT) {
+                    if (m.isPresent() != running.contains(m.id()) || m.state() == State.SUSPECT) {
                         return false;
                     }
                 }
@@ -242,7 +242,7 @@
                 .sum();
     }
 
-    void weather(Weather next) {
+    void weather(NetworkConditions next) {
         weather = next;
         instances.values().stream()
                 .filter(Instance::running)
--- a/gossip/src/test/java/calicovale/gossip/net/Liar.java
+++ b/gossip/src/test/java/calicovale/gossip/net/Liar.java
@@ -29,22 +29,22 @@
     Liar(Group group, String member) throws IOException, InvalidDocumentException {
         this.member = member;
         socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        KeyDocuments.Pair pair = KeyDocuments.pair(group.folder.resolve(member + ".key"));
+        KeyDocuments.MemberKeyPair pair = KeyDocuments.pair(group.folder.resolve(member + ".key"));
         Roster roster = new Roster("test", null, 100);
-        roster.list(List.of(), List.of(), Set.of());
+        roster.replaceListed(List.of(), List.of(), Set.of());
         signer = new Signer(roster, System::currentTimeMillis, pair.privateKey(), pair.publicKey(), null);
         envelopes = new Envelopes(roster, signer, WireLimits.DEFAULT, System.currentTimeMillis(), 0);
     }
 
     /** What another member is said to be, by this one in its own name. */
     Update says(String of, String address, long incarnation, State state) {
-        Update u = Update.unproved(of, address, incarnation, state, member);
-        return u.with(signer.prove(u));
+        Update u = Update.withoutProof(of, address, incarnation, state, member);
+        return u.withProof(signer.prove(u));
     }
 
     Statement claims(List<Claim> claims) {
         Statement s = new Statement(member, System.currentTimeMillis(), claims, new byte[0]);
-        return new Statement(member, s.number(), claims, signer.prove(s));
+        return new Statement(member, s.version(), claims, signer.prove(s));
     }
 
     byte[] sealed(String to, Message message) {
--- a/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
+++ b/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
@@ -39,7 +39,7 @@
         Party(String group, Ed25519.Pair pair, long life, List<Roster.Entry> allowed) {
             this.pair = pair;
             roster = new Roster(group, null, 100);
-            roster.list(allowed, List.of(), Set.of());
+            roster.replaceListed(allowed, List.of(), Set.of());
             signer = new Signer(
                     roster,
                     () -> WALL,
@@ -83,10 +83,10 @@
                 new Message.PingReq(-1, "m2", "127.0.0.1:1", List.of()),
                 new Message.Ack(Long.MAX_VALUE, updates),
                 new Message.Nack(0, List.of()),
-                new Message.News(updates),
+                new Message.Dissemination(updates),
                 new Message.Digest(Long.MIN_VALUE, updates),
-                new Message.Exchange(true, updates),
-                new Message.Exchange(false, List.of()),
+                new Message.PushPull(true, updates),
+                new Message.PushPull(false, List.of()),
                 new Message.Claims(List.of(
                         new Statement("m1", 5, List.of(new Claim(7, Claim.Kind.TIMEOUT, 0.5, 20, 6000)), proof),
                         new Statement("m2", 6, List.of(), proof))));
@@ -105,8 +105,8 @@
                 Update u = m.updates().get(i);
                 Update v = back.updates().get(i);
                 assertEquals(
-                        List.of(u.id(), u.address(), u.incarnation(), u.state(), u.from()),
-                        List.of(v.id(), v.address(), v.incarnation(), v.state(), v.from()));
+                        List.of(u.memberId(), u.address(), u.incarnation(), u.state(), u.reporter()),
+                        List.of(v.memberId(), v.address(), v.incarnation(), v.state(), v.reporter()));
                 assertArrayEquals(u.proof(), v.proof());
             }
         }
@@ -128,8 +128,10 @@
         bad.add(kind);
         bad.add(codec.encode(new Message.Ping(1, "a b", List.of())));
         bad.add(codec.encode(new Message.Ping(1, "x".repeat(65), List.of())));
-        bad.add(codec.encode(new Message.News(List.of(new Update("m", "", -1, State.ALIVE, "m", new byte[1])))));
-        bad.add(codec.encode(new Message.News(List.of(new Update("m", "", 1, State.ALIVE, "m", new byte[401])))));
+        bad.add(codec.encode(
+                new Message.Dissemination(List.of(new Update("m", "", -1, State.ALIVE, "m", new byte[1])))));
+        bad.add(codec.encode(
+                new Message.Dissemination(List.of(new Update("m", "", 1, State.ALIVE, "m", new byte[401])))));
         List<Claim> nine = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             nine.add(new Claim(i, Claim.Kind.RESET, 1, 0, 1));
@@ -185,7 +187,7 @@
         byte[] sealed = a.envelopes.seal(WALL, "b:1", message, false);
         Opened o = b.envelopes.open(0, WALL, "b:1", "a:1", sealed, sealed.length);
         assertEquals("a", o.sender());
-        assertArrayEquals(message, Arrays.copyOfRange(sealed, o.from(), sealed.length));
+        assertArrayEquals(message, Arrays.copyOfRange(sealed, o.messageOffset(), sealed.length));
         assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", sealed, sealed.length));
         assertEquals(1, b.dropped(Drop.REPLAYED));
         // led to another member, whose guard never saw it
@@ -273,7 +275,7 @@
         assertEquals(50, heard);
         // verified: two seconds' worth at once and then the rate, of 100,000
         assertTrue(
-                b.dropped(Drop.SIGNATURE) <= LIMITS.strangers() * 7 + 1,
+                b.dropped(Drop.SIGNATURE) <= LIMITS.unknownSourceRatePerS() * 7 + 1,
                 b.envelopes.drops().toString());
         assertTrue(b.dropped(Drop.RATE) > 90_000);
     }
@@ -281,16 +283,17 @@
     @Test
     void aKeyIsReplacedWhileTheOldOneHoldsAndARevokedOneIsNot() {
         Ed25519.Pair next = pair();
-        b.roster.list(List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
+        b.roster.replaceListed(List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
         byte[] old = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
         assertNotNull(b.envelopes.open(0, WALL, "b:1", "a:1", old, old.length));
-        a.signer.use(Ed25519.privateKey(next.privateKey()), Ed25519.raw(Ed25519.publicKey(next.publicKey())), null);
+        a.signer.replaceKey(
+                Ed25519.privateKey(next.privateKey()), Ed25519.raw(Ed25519.publicKey(next.publicKey())), null);
         byte[] renewed = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
         assertEquals(
                 "a",
                 b.envelopes.open(0, WALL, "b:1", "a:1", renewed, renewed.length).sender());
         long id = Ed25519.id(Ed25519.raw(Ed25519.publicKey(next.publicKey())));
-        b.roster.list(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
+        b.roster.replaceListed(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
         byte[] revoked = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
         assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", revoked, revoked.length));
         assertEquals(1, b.dropped(Drop.UNKNOWN_KEY));
@@ -320,7 +323,7 @@
             assertEquals(c == good, here.open(0, WALL, "b:1", "a:1", later, later.length) != null);
             if (c == good) {
                 assertNull(here.open(0, WALL + 1000, "b:1", "a:1", bare, bare.length), "its time is over");
-                roster.list(List.of(), List.of(), Set.of(Ed25519.id(rawA)));
+                roster.replaceListed(List.of(), List.of(), Set.of(Ed25519.id(rawA)));
                 assertNull(here.open(
                         0, WALL, "b:1", "a:1", there.seal(WALL, "b:1", new byte[] {1}, true), certified.length));
                 assertFalse(roster.admit(good), "revoked");
@@ -330,8 +333,8 @@
 
     @Test
     void proofsHoldForWhatWasSaidByWhomItWasSaidAndForNothingElse() {
-        Update u = Update.unproved("a", "a:1", 5, State.ALIVE, "a");
-        u = u.with(a.signer.prove(u));
+        Update u = Update.withoutProof("a", "a:1", 5, State.ALIVE, "a");
+        u = u.withProof(a.signer.prove(u));
         assertTrue(b.signer.proved(u));
         for (Update forged : List.of(
                 new Update("a", "x:1", 5, State.ALIVE, "a", u.proof()),
@@ -343,8 +346,8 @@
             assertFalse(b.signer.proved(forged), forged.toString());
         }
         // another member speaks in its name
-        Update inItsName = Update.unproved("a", "b:1", 6, State.ALIVE, "a");
-        assertFalse(a.signer.proved(inItsName.with(b.signer.prove(inItsName))));
+        Update inItsName = Update.withoutProof("a", "b:1", 6, State.ALIVE, "a");
+        assertFalse(a.signer.proved(inItsName.withProof(b.signer.prove(inItsName))));
         Statement s = new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
         s = new Statement("a", 1, s.claims(), a.signer.prove(s));
         assertTrue(b.signer.proved(s));
