--- a/gossip/src/test/java/calicovale/gossip/GroupTest.java
+++ b/gossip/src/test/java/calicovale/gossip/GroupTest.java
@@ -14,30 +14,30 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-/** Groups in virtual time: each failure that membership is meant for is caused, and all views are compared. */
+/** Groups in virtual time: causes each failure that membership has to handle, and compares all views. */
 class GroupTest {
     private static final MemberSettings LAN = MemberSettings.LAN;
 
     private static GroupSimulator group(MemberSettings settings, int members, long seed) {
-        GroupSimulator g = new GroupSimulator(settings, seed);
-        g.start(members, 0, 0);
-        g.run(10.0 * members);
-        until(g, "all know each other", 120_000, g::agreed);
-        g.seen();
-        return g;
+        GroupSimulator group = new GroupSimulator(settings, seed);
+        group.start(members, 0, 0);
+        group.run(10.0 * members);
+        runUntil(group, "all know each other", 120_000, group::agreed);
+        group.seen();
+        return group;
     }
 
-    private static void until(GroupSimulator g, String what, double withinMs, BooleanSupplier state) {
-        double end = g.nowMs() + withinMs;
+    private static void runUntil(GroupSimulator group, String what, double withinMs, BooleanSupplier state) {
+        double endMs = group.nowMs() + withinMs;
         while (!state.getAsBoolean()) {
-            assertTrue(g.nowMs() < end, what + ": not within " + withinMs + " ms");
-            g.run(100);
+            assertTrue(group.nowMs() < endMs, what + ": not within " + withinMs + " ms");
+            group.run(100);
         }
     }
 
-    private static boolean all(GroupSimulator g, int members, int of, State state) {
+    private static boolean allSee(GroupSimulator group, int members, int memberId, State state) {
         for (int i = 0; i < members; i++) {
-            if (i != of && g.view("m" + i, "m" + of) != state) {
+            if (i != memberId && group.view("m" + i, "m" + memberId) != state) {
                 return false;
             }
         }
@@ -47,125 +47,134 @@
     @Test
     void aMemberThatDiesIsDeadForAllWithinTheSuspicionsLongestTime() {
         for (int members : new int[] {3, 8, 30, 128}) {
-            GroupSimulator g = group(LAN, members, members);
-            g.kill("m1");
-            // one round of probes, the longest suspicion, and its spreading
+            GroupSimulator group = group(LAN, members, members);
+            group.kill("m1");
+            // One round of probes, the longest suspicion, and its dissemination.
             double bound = LAN.probeIntervalMs() * members
                     + 24 * LAN.probeIntervalMs() * Math.max(1, Math.log10(members))
                     + 5000;
-            until(g, members + " members see it", bound, () -> all(g, members, 1, State.DEAD));
-            assertTrue(g.agreed());
+            runUntil(group, members + " members see it", bound, () -> allSee(group, members, 1, State.DEAD));
+            assertTrue(group.agreed());
             assertTrue(
-                    g.seen().stream().filter(s -> s.now() == State.DEAD).allMatch(s -> s.of().equals("m1")),
-                    "nobody else");
+                    group.seen().stream()
+                            .filter(change -> change.now() == State.DEAD)
+                            .allMatch(change -> change.of().equals("m1")),
+                    "no other member is dead");
         }
     }
 
     @Test
-    void whoLeavesHasLeftAndIsNotSuspected() {
-        GroupSimulator g = group(LAN, 12, 2);
-        g.leave("m4");
-        until(g, "all have heard", 10_000, () -> all(g, 12, 4, State.LEFT));
-        assertTrue(g.seen().stream().noneMatch(s -> s.now() == State.SUSPECT || s.now() == State.DEAD));
+    void aMemberThatLeavesIsNotSuspected() {
+        GroupSimulator group = group(LAN, 12, 2);
+        group.leave("m4");
+        runUntil(group, "all know that it left", 10_000, () -> allSee(group, 12, 4, State.LEFT));
+        assertTrue(
+                group.seen().stream().noneMatch(change -> change.now() == State.SUSPECT || change.now() == State.DEAD));
     }
 
     @Test
-    void aMemberThatOneOtherCantHearIsNotDead() {
-        GroupSimulator g = group(LAN, 8, 3);
-        g.cut((from, to) -> from.equals("m2") && to.equals("m5"));
-        g.run(120_000);
-        // others ask it in its place: it is not even suspected, and has nothing to refute
-        assertEquals(List.of(), g.seen());
-        assertTrue(g.agreed());
+    void aMemberThatOneOtherCannotReachIsNotDead() {
+        GroupSimulator group = group(LAN, 8, 3);
+        group.cut((from, to) -> from.equals("m2") && to.equals("m5"));
+        group.run(120_000);
+        // Others probe it indirectly, so it is not even suspected and has nothing to refute.
+        assertEquals(List.of(), group.seen());
+        assertTrue(group.agreed());
     }
 
     @Test
-    void twoHalvesThatWereCutApartFindEachOtherAgain() {
-        GroupSimulator g = group(LAN, 10, 4);
-        g.cut((from, to) -> half(from) != half(to));
-        until(
-                g,
+    void aGroupMergesAfterAPartition() {
+        GroupSimulator group = group(LAN, 10, 4);
+        group.cut((from, to) -> inFirstHalf(from) != inFirstHalf(to));
+        runUntil(
+                group,
                 "each half takes the other for dead",
                 200_000,
-                () -> all(g, 5, 7, State.DEAD) && g.view("m7", "m0") == State.DEAD);
-        g.run(60_000);
-        g.cut((from, to) -> false);
-        until(g, "they are one again", 200_000, g::agreed);
+                () -> allSee(group, 5, 7, State.DEAD) && group.view("m7", "m0") == State.DEAD);
+        group.run(60_000);
+        group.cut((from, to) -> false);
+        runUntil(group, "the halves have merged", 200_000, group::agreed);
     }
 
-    private static boolean half(String id) {
+    private static boolean inFirstHalf(String id) {
         return Integer.parseInt(id.substring(1)) < 5;
     }
 
     @Test
-    void aMemberThatStartsAnewComesBackAboveItsEarlierLife() {
-        GroupSimulator g = group(LAN, 6, 5);
-        g.kill("m3");
-        until(g, "it is dead", 120_000, () -> all(g, 6, 3, State.DEAD));
-        g.restart("m3", 1);
-        until(g, "it is back", 60_000, g::agreed);
-        assertTrue(g.incarnation("m3") > 1);
-        // at once, before anybody noticed, and with a clock that went back: its new life must not count for its old one
-        g.kill("m3");
-        g.restart("m3", 1);
-        until(g, "it has learnt of its earlier life", 60_000, () -> g.agreed() && g.incarnation("m3") > 2);
+    void aRestartedMemberReturnsAtAHigherIncarnation() {
+        GroupSimulator group = group(LAN, 6, 5);
+        group.kill("m3");
+        runUntil(group, "it is dead", 120_000, () -> allSee(group, 6, 3, State.DEAD));
+        group.restart("m3", 1);
+        runUntil(group, "it is back", 60_000, group::agreed);
+        assertTrue(group.incarnation("m3") > 1);
+        // A restart at once, before the death was detected, and with a clock that went back: the new process must not
+        // be taken for the former one.
+        group.kill("m3");
+        group.restart("m3", 1);
+        runUntil(
+                group,
+                "it has learned of its former incarnation",
+                60_000,
+                () -> group.agreed() && group.incarnation("m3") > 2);
     }
 
     @Test
-    void allKilledAndStartedAtOnceAreAGroupAgain() {
-        GroupSimulator g = group(LAN, 9, 6);
+    void aGroupFormsAgainAfterAllRestartAtOnce() {
+        GroupSimulator group = group(LAN, 9, 6);
         for (int i = 0; i < 9; i++) {
-            g.kill("m" + i);
+            group.kill("m" + i);
         }
-        g.run(5000);
+        group.run(5000);
         for (int i = 0; i < 9; i++) {
-            g.restart("m" + i, 1);
+            group.restart("m" + i, 1);
         }
-        until(g, "they agree", 60_000, g::agreed);
+        runUntil(group, "they agree", 60_000, group::agreed);
     }
 
     @Test
-    void aMemberThatStoodStillRefutesWhenItWakes() {
-        GroupSimulator g = group(LAN, 8, 7);
-        g.stall("m6", 5000);
-        g.run(4900);
-        assertTrue(all(g, 8, 6, State.SUSPECT) || g.view("m0", "m6") != State.DEAD, "it is not dead so soon");
-        until(g, "it is taken for alive by all", 60_000, g::agreed);
-        assertTrue(g.seen().stream().noneMatch(s -> s.now() == State.DEAD));
-        assertTrue(g.incarnation("m6") > 1, "it had to refute");
-        g.stall("m6", 120_000);
-        g.run(119_000);
-        assertEquals(State.DEAD, g.view("m0", "m6"));
-        until(g, "it is back", 120_000, g::agreed);
+    void aStalledMemberRefutesWhenItResumes() {
+        GroupSimulator group = group(LAN, 8, 7);
+        group.stall("m6", 5000);
+        group.run(4900);
+        assertTrue(allSee(group, 8, 6, State.SUSPECT) || group.view("m0", "m6") != State.DEAD, "it is not dead yet");
+        runUntil(group, "all see it alive", 60_000, group::agreed);
+        assertTrue(group.seen().stream().noneMatch(change -> change.now() == State.DEAD));
+        assertTrue(group.incarnation("m6") > 1, "it had to refute");
+        group.stall("m6", 120_000);
+        group.run(119_000);
+        assertEquals(State.DEAD, group.view("m0", "m6"));
+        runUntil(group, "it is back", 120_000, group::agreed);
     }
 
-    /** Times that a live member was declared dead by some member, over minutes of 30 members. */
-    private static long falseDetections(MemberSettings settings, long seed, double loss, double stallMs) {
-        GroupSimulator g = group(settings, 30, seed);
-        g.network(loss, 1, 40);
+    /** Returns how often a live member was declared dead by some member, in a group of 30 over five minutes. */
+    private static long falseDetections(MemberSettings settings, long seed, double lossProbability, double maxStallMs) {
+        GroupSimulator group = group(settings, 30, seed);
+        group.network(lossProbability, 1, 40);
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
-        double[] until = new double[3];
+        double[] stalledUntilMs = new double[3];
         for (int step = 0; step < 15_000; step++) {
-            for (int i = 0; i < 3 && stallMs > 0; i++) {
-                // a tenth of the members is starved of its processor: it runs for moments only
-                if (g.nowMs() >= until[i] && random.nextInt(10) < 8) {
-                    double length = stallMs * random.nextDouble();
-                    until[i] = g.nowMs() + length;
-                    g.stall("m" + i, length);
+            for (int i = 0; i < 3 && maxStallMs > 0; i++) {
+                // A tenth of the members is starved of CPU time and runs only for moments.
+                if (group.nowMs() >= stalledUntilMs[i] && random.nextInt(10) < 8) {
+                    double lengthMs = maxStallMs * random.nextDouble();
+                    stalledUntilMs[i] = group.nowMs() + lengthMs;
+                    group.stall("m" + i, lengthMs);
                 }
             }
-            g.run(20);
+            group.run(20);
         }
-        g.network(0, 0.2, 2);
-        until(g, "all agree again", 120_000, g::agreed);
-        // of those that did not stand still themselves
-        return g.seen().stream()
-                .filter(s -> s.now() == State.DEAD && (stallMs == 0 || Integer.parseInt(s.of().substring(1)) >= 3))
+        group.network(0, 0.2, 2);
+        runUntil(group, "all agree again", 120_000, group::agreed);
+        // Only detections of members that were not stalled themselves.
+        return group.seen().stream()
+                .filter(change -> change.now() == State.DEAD
+                        && (maxStallMs == 0 || Integer.parseInt(change.of().substring(1)) >= 3))
                 .count();
     }
 
     @Test
-    void lifeguardsPartsLowerFalseDetectionsUnderLossAndStallsAndAGroupIsWholeAfterwards() {
+    void lifeguardLowersFalseDetectionsUnderLossAndStalls() {
         for (double[] trouble : new double[][] {{0.3, 0}, {0, 8000}}) {
             long with = 0;
             long without = 0;
@@ -180,15 +189,15 @@
     }
 
     private static double[] traffic(int members) {
-        GroupSimulator g = group(LAN, members, members);
-        g.run(60_000);
-        g.traffic(1);
-        g.run(120_000);
-        return g.traffic(120_000);
+        GroupSimulator group = group(LAN, members, members);
+        group.run(60_000);
+        group.traffic(1);
+        group.run(120_000);
+        return group.traffic(120_000);
     }
 
     @Test
-    void aQuietGroupsMessagesAndBytesStayFlatAsMembersAreAdded() {
+    void aQuietGroupsTrafficPerMemberDoesNotGrowWithItsSize() {
         double[] few = traffic(8);
         double[] many = traffic(128);
         for (int i = 0; i < 2; i++) {
@@ -198,61 +207,61 @@
     }
 
     @Test
-    void whatALossKeptFromAMemberAnExchangeBrings() {
-        GroupSimulator g = group(LAN, 6, 12);
-        // m5 hears of nobody but m4 while another comes back at a new life
-        g.cut((from, to) -> to.equals("m5") && !from.equals("m4"));
-        g.kill("m2");
-        g.restart("m2", 900);
-        g.run(3000);
-        g.cut((from, to) -> false);
-        until(g, "all know the new life", 120_000, g::agreed);
-        assertEquals(State.ALIVE, g.view("m5", "m2"));
+    void antiEntropyDeliversUpdatesThatWereLost() {
+        GroupSimulator group = group(LAN, 6, 12);
+        // m5 receives only from m4 while another member restarts at a new incarnation.
+        group.cut((from, to) -> to.equals("m5") && !from.equals("m4"));
+        group.kill("m2");
+        group.restart("m2", 900);
+        group.run(3000);
+        group.cut((from, to) -> false);
+        runUntil(group, "all know the new incarnation", 120_000, group::agreed);
+        assertEquals(State.ALIVE, group.view("m5", "m2"));
     }
 
-    /** Whether one member's false suspicion of another, told to a third, makes that one suspect it. */
-    private static boolean persuades(GroupSimulator g, String by) {
-        g.seen();
-        g.inject(
-                by,
+    /** Returns whether one member's false suspicion of another, sent to a third, makes the third suspect it. */
+    private static boolean causesSuspicion(GroupSimulator group, String reporter) {
+        group.seen();
+        group.inject(
+                reporter,
                 "m0",
                 new Message.Dissemination(
-                        List.of(GroupSimulator.updateBy(by, "m1", "", g.incarnation("m1"), State.SUSPECT))));
-        g.run(1);
-        boolean suspected = g.view("m0", "m1") == State.SUSPECT;
-        until(g, "it is refuted", 60_000, () -> g.agreed());
+                        List.of(GroupSimulator.updateBy(reporter, "m1", "", group.incarnation("m1"), State.SUSPECT))));
+        group.run(1);
+        boolean suspected = group.view("m0", "m1") == State.SUSPECT;
+        runUntil(group, "it is refuted", 60_000, () -> group.agreed());
         return suspected;
     }
 
     @Test
-    void whoRaisesFalseAlarmsAloneNeedsASecondVoiceAndIsBelievedAgainLater() {
-        GroupSimulator g = group(LAN, 6, 14);
+    void aReporterOfFalseSuspicionsNeedsASecondReporterForSomeTime() {
+        GroupSimulator group = group(LAN, 6, 14);
         for (int i = 0; i < LAN.maxFalseSuspicions(); i++) {
-            assertTrue(persuades(g, "m5"), "alarm " + i);
+            assertTrue(causesSuspicion(group, "m5"), "false suspicion " + i);
         }
-        // an old alarm counts a little less than one
-        persuades(g, "m5");
-        assertFalse(persuades(g, "m5"), "one more");
-        // a second voice makes both count
-        g.inject(
+        // An older false suspicion counts slightly less than one.
+        causesSuspicion(group, "m5");
+        assertFalse(causesSuspicion(group, "m5"), "one more false suspicion");
+        // A second reporter makes both count.
+        group.inject(
                 "m5",
                 "m0",
                 new Message.Dissemination(
-                        List.of(GroupSimulator.updateBy("m5", "m1", "", g.incarnation("m1"), State.SUSPECT))));
-        assertTrue(persuades(g, "m4"));
-        g.run(300_000);
-        assertTrue(persuades(g, "m5"), "it is forgiven");
+                        List.of(GroupSimulator.updateBy("m5", "m1", "", group.incarnation("m1"), State.SUSPECT))));
+        assertTrue(causesSuspicion(group, "m4"));
+        group.run(300_000);
+        assertTrue(causesSuspicion(group, "m5"), "its false suspicions have decayed");
     }
 
     @Test
     void theSameSeedGivesTheSameRun() {
         List<List<Seen>> runs = new java.util.ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            GroupSimulator g = new GroupSimulator(LAN, 11);
-            g.start(20, 2, 300);
-            g.network(0.2, 1, 40);
-            g.run(100_000);
-            runs.add(g.seen());
+            GroupSimulator group = new GroupSimulator(LAN, 11);
+            group.start(20, 2, 300);
+            group.network(0.2, 1, 40);
+            group.run(100_000);
+            runs.add(group.seen());
         }
         assertFalse(runs.get(0).isEmpty());
         assertEquals(runs.get(0), runs.get(1));
--- a/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
@@ -28,27 +28,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All interleavings of three members and one box up to a number of steps: any message on its way is delivered or lost, any
- * member's next timer falls due before or after the others', one dies or begins anew, each sees the box fail or work. From every
- * state that is reached the group then runs on fairly, and must come to rest in the truth.
+ * Checks the interleavings of three members and one box up to a number of steps: any message in flight is delivered or
+ * lost, any member's next timer fires before or after the others', one member dies or restarts, and each member sees
+ * the box fail or work. From every state reached, the group then runs on fairly and must converge to the true state.
  */
 class ModelCheckTest {
-    private static final int STEPS = 9;
-    private static final int MOST_STATES = 10_000;
-    private static final int MOST_LOSSES = 2;
-    /** Five halvings of the judge's memory: less than its negligible twentieth is left. */
-    private static final double FORGOTTEN_MS = 15_000;
+    private static final int MAX_STEPS = 9;
+    private static final int MAX_STATES = 10_000;
+    private static final int MAX_LOSSES = 2;
+    /** Five half-lives of the evidence: what is left is below the least evidence that counts. */
+    private static final double EVIDENCE_END_MS = 15_000;
 
-    private static final MemberSettings SMALL =
+    private static final MemberSettings MEMBER_SETTINGS =
             new MemberSettings(100, 40, 1, 3, 2, 2, 30, 2, 400, 3, true, 4, 8, 1000, 100_000);
-    private static final ClaimSettings CLAIMS = new ClaimSettings(4, 8, 400, 100, 1e9, 2, 300, 0.3, 0.5, 2, 0, 200, 30);
+    private static final ClaimSettings CLAIM_SETTINGS =
+            new ClaimSettings(4, 8, 400, 100, 1e9, 2, 300, 0.3, 0.5, 2, 0, 200, 30);
     private static final long BOX = 7;
 
-    /** A random source whose whole state is a number: a state of the model holds it. */
-    private static final class Steps implements RandomGenerator {
+    /** Random source whose whole state is one number, which is part of the model's state. */
+    private static final class StateRandom implements RandomGenerator {
         long state;
 
-        Steps(long seed) {
+        StateRandom(long seed) {
             state = seed;
         }
 
@@ -59,9 +60,9 @@
         }
     }
 
-    private record Flight(int from, int to, Message message) {}
+    private record InFlight(int from, int to, Message message) {}
 
-    private static final UpdateProofs TRUSTING = new UpdateProofs() {
+    private static final UpdateProofs ACCEPTING_UPDATE_PROOFS = new UpdateProofs() {
         @Override
         public byte[] prove(Update update) {
             return new byte[0];
@@ -72,7 +73,7 @@
             return true;
         }
     };
-    private static final ClaimProofs TRUSTING_CLAIMS = new ClaimProofs() {
+    private static final ClaimProofs ACCEPTING_CLAIM_PROOFS = new ClaimProofs() {
         @Override
         public byte[] prove(Statement statement) {
             return new byte[0];
@@ -84,30 +85,30 @@
         }
     };
 
-    /** One run of the model: three members, what is on its way, and what must hold at each step. */
-    private static final class World {
+    /** One run of the model: three members, the messages in flight, and the invariants checked at each step. */
+    private static final class Model {
         final Membership[] members = new Membership[3];
-        final ClaimBook[] books = new ClaimBook[3];
-        final Judge[] judges = new Judge[3];
+        final ClaimBook[] stores = new ClaimBook[3];
+        final Judge[] evaluators = new Judge[3];
         final Outcomes[] outcomes = new Outcomes[3];
-        final Steps[] randoms = new Steps[3];
-        final double[] due = new double[3];
-        final double[] workedMs = {-1e9, -1e9, -1e9};
+        final StateRandom[] randoms = new StateRandom[3];
+        final double[] dueMs = new double[3];
+        final double[] lastSuccessMs = {-1e9, -1e9, -1e9};
         final boolean[] running = {true, true, true};
-        final boolean[] failed = new boolean[3];
-        final List<Flight> flights = new ArrayList<>();
-        final Map<String, Long> highest = new HashMap<>();
-        final Map<String, State> last = new HashMap<>();
-        double now;
+        final boolean[] sawFailure = new boolean[3];
+        final List<InFlight> inFlight = new ArrayList<>();
+        final Map<String, Long> highestIncarnation = new HashMap<>();
+        final Map<String, State> lastState = new HashMap<>();
+        double nowMs;
         int losses;
         int events;
 
-        World() {
+        Model() {
             for (int i = 0; i < 3; i++) {
-                begin(i, 1);
+                start(i, 1);
             }
-            fair(1500);
-            flights.clear();
+            runFairly(1500);
+            inFlight.clear();
             for (int i = 0; i < 3; i++) {
                 for (int of = 0; of < 3; of++) {
                     assertEquals(State.ALIVE, members[i].state("m" + of));
@@ -115,74 +116,75 @@
             }
         }
 
-        void begin(int i, long incarnation) {
-            randoms[i] = new Steps(17 + i + 100 * incarnation);
-            int self = i;
-            for (int of = 0; of < 3; of++) {
-                // a new life knows nothing of what its earlier one knew
-                highest.remove(i + ">m" + of);
-                last.remove(i + ">m" + of);
+        void start(int member, long incarnation) {
+            randoms[member] = new StateRandom(17 + member + 100 * incarnation);
+            int self = member;
+            for (int other = 0; other < 3; other++) {
+                // A restarted member knows nothing of what its former process knew.
+                highestIncarnation.remove(member + ">m" + other);
+                lastState.remove(member + ">m" + other);
             }
-            members[i] = new Membership(
-                    SMALL,
-                    "m" + i,
-                    "m" + i,
+            members[member] = new Membership(
+                    MEMBER_SETTINGS,
+                    "m" + member,
+                    "m" + member,
                     incarnation,
                     List.of("m0", "m1", "m2"),
-                    randoms[i],
-                    (to, message) -> flights.add(new Flight(self, to.charAt(1) - '0', message)),
-                    TRUSTING,
-                    (id, b, n, inc) -> {});
-            books[i] = new ClaimBook(CLAIMS, "m" + i, TRUSTING_CLAIMS);
-            judges[i] = new Judge(CLAIMS, "m" + i, 4);
-            outcomes[i] = new Outcomes(CLAIMS, 4);
-            running[i] = true;
-            members[i].start(now);
-            due[i] = now;
+                    randoms[member],
+                    (to, message) -> inFlight.add(new InFlight(self, to.charAt(1) - '0', message)),
+                    ACCEPTING_UPDATE_PROOFS,
+                    (id, before, after, incarnationOf) -> {});
+            stores[member] = new ClaimBook(CLAIM_SETTINGS, "m" + member, ACCEPTING_CLAIM_PROOFS);
+            evaluators[member] = new Judge(CLAIM_SETTINGS, "m" + member, 4);
+            outcomes[member] = new Outcomes(CLAIM_SETTINGS, 4);
+            running[member] = true;
+            members[member].start(nowMs);
+            dueMs[member] = nowMs;
         }
 
-        /** The next timer of a member falls due; others may be late. */
-        void timer(int i) {
-            now = Math.max(now, due[i]);
-            books[i].say(now, now, outcomes[i].claims(now));
-            if (books[i].hasPending()) {
-                List<Statement> some = books[i].take(2);
-                for (String to : members[i].randomAddresses(2)) {
-                    flights.add(new Flight(i, to.charAt(1) - '0', new Message.Claims(some)));
+        /** Fires the next timer of a member; the timers of others may be overdue. */
+        void fireTimer(int member) {
+            nowMs = Math.max(nowMs, dueMs[member]);
+            stores[member].say(nowMs, nowMs, outcomes[member].claims(nowMs));
+            if (stores[member].hasPending()) {
+                List<Statement> statements = stores[member].take(2);
+                for (String to : members[member].randomAddresses(2)) {
+                    inFlight.add(new InFlight(member, to.charAt(1) - '0', new Message.Claims(statements)));
                 }
             }
-            due[i] = Math.max(now + 1, Math.min(members[i].tick(now), now + 100));
+            dueMs[member] = Math.max(nowMs + 1, Math.min(members[member].tick(nowMs), nowMs + 100));
         }
 
-        void deliver(int at) {
-            Flight f = flights.remove(at);
-            if (!running[f.to()]) {
+        void deliver(int index) {
+            InFlight delivered = inFlight.remove(index);
+            if (!running[delivered.to()]) {
                 return;
             }
-            if (f.message() instanceof Message.Claims claims) {
-                claims.statements().forEach(s -> books[f.to()].take(now, now, s));
+            if (delivered.message() instanceof Message.Claims claims) {
+                claims.statements().forEach(statement -> stores[delivered.to()].take(nowMs, nowMs, statement));
             } else {
-                members[f.to()].receive(now, "m" + f.from(), f.message());
-                due[f.to()] = Math.min(due[f.to()], Math.max(now, members[f.to()].tick(now)));
+                members[delivered.to()].receive(nowMs, "m" + delivered.from(), delivered.message());
+                dueMs[delivered.to()] =
+                        Math.min(dueMs[delivered.to()], Math.max(nowMs, members[delivered.to()].tick(nowMs)));
             }
         }
 
-        void saw(int i, boolean good) {
-            outcomes[i].saw(now, BOX, good ? null : Claim.Kind.FAILED);
-            judges[i].saw(now, BOX, good, books[i].held());
-            failed[i] |= !good;
-            workedMs[i] = good ? now : workedMs[i];
+        void recordOutcome(int member, boolean success) {
+            outcomes[member].saw(nowMs, BOX, success ? null : Claim.Kind.FAILED);
+            evaluators[member].saw(nowMs, BOX, success, stores[member].held());
+            sawFailure[member] |= !success;
+            lastSuccessMs[member] = success ? nowMs : lastSuccessMs[member];
         }
 
-        /** The moves that are possible now, as numbers; each also says what it is by its range. */
-        List<Integer> moves() {
+        /** Returns the moves that are possible now. Each is a number whose range tells its kind. */
+        List<Integer> possibleMoves() {
             List<Integer> result = new ArrayList<>();
-            // messages between the same two are taken in order of their sending; those of different pairs in any
+            // Messages between the same two members are delivered in order, those of different pairs in any order.
             Set<String> pairs = new HashSet<>();
-            for (int i = 0; i < flights.size(); i++) {
-                if (pairs.add(flights.get(i).from() + ">" + flights.get(i).to())) {
+            for (int i = 0; i < inFlight.size(); i++) {
+                if (pairs.add(inFlight.get(i).from() + ">" + inFlight.get(i).to())) {
                     result.add(i);
-                    if (losses < MOST_LOSSES) {
+                    if (losses < MAX_LOSSES) {
                         result.add(1000 + i);
                     }
                 }
@@ -193,7 +195,7 @@
                 }
             }
             if (events < 2) {
-                // one is killed, or begins anew below and above its earlier life; one is suspected wrongly
+                // One member is killed, or restarts below or above its former incarnation; one is falsely suspected.
                 if (running[2]) {
                     result.add(3000);
                     result.add(3003);
@@ -201,166 +203,173 @@
                     result.add(3001);
                     result.add(3002);
                 }
-                if (!failed[0]) {
+                if (!sawFailure[0]) {
                     result.add(4000);
                 }
-                if (!failed[1]) {
+                if (!sawFailure[1]) {
                     result.add(4001);
                 }
-                if (workedMs[2] < 0 && running[2]) {
+                if (lastSuccessMs[2] < 0 && running[2]) {
                     result.add(4002);
                 }
             }
             return result;
         }
 
-        void move(int m) {
-            if (m < 1000) {
-                deliver(m);
-            } else if (m < 2000) {
-                flights.remove(m - 1000);
+        void move(int move) {
+            if (move < 1000) {
+                deliver(move);
+            } else if (move < 2000) {
+                inFlight.remove(move - 1000);
                 losses++;
-            } else if (m < 3000) {
-                timer(m - 2000);
+            } else if (move < 3000) {
+                fireTimer(move - 2000);
             } else {
                 events++;
-                switch (m) {
+                switch (move) {
                     case 3000 -> running[2] = false;
-                    case 3001 -> begin(2, 1);
-                    case 3002 -> begin(2, 500);
+                    case 3001 -> start(2, 1);
+                    case 3002 -> start(2, 500);
                     case 3003 ->
-                        flights.add(new Flight(
+                        inFlight.add(new InFlight(
                                 1,
                                 0,
                                 new Message.Dissemination(List.of(Update.withoutProof(
                                         "m2", "", members[2].self().incarnation(), State.SUSPECT, "m1")))));
-                    case 4000 -> saw(0, false);
-                    case 4001 -> saw(1, false);
-                    default -> saw(2, true);
+                    case 4000 -> recordOutcome(0, false);
+                    case 4001 -> recordOutcome(1, false);
+                    default -> recordOutcome(2, true);
                 }
             }
-            check();
+            checkInvariants();
         }
 
-        /** What must hold in every state. */
-        void check() {
+        /** Checks the invariants that hold in every state. */
+        void checkInvariants() {
             for (int i = 0; i < 3; i++) {
-                for (Membership.Member m : members[i].members()) {
-                    String key = i + ">" + m.id();
-                    long before = highest.getOrDefault(key, -1L);
-                    assertTrue(m.incarnation() >= before, key + " went back to incarnation " + m.incarnation());
-                    State was = last.get(key);
-                    boolean gone = was == State.DEAD || was == State.LEFT;
+                for (Membership.Member member : members[i].members()) {
+                    String key = i + ">" + member.id();
+                    long before = highestIncarnation.getOrDefault(key, -1L);
                     assertTrue(
-                            !(gone && m.isPresent() && m.incarnation() == before),
+                            member.incarnation() >= before, key + " went back to incarnation " + member.incarnation());
+                    State stateBefore = lastState.get(key);
+                    boolean gone = stateBefore == State.DEAD || stateBefore == State.LEFT;
+                    assertTrue(
+                            !(gone && member.isPresent() && member.incarnation() == before),
                             key + " came back by its old incarnation " + before);
-                    highest.put(key, m.incarnation());
-                    last.put(key, m.state());
+                    highestIncarnation.put(key, member.incarnation());
+                    lastState.put(key, member.state());
                 }
-                double evidence = judges[i].evidence(now, 3, books[i].held()).getOrDefault(BOX, 0.0);
-                int claimers = (failed[0] ? 1 : 0) + (failed[1] ? 1 : 0);
-                assertTrue(evidence == 0 || claimers >= 2, "evidence by " + claimers);
+                double evidence =
+                        evaluators[i].evidence(nowMs, 3, stores[i].held()).getOrDefault(BOX, 0.0);
+                int claimers = (sawFailure[0] ? 1 : 0) + (sawFailure[1] ? 1 : 0);
+                assertTrue(evidence == 0 || claimers >= 2, "evidence from claims of " + claimers);
                 assertTrue(
-                        evidence == 0 || now - workedMs[i] >= CLAIMS.ownSuccessPriorityMs(),
-                        "evidence against what works here");
+                        evidence == 0 || nowMs - lastSuccessMs[i] >= CLAIM_SETTINGS.ownSuccessPriorityMs(),
+                        "evidence despite a recent own success");
             }
         }
 
-        /** Runs on with all messages delivered and all timers in order. */
-        void fair(double forMs) {
-            double until = now + forMs;
+        /** Runs on with all messages delivered and all timers fired in order. */
+        void runFairly(double forMs) {
+            double endMs = nowMs + forMs;
             while (true) {
-                while (!flights.isEmpty()) {
+                while (!inFlight.isEmpty()) {
                     deliver(0);
                 }
                 int next = -1;
                 for (int i = 0; i < 3; i++) {
-                    next = running[i] && (next < 0 || due[i] < due[next]) ? i : next;
+                    next = running[i] && (next < 0 || dueMs[i] < dueMs[next]) ? i : next;
                 }
-                if (next < 0 || due[next] > until) {
-                    now = Math.max(now, until);
+                if (next < 0 || dueMs[next] > endMs) {
+                    nowMs = Math.max(nowMs, endMs);
                     return;
                 }
-                timer(next);
-                check();
+                fireTimer(next);
+                checkInvariants();
             }
         }
 
-        /** What must hold once the group has run on fairly. */
-        void atRest() {
+        /** Checks what holds once the group has run on fairly. */
+        void checkConverged() {
             for (int i = 0; i < 3; i++) {
-                for (int of = 0; running[i] && of < 3; of++) {
-                    State seen = members[i].state("m" + of);
+                for (int other = 0; running[i] && other < 3; other++) {
+                    State seen = members[i].state("m" + other);
                     assertTrue(
-                            running[of] ? seen == State.ALIVE : seen == State.DEAD || seen == null,
-                            "m" + i + " takes m" + of + " for " + seen + ", which "
-                                    + (running[of] ? "runs" : "does not"));
+                            running[other] ? seen == State.ALIVE : seen == State.DEAD || seen == null,
+                            "m" + i + " sees m" + other + " as " + seen + ", which "
+                                    + (running[other] ? "runs" : "does not"));
                 }
-                // what was believed is forgotten by halves: with nothing new it is none after some time
+                // Evidence decays by half-lives, so that without new claims none is left after some time.
                 assertEquals(
                         0.0,
-                        judges[i]
-                                .evidence(now + FORGOTTEN_MS, 3, books[i].held())
+                        evaluators[i]
+                                .evidence(nowMs + EVIDENCE_END_MS, 3, stores[i].held())
                                 .getOrDefault(BOX, 0.0),
                         "evidence that never ends");
             }
         }
 
         String fingerprint() {
-            StringBuilder b = new StringBuilder();
+            StringBuilder text = new StringBuilder();
             for (int i = 0; i < 3; i++) {
-                b.append(running[i])
-                        .append(failed[i])
-                        .append(workedMs[i])
-                        .append(due[i] - now)
+                text.append(running[i])
+                        .append(sawFailure[i])
+                        .append(lastSuccessMs[i])
+                        .append(dueMs[i] - nowMs)
                         .append(' ')
                         .append(randoms[i].state);
-                members[i].appendState(b);
-                books[i].held()
-                        .forEach(h -> b.append(h.receivedMs() - now)
-                                .append(text(new Message.Claims(List.of(h.statement())))));
+                members[i].appendState(text);
+                stores[i]
+                        .held()
+                        .forEach(stored -> text.append(stored.receivedMs() - nowMs)
+                                .append(messageText(new Message.Claims(List.of(stored.statement())))));
             }
-            flights.forEach(f -> b.append(f.from()).append(f.to()).append(text(f.message())));
-            return b.append(losses).append(' ').append(events).toString();
+            inFlight.forEach(
+                    message -> text.append(message.from()).append(message.to()).append(messageText(message.message())));
+            return text.append(losses).append(' ').append(events).toString();
         }
 
-        private static String text(Message m) {
-            return m.getClass().getSimpleName()
-                    + m.updates().stream()
-                            .map(u -> u.memberId() + u.incarnation() + u.state() + u.reporter())
+        private static String messageText(Message message) {
+            return message.getClass().getSimpleName()
+                    + message.updates().stream()
+                            .map(update ->
+                                    update.memberId() + update.incarnation() + update.state() + update.reporter())
                             .toList()
-                    + (m instanceof Message.Claims c ? c.statements().toString().replaceAll("\\[B@[0-9a-f]+", "") : "");
+                    + (message instanceof Message.Claims c
+                            ? c.statements().toString().replaceAll("\\[B@[0-9a-f]+", "")
+                            : "");
         }
     }
 
-    private static World at(int[] path, int length) {
-        World w = new World();
+    private static Model replay(int[] path, int length) {
+        Model model = new Model();
         for (int i = 0; i < length; i++) {
-            w.move(path[i]);
+            model.move(path[i]);
         }
-        return w;
+        return model;
     }
 
     @Test
-    void everyInterleavingKeepsTheLivingLosesTheDeadAndBelievesOnlyAQuorum() {
+    void everyInterleavingConvergesAndHasEvidenceOnlyFromAQuorum() {
         Set<String> seen = new HashSet<>();
         ArrayDeque<int[]> open = new ArrayDeque<>();
         open.add(new int[0]);
         int deepest = 0;
         long moves = 0;
-        while (!open.isEmpty() && seen.size() < MOST_STATES) {
+        while (!open.isEmpty() && seen.size() < MAX_STATES) {
             int[] path = open.removeFirst();
             deepest = path.length;
-            World w = at(path, path.length);
-            List<Integer> possible = w.moves();
+            Model model = replay(path, path.length);
+            List<Integer> possible = model.possibleMoves();
             try {
-                w.fair(6000);
-                w.atRest();
-                for (int m : path.length < STEPS ? possible : List.<Integer>of()) {
+                model.runFairly(6000);
+                model.checkConverged();
+                for (int move : path.length < MAX_STEPS ? possible : List.<Integer>of()) {
                     int[] next = Arrays.copyOf(path, path.length + 1);
-                    next[path.length] = m;
+                    next[path.length] = move;
                     moves++;
-                    if (seen.add(at(next, next.length).fingerprint())) {
+                    if (seen.add(replay(next, next.length).fingerprint())) {
                         open.addLast(next);
                     }
                 }
@@ -374,22 +383,22 @@
     }
 
     @Test
-    void longWalksThroughTheSameMovesComeToRestInTheTruthToo() {
+    void longRandomWalksConvergeToo() {
         java.util.SplittableRandom random = new java.util.SplittableRandom(11);
         int restarts = 0;
         for (int walk = 0; walk < 1000; walk++) {
-            World w = new World();
+            Model model = new Model();
             List<Integer> path = new ArrayList<>();
             try {
                 for (int step = 0; step < 60; step++) {
-                    List<Integer> possible = w.moves();
-                    int m = possible.get(random.nextInt(possible.size()));
-                    path.add(m);
-                    w.move(m);
-                    restarts += m == 3001 || m == 3002 ? 1 : 0;
+                    List<Integer> possible = model.possibleMoves();
+                    int move = possible.get(random.nextInt(possible.size()));
+                    path.add(move);
+                    model.move(move);
+                    restarts += move == 3001 || move == 3002 ? 1 : 0;
                 }
-                w.fair(6000);
-                w.atRest();
+                model.runFairly(6000);
+                model.checkConverged();
             } catch (AssertionError e) {
                 throw new AssertionError(e.getMessage() + ", after " + path, e);
             }
@@ -398,38 +407,38 @@
     }
 
     @Test
-    void theChecksSeeWhatIsWrong() {
-        World w = new World();
-        w.highest.put("0>m1", Long.MAX_VALUE);
-        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, w::check);
-        World dead = new World();
-        dead.last.put("0>m1", State.DEAD);
-        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, dead::check);
-        World lost = new World();
+    void theChecksDetectViolations() {
+        Model wentBack = new Model();
+        wentBack.highestIncarnation.put("0>m1", Long.MAX_VALUE);
+        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, wentBack::checkInvariants);
+        Model dead = new Model();
+        dead.lastState.put("0>m1", State.DEAD);
+        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, dead::checkInvariants);
+        Model lost = new Model();
         lost.running[1] = false;
-        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, lost::atRest);
-        World believing = new World();
-        believing.books[2].take(
-                believing.now,
-                believing.now,
+        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, lost::checkConverged);
+        Model believing = new Model();
+        believing.stores[2].take(
+                believing.nowMs,
+                believing.nowMs,
                 new Statement(
                         "m0",
-                        (long) believing.now + 1,
+                        (long) believing.nowMs + 1,
                         List.of(new Claim(BOX, Claim.Kind.FAILED, 1, 0, 400)),
                         new byte[0]));
-        believing.books[2].take(
-                believing.now,
-                believing.now,
+        believing.stores[2].take(
+                believing.nowMs,
+                believing.nowMs,
                 new Statement(
                         "m1",
-                        (long) believing.now + 1,
+                        (long) believing.nowMs + 1,
                         List.of(new Claim(BOX, Claim.Kind.FAILED, 1, 0, 400)),
                         new byte[0]));
-        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, believing::check);
-        believing.failed[0] = true;
-        believing.failed[1] = true;
-        believing.check();
-        believing.workedMs[2] = believing.now;
-        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, believing::check);
+        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, believing::checkInvariants);
+        believing.sawFailure[0] = true;
+        believing.sawFailure[1] = true;
+        believing.checkInvariants();
+        believing.lastSuccessMs[2] = believing.nowMs;
+        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, believing::checkInvariants);
     }
 }
--- a/gossip/src/test/java/calicovale/gossip/net/Group.java
+++ b/gossip/src/test/java/calicovale/gossip/net/Group.java
@@ -25,10 +25,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 
-/** Owns a group of members with sockets, keys and a roster of their own, each on its own loop. */
+/** A group of members with sockets, keys and a roster of their own, each on its own event loop. */
 final class Group implements AutoCloseable {
-    /** Generous: no verdict hangs on it, only a failure takes that long. */
-    private static final long BOUND_MS = 40_000;
+    /** Generous, because no verdict depends on it: only a failing test waits that long. */
+    private static final long AWAIT_TIMEOUT_MS = 40_000;
 
     /** One member's process. */
     final class Instance {
@@ -37,7 +37,7 @@
         final Map<Long, Double> evidence = new ConcurrentHashMap<>();
         EventLoop loop;
         GossipNode node;
-        InetSocketAddress at;
+        InetSocketAddress boundAddress;
 
         Instance(String id) {
             this.id = id;
@@ -61,18 +61,18 @@
             } catch (InvalidDocumentException e) {
                 throw new IllegalStateException(e);
             }
-            GossipNode begun = node;
-            // a port that was named may be a connection's for a moment
-            await("a port", () -> {
+            GossipNode startedNode = node;
+            // A given port may be in use by a connection for a moment.
+            await("the port is free", () -> {
                 try {
-                    at = loop.call(begun::start);
+                    boundAddress = loop.call(startedNode::start);
                     return true;
                 } catch (IllegalStateException e) {
                     return false;
                 }
             });
             loop.call(() -> {
-                node.weather(Group.this.weather);
+                node.weather(Group.this.networkConditions);
                 return true;
             });
         }
@@ -87,21 +87,21 @@
             return loop != null;
         }
 
-        <T> T ask(Function<GossipNode, T> body) {
+        <T> T callOnLoop(Function<GossipNode, T> body) {
             return loop.call(() -> body.apply(node));
         }
 
-        State view(String of) {
-            return ask(n -> n.membership().state(of));
+        State view(String memberId) {
+            return callOnLoop(node -> node.membership().state(memberId));
         }
 
         long count(String name) {
-            return ask(n -> n.counters().getOrDefault(name, 0L));
+            return callOnLoop(node -> node.counters().getOrDefault(name, 0L));
         }
 
-        void saw(long box, Claim.Kind kind) {
-            ask(n -> {
-                n.saw(box, kind);
+        void recordOutcome(long box, Claim.Kind kind) {
+            callOnLoop(node -> {
+                node.saw(box, kind);
                 return true;
             });
         }
@@ -111,15 +111,18 @@
     final Path roster;
     final Map<String, Instance> instances = new LinkedHashMap<>();
     final SplittableRandom random = new SplittableRandom(1);
-    private final String[] more;
+    private final String[] extraSettings;
     private final boolean certificates;
-    volatile NetworkConditions weather = NetworkConditions.NO_FAULTS;
+    volatile NetworkConditions networkConditions = NetworkConditions.NO_FAULTS;
     private final List<String> authority;
 
-    /** {@code more}: pairs of a member of the settings and its JSON value. */
-    Group(Path folder, int members, boolean certificates, String... more) throws Exception {
+    /**
+     * Creates the keys and processes of a group; {@code extraSettings} are pairs of a key of the settings and its JSON
+     * value.
+     */
+    Group(Path folder, int members, boolean certificates, String... extraSettings) throws Exception {
         this.folder = folder;
-        this.more = more;
+        this.extraSettings = extraSettings;
         this.certificates = certificates;
         roster = Files.createDirectories(folder.resolve("roster"));
         authority = KeyDocuments.make("operators");
@@ -129,10 +132,11 @@
         }
     }
 
-    /** A key for a member, allowed; the first one before it stays allowed too. */
+    /** Creates a key for a member and adds it to the roster; earlier keys stay valid. */
     void newKey(String member) throws IOException, GeneralSecurityException, InvalidDocumentException {
-        List<String> made = KeyDocuments.make(member);
-        String key = Documents.MAPPER.readTree(made.get(0)).get("publicKey").asText();
+        List<String> documents = KeyDocuments.make(member);
+        String key =
+                Documents.MAPPER.readTree(documents.get(0)).get("publicKey").asText();
         String name = member + "-" + Integer.toHexString(key.hashCode()) + ".json";
         if (certificates) {
             Path file = folder.resolve("operators.json");
@@ -148,75 +152,79 @@
                             now - 60_000,
                             now + 3_600_000));
         } else {
-            Files.writeString(roster.resolve(name), made.get(1));
+            Files.writeString(roster.resolve(name), documents.get(1));
         }
         Path next = folder.resolve(member + ".next");
-        Files.writeString(next, made.get(0));
+        Files.writeString(next, documents.get(0));
         Files.move(next, folder.resolve(member + ".key"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     GossipSettings settings(String member, int port, List<String> seeds) throws InvalidDocumentException {
         try {
-            ObjectNode n = (ObjectNode) Documents.MAPPER.readTree("""
+            ObjectNode document = (ObjectNode) Documents.MAPPER.readTree("""
                     {"group": "test", "probeMs": 200, "timeoutMs": 90, "newsMs": 40, "exchangeMs": 1500, "rosterMs": 200,
                      "connectionMs": 1000, "claims": {"believedMs": 50}}""");
-            n.put("member", member)
+            document.put("member", member)
                     .put("keyFile", folder.resolve(member + ".key").toString())
                     .put("rosterFolder", roster.toString());
             if (certificates) {
-                n.put(
+                document.put(
                         "authority",
                         Documents.MAPPER
                                 .readTree(authority.get(0))
                                 .get("publicKey")
                                 .asText());
             }
-            n.putObject("listen").put("host", "127.0.0.1").put("port", port);
-            seeds.forEach(n.putArray("seeds")::add);
-            for (int i = 0; i < more.length; i += 2) {
-                n.set(more[i], Documents.MAPPER.readTree(more[i + 1]));
+            document.putObject("listen").put("host", "127.0.0.1").put("port", port);
+            seeds.forEach(document.putArray("seeds")::add);
+            for (int i = 0; i < extraSettings.length; i += 2) {
+                document.set(extraSettings[i], Documents.MAPPER.readTree(extraSettings[i + 1]));
             }
-            return GossipSettings.parse("settings", n);
+            return GossipSettings.parse("settings", document);
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    Instance of(int number) {
+    Instance instance(int number) {
         return instances.get("m" + number);
     }
 
-    /** Starts all that do not run; they join by the first, and by all that were there before. */
+    /** Starts all members that are not running; they join by those that are, or by the first. */
     void startAll() {
         List<String> seeds = new ArrayList<>();
-        instances.values().stream().filter(Instance::running).forEach(i -> seeds.add("127.0.0.1:" + i.at.getPort()));
-        for (Instance i : instances.values()) {
-            if (!i.running()) {
-                i.start(List.copyOf(seeds));
+        instances.values().stream()
+                .filter(Instance::running)
+                .forEach(instance -> seeds.add("127.0.0.1:" + instance.boundAddress.getPort()));
+        for (Instance instance : instances.values()) {
+            if (!instance.running()) {
+                instance.start(List.copyOf(seeds));
                 if (seeds.isEmpty()) {
-                    seeds.add("127.0.0.1:" + i.at.getPort());
+                    seeds.add("127.0.0.1:" + instance.boundAddress.getPort());
                 }
             }
         }
         awaitAgreement();
     }
 
-    /** Every running member takes every running one for alive and no other for present. */
+    /**
+     * Returns whether every running member sees exactly the running members as present, and none of them as suspected.
+     */
     boolean agreed() {
         List<String> running = instances.values().stream()
                 .filter(Instance::running)
-                .map(i -> i.id)
+                .map(instance -> instance.id)
                 .toList();
         for (String id : running) {
-            boolean well = instances.get(id).ask(n -> {
-                for (Membership.Member m : n.membership().members()) {
-                    if (m.isPresent() != running.contains(m.id()) || m.state() == State.SUSPECT) {
+            boolean agrees = instances.get(id).callOnLoop(node -> {
+                for (Membership.Member member : node.membership().members()) {
+                    if (member.isPresent() != running.contains(member.id()) || member.state() == State.SUSPECT) {
                         return false;
                     }
                 }
-                return n.membership().present() == running.size();
+                return node.membership().present() == running.size();
             });
-            if (!well) {
+            if (!agrees) {
                 return false;
             }
         }
@@ -227,44 +235,44 @@
         await("all agree", this::agreed);
     }
 
-    /** Whether all running members but the one itself take it for so. */
-    boolean all(String of, State state) {
+    /** Returns whether all running members other than the given one see it in a state. */
+    boolean allSee(String memberId, State state) {
         return instances.values().stream()
-                .filter(i -> i.running() && !i.id.equals(of))
-                .allMatch(i -> i.view(of) == state);
+                .filter(instance -> instance.running() && !instance.id.equals(memberId))
+                .allMatch(instance -> instance.view(memberId) == state);
     }
 
-    /** Times that any running member took any for dead. */
-    long deaths() {
+    /** Returns how often a running member has declared a member dead. */
+    long deadTransitions() {
         return instances.values().stream()
                 .filter(Instance::running)
-                .mapToLong(i -> i.count("members-dead"))
+                .mapToLong(instance -> instance.count("members-dead"))
                 .sum();
     }
 
-    void weather(NetworkConditions next) {
-        weather = next;
+    void setNetworkConditions(NetworkConditions conditions) {
+        networkConditions = conditions;
         instances.values().stream()
                 .filter(Instance::running)
-                .forEach(i -> i.ask(n -> {
-                    n.weather(next);
+                .forEach(instance -> instance.callOnLoop(node -> {
+                    node.weather(conditions);
                     return true;
                 }));
     }
 
     String address(int number) {
-        return "127.0.0.1:" + of(number).at.getPort();
+        return "127.0.0.1:" + instance(number).boundAddress.getPort();
     }
 
     static void await(String what, BooleanSupplier state) {
-        long until = System.nanoTime() + BOUND_MS * 1_000_000;
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!state.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "never: " + what);
+            assertTrue(System.nanoTime() < deadlineNanos, "never: " + what);
             pause(10);
         }
     }
 
-    /** Lets the group run on; what is judged afterwards must hold however long it was. */
+    /** Lets the group run on for a time; what is checked afterwards must hold however long it was. */
     static void pause(long ms) {
         try {
             Thread.sleep(ms);
--- a/gossip/src/test/java/calicovale/gossip/net/Liar.java
+++ b/gossip/src/test/java/calicovale/gossip/net/ScriptedPeer.java
@@ -18,15 +18,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Owns a scripted peer: it has a member's key, or one of its own making, and says whatever a test wants. */
-final class Liar implements AutoCloseable {
+/** A scripted peer with a member's key, or one that no roster lists; it sends whatever a test needs. */
+final class ScriptedPeer implements AutoCloseable {
     final DatagramSocket socket;
     final Signer signer;
     final Envelopes envelopes;
     private final Codec codec = new Codec(WireLimits.DEFAULT);
     private final String member;
 
-    Liar(Group group, String member) throws IOException, InvalidDocumentException {
+    ScriptedPeer(Group group, String member) throws IOException, InvalidDocumentException {
         this.member = member;
         socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         KeyDocuments.MemberKeyPair pair = KeyDocuments.pair(group.folder.resolve(member + ".key"));
@@ -36,15 +36,15 @@
         envelopes = new Envelopes(roster, signer, WireLimits.DEFAULT, System.currentTimeMillis(), 0);
     }
 
-    /** What another member is said to be, by this one in its own name. */
-    Update says(String of, String address, long incarnation, State state) {
-        Update u = Update.withoutProof(of, address, incarnation, state, member);
-        return u.withProof(signer.prove(u));
+    /** Returns an update about a member, reported and signed by this peer. */
+    Update update(String memberId, String address, long incarnation, State state) {
+        Update update = Update.withoutProof(memberId, address, incarnation, state, member);
+        return update.withProof(signer.prove(update));
     }
 
-    Statement claims(List<Claim> claims) {
-        Statement s = new Statement(member, System.currentTimeMillis(), claims, new byte[0]);
-        return new Statement(member, s.version(), claims, signer.prove(s));
+    Statement statement(List<Claim> claims) {
+        Statement statement = new Statement(member, System.currentTimeMillis(), claims, new byte[0]);
+        return new Statement(member, statement.version(), claims, signer.prove(statement));
     }
 
     byte[] sealed(String to, Message message) {
@@ -56,8 +56,8 @@
     }
 
     void send(Group.Instance to, Message message) throws IOException {
-        byte[] bytes = sealed("127.0.0.1:" + to.at.getPort(), message);
-        send(to.at.getPort(), bytes, bytes.length);
+        byte[] bytes = sealed("127.0.0.1:" + to.boundAddress.getPort(), message);
+        send(to.boundAddress.getPort(), bytes, bytes.length);
     }
 
     String address() {
--- a/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
+++ b/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
@@ -24,33 +24,36 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Messages as bytes: every form there and back, every way in which an envelope must be dropped, and damaged bytes. */
+/**
+ * Messages on the wire: every form encoded and decoded, every reason for which an envelope is dropped, and damaged
+ * bytes.
+ */
 class WireTest {
     private static final WireLimits LIMITS = WireLimits.DEFAULT;
-    private static final double WALL = 1_800_000_000_000.0;
+    private static final double WALL_MS = 1_800_000_000_000.0;
 
-    /** One member's keys and envelopes. */
-    private static final class Party {
+    /** Keys and envelopes of one member. */
+    private static final class TestMember {
         final Ed25519.Pair pair;
         final Roster roster;
         final Signer signer;
         final Envelopes envelopes;
 
-        Party(String group, Ed25519.Pair pair, long life, List<Roster.Entry> allowed) {
+        TestMember(String group, Ed25519.Pair pair, long epoch, List<Roster.Entry> allowed) {
             this.pair = pair;
             roster = new Roster(group, null, 100);
             roster.replaceListed(allowed, List.of(), Set.of());
             signer = new Signer(
                     roster,
-                    () -> WALL,
+                    () -> WALL_MS,
                     Ed25519.privateKey(pair.privateKey()),
                     Ed25519.raw(Ed25519.publicKey(pair.publicKey())),
                     null);
-            envelopes = new Envelopes(roster, signer, LIMITS, life, 0);
+            envelopes = new Envelopes(roster, signer, LIMITS, epoch, 0);
         }
 
-        long dropped(Drop why) {
-            return envelopes.drops().get(why);
+        long dropped(Drop reason) {
+            return envelopes.drops().get(reason);
         }
     }
 
@@ -69,10 +72,10 @@
     private final Ed25519.Pair keyA = pair();
     private final Ed25519.Pair keyB = pair();
     private final List<Roster.Entry> both = List.of(entry("a", keyA), entry("b", keyB));
-    private final Party a = new Party("g", keyA, 100, both);
-    private final Party b = new Party("g", keyB, 100, both);
+    private final TestMember a = new TestMember("g", keyA, 100, both);
+    private final TestMember b = new TestMember("g", keyB, 100, both);
 
-    private static List<Message> all() {
+    private static List<Message> oneMessageOfEachForm() {
         byte[] proof = new byte[72];
         Arrays.fill(proof, (byte) 7);
         List<Update> updates = List.of(
@@ -93,27 +96,32 @@
     }
 
     @Test
-    void everyMessageComesBackAsItWas() throws WireException {
+    void everyMessageIsDecodedAsEncoded() throws WireException {
         Codec codec = new Codec(LIMITS);
-        for (Message m : all()) {
-            byte[] bytes = codec.encode(m);
-            Message back = codec.decode(bytes, 0, bytes.length);
-            assertArrayEquals(bytes, codec.encode(back));
-            assertEquals(m.getClass(), back.getClass());
-            assertEquals(m.updates().size(), back.updates().size());
-            for (int i = 0; i < m.updates().size(); i++) {
-                Update u = m.updates().get(i);
-                Update v = back.updates().get(i);
+        for (Message message : oneMessageOfEachForm()) {
+            byte[] bytes = codec.encode(message);
+            Message decoded = codec.decode(bytes, 0, bytes.length);
+            assertArrayEquals(bytes, codec.encode(decoded));
+            assertEquals(message.getClass(), decoded.getClass());
+            assertEquals(message.updates().size(), decoded.updates().size());
+            for (int i = 0; i < message.updates().size(); i++) {
+                Update sent = message.updates().get(i);
+                Update received = decoded.updates().get(i);
                 assertEquals(
-                        List.of(u.memberId(), u.address(), u.incarnation(), u.state(), u.reporter()),
-                        List.of(v.memberId(), v.address(), v.incarnation(), v.state(), v.reporter()));
-                assertArrayEquals(u.proof(), v.proof());
+                        List.of(sent.memberId(), sent.address(), sent.incarnation(), sent.state(), sent.reporter()),
+                        List.of(
+                                received.memberId(),
+                                received.address(),
+                                received.incarnation(),
+                                received.state(),
+                                received.reporter()));
+                assertArrayEquals(sent.proof(), received.proof());
             }
         }
     }
 
     @Test
-    void whatIsAnythingElseIsRefusedWhole() throws WireException {
+    void anyOtherFormIsRejected() throws WireException {
         Codec codec = new Codec(LIMITS);
         byte[] good = codec.encode(new Message.Nack(0, List.of()));
         assertEquals(new Message.Nack(0, List.of()), codec.decode(good, 0, good.length));
@@ -143,25 +151,25 @@
     }
 
     @Test
-    void damagedMessagesNeverDoMoreThanBeRefused() {
+    void damagedMessagesAreRejectedWithLittleMemory() {
         Codec codec = new Codec(LIMITS);
         var threads = (com.sun.management.ThreadMXBean) java.lang.management.ManagementFactory.getThreadMXBean();
-        int refused = 0;
+        int rejected = 0;
         for (long seed : new long[] {1, 2, 20_261_201}) {
             SplittableRandom random = new SplittableRandom(seed);
             for (int round = 0; round < 20_000; round++) {
-                byte[] bytes = codec.encode(all().get(random.nextInt(9)));
+                byte[] bytes = codec.encode(oneMessageOfEachForm().get(random.nextInt(9)));
                 for (int i = random.nextInt(1, 5); i > 0; i--) {
-                    int at = random.nextInt(bytes.length);
+                    int position = random.nextInt(bytes.length);
                     switch (random.nextInt(4)) {
-                        case 0 -> bytes[at] = (byte) random.nextInt(256);
-                        case 1 -> bytes[at] ^= (byte) (1 << random.nextInt(8));
-                        case 2 -> bytes = Arrays.copyOf(bytes, at + 1);
+                        case 0 -> bytes[position] = (byte) random.nextInt(256);
+                        case 1 -> bytes[position] ^= (byte) (1 << random.nextInt(8));
+                        case 2 -> bytes = Arrays.copyOf(bytes, position + 1);
                         default -> {
-                            // a length of up to 2 GB, declared only
+                            // A declared length of up to 2 GB, without the bytes.
                             byte[] head = {(byte) (random.nextInt(8) << 5 | 26), 0x7f, (byte) random.nextInt(256), 1, 1
                             };
-                            System.arraycopy(head, 0, bytes, at, Math.min(head.length, bytes.length - at));
+                            System.arraycopy(head, 0, bytes, position, Math.min(head.length, bytes.length - position));
                         }
                     }
                 }
@@ -171,46 +179,46 @@
                 try {
                     codec.decode(damaged, 0, damaged.length);
                 } catch (WireException e) {
-                    refused++;
+                    rejected++;
                 }
-                long took =
+                long allocatedBytes =
                         threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
-                assertTrue(took < 300_000, took + " bytes for " + Arrays.toString(damaged));
+                assertTrue(allocatedBytes < 300_000, allocatedBytes + " bytes for " + Arrays.toString(damaged));
             }
         }
-        assertTrue(refused > 30_000, refused + " refused");
+        assertTrue(rejected > 30_000, rejected + " refused");
     }
 
     @Test
-    void anEnvelopeIsOpenedOnceByWhomItIsFor() {
+    void anEnvelopeIsOpenedOnceAndOnlyByItsReceiver() {
         byte[] message = {1, 2, 3};
-        byte[] sealed = a.envelopes.seal(WALL, "b:1", message, false);
-        Opened o = b.envelopes.open(0, WALL, "b:1", "a:1", sealed, sealed.length);
-        assertEquals("a", o.sender());
-        assertArrayEquals(message, Arrays.copyOfRange(sealed, o.messageOffset(), sealed.length));
-        assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", sealed, sealed.length));
+        byte[] sealed = a.envelopes.seal(WALL_MS, "b:1", message, false);
+        Opened opened = b.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length);
+        assertEquals("a", opened.sender());
+        assertArrayEquals(message, Arrays.copyOfRange(sealed, opened.messageOffset(), sealed.length));
+        assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length));
         assertEquals(1, b.dropped(Drop.REPLAYED));
-        // led to another member, whose guard never saw it
-        Party c = new Party("g", pair(), 100, both);
-        assertNull(c.envelopes.open(0, WALL, "c:1", "a:1", sealed, sealed.length));
+        // Redirected to another member, whose replay guard has not seen it.
+        TestMember c = new TestMember("g", pair(), 100, both);
+        assertNull(c.envelopes.open(0, WALL_MS, "c:1", "a:1", sealed, sealed.length));
         assertEquals(1, c.dropped(Drop.SIGNATURE));
-        // and into another group
-        Party other = new Party("h", keyB, 100, both);
-        assertNull(other.envelopes.open(0, WALL, "b:1", "a:1", sealed, sealed.length));
+        // Redirected into another group.
+        TestMember other = new TestMember("h", keyB, 100, both);
+        assertNull(other.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length));
         assertEquals(1, other.dropped(Drop.SIGNATURE));
     }
 
     @Test
-    void forgedTruncatedStaleAndStrangeEnvelopesAreDroppedEachForItsReason() {
-        byte[] sealed = a.envelopes.seal(WALL, "b:1", new byte[] {1, 2, 3}, false);
+    void invalidEnvelopesAreDroppedEachForItsReason() {
+        byte[] sealed = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1, 2, 3}, false);
         for (int cut = 0; cut < sealed.length; cut++) {
-            assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", sealed, cut));
+            assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, cut));
         }
         int signed = 0;
         for (int i = 0; i < sealed.length; i++) {
             byte[] forged = sealed.clone();
             forged[i] ^= 1;
-            assertNull(b.envelopes.open(10_000.0 * i, WALL, "b:1", "a:1", forged, forged.length), "byte " + i);
+            assertNull(b.envelopes.open(10_000.0 * i, WALL_MS, "b:1", "a:1", forged, forged.length), "byte " + i);
             signed++;
         }
         assertEquals(sealed.length, signed);
@@ -220,60 +228,62 @@
                         && b.dropped(Drop.VERSION) > 0
                         && b.dropped(Drop.SKEWED) > 0,
                 b.envelopes.drops().toString());
-        assertNull(b.envelopes.open(0, WALL + 30_001, "b:1", "a:1", sealed, sealed.length));
-        assertNull(b.envelopes.open(0, WALL - 30_001, "b:1", "a:1", sealed, sealed.length));
-        // signed with a key of the sender's own making
-        Party stranger = new Party("g", pair(), 100, both);
-        byte[] own = stranger.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
+        assertNull(b.envelopes.open(0, WALL_MS + 30_001, "b:1", "a:1", sealed, sealed.length));
+        assertNull(b.envelopes.open(0, WALL_MS - 30_001, "b:1", "a:1", sealed, sealed.length));
+        // Signed with a key that no roster lists.
+        TestMember stranger = new TestMember("g", pair(), 100, both);
+        byte[] own = stranger.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         long unknown = b.dropped(Drop.UNKNOWN_KEY);
-        assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", own, own.length));
+        assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", own, own.length));
         assertEquals(unknown + 1, b.dropped(Drop.UNKNOWN_KEY));
-        // none of this has spent the real one
-        assertNotNull(b.envelopes.open(1e9, WALL, "b:1", "a:1", sealed, sealed.length));
+        // None of these has used up the sequence number of the genuine message.
+        assertNotNull(b.envelopes.open(1e9, WALL_MS, "b:1", "a:1", sealed, sealed.length));
     }
 
     @Test
-    void aWindowOfSequencesTakesLateMessagesOnceAndAnEarlierLifeNotAtAll() {
+    void theReplayWindowAcceptsLateMessagesOnceAndEarlierEpochsNever() {
         List<byte[]> sent = new ArrayList<>();
         for (int i = 0; i < 1500; i++) {
-            sent.add(a.envelopes.seal(WALL, "b:1", new byte[] {1}, false));
+            sent.add(a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false));
         }
-        double now = 0;
+        double nowMs = 0;
         for (int i : new int[] {0, 1400, 1399, 500, 1499}) {
             assertNotNull(
-                    b.envelopes.open(now += 1000, WALL, "b:1", "a:1", sent.get(i), sent.get(i).length), "number " + i);
+                    b.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", sent.get(i), sent.get(i).length),
+                    "number " + i);
         }
-        // too far behind the window, and seen before
+        // Too far behind the window, or received before.
         for (int i : new int[] {1, 0, 1400, 500}) {
             assertNull(
-                    b.envelopes.open(now += 1000, WALL, "b:1", "a:1", sent.get(i), sent.get(i).length), "number " + i);
+                    b.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", sent.get(i), sent.get(i).length),
+                    "number " + i);
         }
         assertEquals(4, b.dropped(Drop.REPLAYED));
-        Party later = new Party("g", keyA, 101, both);
-        byte[] next = later.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
-        assertNotNull(b.envelopes.open(now += 1000, WALL, "b:1", "a:1", next, next.length));
-        assertNull(b.envelopes.open(now + 1000, WALL, "b:1", "a:1", sent.get(1498), sent.get(1498).length));
+        TestMember later = new TestMember("g", keyA, 101, both);
+        byte[] next = later.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNotNull(b.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", next, next.length));
+        assertNull(b.envelopes.open(nowMs + 1000, WALL_MS, "b:1", "a:1", sent.get(1498), sent.get(1498).length));
         assertEquals(5, b.dropped(Drop.REPLAYED));
     }
 
     @Test
-    void aFloodFromElsewhereDoesNotKeepAMemberFromBeingHeard() {
-        byte[] first = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
-        assertNotNull(b.envelopes.open(0, WALL, "b:1", "a:1", first, first.length));
-        byte[] forged = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
+    void aFloodFromUnknownSourcesDoesNotSilenceAMember() {
+        byte[] first = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNotNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", first, first.length));
+        byte[] forged = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         forged[40] ^= 1;
-        int heard = 0;
+        int accepted = 0;
         for (int ms = 0; ms < 5000; ms++) {
             for (int i = 0; i < 20; i++) {
-                assertNull(b.envelopes.open(ms, WALL, "b:1", "x:" + i, forged, forged.length));
+                assertNull(b.envelopes.open(ms, WALL_MS, "b:1", "x:" + i, forged, forged.length));
             }
             if (ms % 100 == 0) {
-                byte[] good = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
-                heard += b.envelopes.open(ms, WALL, "b:1", "a:1", good, good.length) != null ? 1 : 0;
+                byte[] good = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+                accepted += b.envelopes.open(ms, WALL_MS, "b:1", "a:1", good, good.length) != null ? 1 : 0;
             }
         }
-        assertEquals(50, heard);
-        // verified: two seconds' worth at once and then the rate, of 100,000
+        assertEquals(50, accepted);
+        // Of 100,000 messages, only a burst of two seconds' worth and then the rate are verified.
         assertTrue(
                 b.dropped(Drop.SIGNATURE) <= LIMITS.unknownSourceRatePerS() * 7 + 1,
                 b.envelopes.drops().toString());
@@ -281,86 +291,91 @@
     }
 
     @Test
-    void aKeyIsReplacedWhileTheOldOneHoldsAndARevokedOneIsNot() {
+    void aKeyIsReplacedWhileTheOldOneIsValidAndARevokedKeyIsRejected() {
         Ed25519.Pair next = pair();
         b.roster.replaceListed(List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
-        byte[] old = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
-        assertNotNull(b.envelopes.open(0, WALL, "b:1", "a:1", old, old.length));
+        byte[] old = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNotNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", old, old.length));
         a.signer.replaceKey(
                 Ed25519.privateKey(next.privateKey()), Ed25519.raw(Ed25519.publicKey(next.publicKey())), null);
-        byte[] renewed = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
+        byte[] renewed = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         assertEquals(
                 "a",
-                b.envelopes.open(0, WALL, "b:1", "a:1", renewed, renewed.length).sender());
+                b.envelopes
+                        .open(0, WALL_MS, "b:1", "a:1", renewed, renewed.length)
+                        .sender());
         long id = Ed25519.id(Ed25519.raw(Ed25519.publicKey(next.publicKey())));
         b.roster.replaceListed(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
-        byte[] revoked = a.envelopes.seal(WALL, "b:1", new byte[] {1}, false);
-        assertNull(b.envelopes.open(0, WALL, "b:1", "a:1", revoked, revoked.length));
+        byte[] revoked = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", revoked, revoked.length));
         assertEquals(1, b.dropped(Drop.UNKNOWN_KEY));
     }
 
     @Test
-    void aCertificateBringsAMemberInAndOneOfAnotherAuthorityGroupOrTimeDoesNot() {
+    void onlyACertificateOfTheAuthorityGroupAndTimeAdmitsAMember() {
         Ed25519.Pair authority = pair();
-        PrivateKey signs = Ed25519.privateKey(authority.privateKey());
+        PrivateKey authorityKey = Ed25519.privateKey(authority.privateKey());
         byte[] rawA = Ed25519.raw(Ed25519.publicKey(keyA.publicKey()));
-        Certificate good = Certificate.sign(signs, "g", "a", rawA, 0, (long) WALL + 1000);
-        Certificate self = Certificate.sign(Ed25519.privateKey(keyA.privateKey()), "g", "a", rawA, 0, Long.MAX_VALUE);
-        Certificate foreign = Certificate.sign(signs, "h", "a", rawA, 0, Long.MAX_VALUE);
-        Certificate past = Certificate.sign(signs, "g", "a", rawA, 0, (long) WALL);
-        for (Certificate c : List.of(self, foreign, past, good)) {
+        Certificate good = Certificate.sign(authorityKey, "g", "a", rawA, 0, (long) WALL_MS + 1000);
+        Certificate selfSigned =
+                Certificate.sign(Ed25519.privateKey(keyA.privateKey()), "g", "a", rawA, 0, Long.MAX_VALUE);
+        Certificate ofAnotherGroup = Certificate.sign(authorityKey, "h", "a", rawA, 0, Long.MAX_VALUE);
+        Certificate expired = Certificate.sign(authorityKey, "g", "a", rawA, 0, (long) WALL_MS);
+        for (Certificate certificate : List.of(selfSigned, ofAnotherGroup, expired, good)) {
             Roster roster = new Roster("g", Ed25519.publicKey(authority.publicKey()), 10);
-            Envelopes here = new Envelopes(roster, b.signer, LIMITS, 1, 0);
+            Envelopes receiver = new Envelopes(roster, b.signer, LIMITS, 1, 0);
             Roster own = new Roster("g", Ed25519.publicKey(authority.publicKey()), 10);
-            Signer signer = new Signer(own, () -> WALL, Ed25519.privateKey(keyA.privateKey()), rawA, c);
-            Envelopes there = new Envelopes(own, signer, LIMITS, 1, 0);
-            byte[] bare = there.seal(WALL, "b:1", new byte[] {1}, false);
-            byte[] certified = there.seal(WALL, "b:1", new byte[] {1}, true);
-            assertNull(here.open(0, WALL, "b:1", "a:1", bare, bare.length), "not known yet");
-            Opened o = here.open(0, WALL, "b:1", "a:1", certified, certified.length);
-            assertEquals(c == good, o != null);
-            byte[] later = there.seal(WALL, "b:1", new byte[] {1}, false);
-            assertEquals(c == good, here.open(0, WALL, "b:1", "a:1", later, later.length) != null);
-            if (c == good) {
-                assertNull(here.open(0, WALL + 1000, "b:1", "a:1", bare, bare.length), "its time is over");
+            Signer signer = new Signer(own, () -> WALL_MS, Ed25519.privateKey(keyA.privateKey()), rawA, certificate);
+            Envelopes sender = new Envelopes(own, signer, LIMITS, 1, 0);
+            byte[] bare = sender.seal(WALL_MS, "b:1", new byte[] {1}, false);
+            byte[] certified = sender.seal(WALL_MS, "b:1", new byte[] {1}, true);
+            assertNull(receiver.open(0, WALL_MS, "b:1", "a:1", bare, bare.length), "not known yet");
+            Opened opened = receiver.open(0, WALL_MS, "b:1", "a:1", certified, certified.length);
+            assertEquals(certificate == good, opened != null);
+            byte[] later = sender.seal(WALL_MS, "b:1", new byte[] {1}, false);
+            assertEquals(certificate == good, receiver.open(0, WALL_MS, "b:1", "a:1", later, later.length) != null);
+            if (certificate == good) {
+                assertNull(receiver.open(0, WALL_MS + 1000, "b:1", "a:1", bare, bare.length), "its time is over");
                 roster.replaceListed(List.of(), List.of(), Set.of(Ed25519.id(rawA)));
-                assertNull(here.open(
-                        0, WALL, "b:1", "a:1", there.seal(WALL, "b:1", new byte[] {1}, true), certified.length));
+                assertNull(receiver.open(
+                        0, WALL_MS, "b:1", "a:1", sender.seal(WALL_MS, "b:1", new byte[] {1}, true), certified.length));
                 assertFalse(roster.admit(good), "revoked");
             }
         }
     }
 
     @Test
-    void proofsHoldForWhatWasSaidByWhomItWasSaidAndForNothingElse() {
-        Update u = Update.withoutProof("a", "a:1", 5, State.ALIVE, "a");
-        u = u.withProof(a.signer.prove(u));
-        assertTrue(b.signer.proved(u));
+    void proofsHoldOnlyForTheirContentAndAuthor() {
+        Update update = Update.withoutProof("a", "a:1", 5, State.ALIVE, "a");
+        update = update.withProof(a.signer.prove(update));
+        assertTrue(b.signer.proved(update));
         for (Update forged : List.of(
-                new Update("a", "x:1", 5, State.ALIVE, "a", u.proof()),
-                new Update("a", "a:1", 6, State.ALIVE, "a", u.proof()),
-                new Update("a", "a:1", 5, State.LEFT, "a", u.proof()),
-                new Update("b", "a:1", 5, State.ALIVE, "b", u.proof()),
+                new Update("a", "x:1", 5, State.ALIVE, "a", update.proof()),
+                new Update("a", "a:1", 6, State.ALIVE, "a", update.proof()),
+                new Update("a", "a:1", 5, State.LEFT, "a", update.proof()),
+                new Update("b", "a:1", 5, State.ALIVE, "b", update.proof()),
                 new Update("a", "a:1", 5, State.ALIVE, "a", new byte[0]),
                 new Update("a", "a:1", 5, State.ALIVE, "a", new byte[72]))) {
             assertFalse(b.signer.proved(forged), forged.toString());
         }
-        // another member speaks in its name
+        // Another member signs in its name.
         Update inItsName = Update.withoutProof("a", "b:1", 6, State.ALIVE, "a");
         assertFalse(a.signer.proved(inItsName.withProof(b.signer.prove(inItsName))));
-        Statement s = new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
-        s = new Statement("a", 1, s.claims(), a.signer.prove(s));
-        assertTrue(b.signer.proved(s));
-        assertFalse(b.signer.proved(new Statement("a", 2, s.claims(), s.proof())));
-        assertFalse(b.signer.proved(new Statement("a", 1, List.of(), s.proof())));
+        Statement statement =
+                new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
+        statement = new Statement("a", 1, statement.claims(), a.signer.prove(statement));
+        assertTrue(b.signer.proved(statement));
+        assertFalse(b.signer.proved(new Statement("a", 2, statement.claims(), statement.proof())));
+        assertFalse(b.signer.proved(new Statement("a", 1, List.of(), statement.proof())));
     }
 
     @Test
-    void aStatementsProofHoldsAfterItsWayThroughTheWire() throws WireException {
-        Statement s = new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
-        s = new Statement("a", 1, s.claims(), a.signer.prove(s));
+    void aStatementsProofHoldsAfterEncodingAndDecoding() throws WireException {
+        Statement statement =
+                new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
+        statement = new Statement("a", 1, statement.claims(), a.signer.prove(statement));
         Codec codec = new Codec(LIMITS);
-        byte[] bytes = codec.encode(new Message.Claims(List.of(s)));
+        byte[] bytes = codec.encode(new Message.Claims(List.of(statement)));
         assertTrue(b.signer.proved(((Message.Claims) codec.decode(bytes, 0, bytes.length))
                 .statements()
                 .get(0)));
