--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
@@ -7,8 +7,8 @@
  * @param maxMembers largest number of members whose statements are stored
  * @param lastsMs time for which a claim holds without being refreshed
  * @param refreshIntervalMs time after which a statement that still holds is sent again
- * @param maxClockSkewMs largest difference between a statement's version and the local clock: clocks differ, but
- *     replays of old statements must be rejected
+ * @param maxClockSkewMs largest difference between a statement's version and the local clock; above 0 because clocks
+ *     differ, and bounded because old statements may be replayed
  * @param statementsPerMessage number of statements in one message
  * @param outcomeWindowMs time for which an outcome at a box counts
  * @param minStrength fraction of the outcomes at a box that must be failures for a claim
--- a/gossip/src/main/java/calicovale/gossip/claims/Judge.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Judge.java
@@ -16,21 +16,21 @@
  */
 public final class Judge {
     /**
-     * Factor by which a contradiction lowers a reporter's weight: after two contradictions each, three false reporters
+     * Factor by which a contradiction lowers a reporter's weight. After two contradictions each, three false reporters
      * among four members are below the quorum.
      */
     private static final double CONTRADICTION_FACTOR = 0.5;
     /**
-     * Consecutive successful set-ups that contradict a claim: a single one may be luck at a box that fails half of
-     * them.
+     * Consecutive successful set-ups that contradict a claim. A single one does not, because it may be luck at a box
+     * that fails half of its set-ups.
      */
     private static final int SUCCESSES_TO_CONTRADICT = 2;
     /**
-     * Least time between two contradictions of one member's claims on one box, in ms: one claim meets many set-ups and
-     * must not be counted against its reporter at each.
+     * Least time between two contradictions of one member's claims on one box, in ms. Without it one claim would be
+     * counted against its reporter at each of many set-ups.
      */
     private static final double CONTRADICTION_INTERVAL_MS = 2000;
-    /** Weight that a reporter recovers per second: all of it in about a minute. */
+    /** Weight that a reporter recovers per second; the whole weight takes about a minute. */
     private static final double WEIGHT_RECOVERY_PER_S = 0.015;
     /**
      * Lower bound of a reporter's weight, so that a member that was wrong still counts when it is right together with
@@ -43,12 +43,12 @@
      */
     private static final double FADE_START_FRACTION = 0.5;
     /**
-     * Fraction of the quorum that keeps existing evidence valid: evidence reduces the attempts at the box and so the
-     * new claims, which would end it at once at the full quorum.
+     * Fraction of the quorum that keeps existing evidence valid. Evidence reduces the attempts at the box and therefore
+     * the new claims, which would end it at once if the full quorum were needed.
      */
     private static final double RETENTION_QUORUM_FRACTION = 0.5;
     /**
-     * Time in ms in which evidence halves once its claims are gone: members that failed together stop claiming
+     * Time in ms in which evidence halves once its claims are gone. Members that failed together stop claiming
      * together, and if all came back to the box at once, all would fail together again.
      */
     private static final double EVIDENCE_HALF_LIFE_MS = 3000;
--- a/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
@@ -14,7 +14,7 @@
  * clock.
  */
 public final class Outcomes {
-    /** Number of outcomes kept for each box: enough for a strength in steps of a few per cent. */
+    /** Number of outcomes kept for each box, enough for a strength in steps of a few per cent. */
     private static final int MAX_OUTCOMES_PER_BOX = 64;
 
     private record Outcome(double atMs, Kind kind) {}
--- a/gossip/src/main/java/calicovale/gossip/member/Membership.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Membership.java
@@ -107,7 +107,7 @@
      */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
     /**
-     * Half-life of counted false suspicions, in ms: about as long as the network troubles last that cause some of them.
+     * Half-life of counted false suspicions, in ms. The network faults that cause some of them last about as long.
      */
     private static final double FALSE_SUSPICION_HALF_LIFE_MS = 60_000;
 
@@ -132,8 +132,8 @@
     private long rejectedOverBound;
     private long rejectedUpdates;
     /**
-     * By reporter: number of suspicions that it raised alone and that were refuted, decayed, and the time of the last
-     * decay in ms.
+     * For each reporter, the decayed number of suspicions that it raised alone and that were refuted, and the time of
+     * the last decay in ms.
      */
     private final Map<String, double[]> falseSuspicions = new LinkedHashMap<>();
 
@@ -225,7 +225,7 @@
     }
 
     /**
-     * Appends the whole state as text, without times other than the ends of suspicions, for model checks: two members
+     * Appends the whole state as text, without times other than the ends of suspicions, for model checks. Two members
      * with equal text behave alike from there on.
      */
     public void appendState(StringBuilder target) {
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Leaves the group on purpose: this member announces it itself, so that the others do not have to detect it. */
+    /** Leaves the group on purpose. This member announces it itself, so that the others do not have to detect it. */
     public void leave(double nowMs) {
         leaving = true;
         setState(self, State.LEFT, self.incarnation, nowMs);
@@ -329,8 +329,8 @@
         if (present.isEmpty()) {
             join();
         }
-        // A member taken for dead may be on the other side of a network partition: it learns of its suspicion and
-        // refutes it.
+        // A member in state DEAD may be alive on the other side of a network partition. It learns of the suspicion
+        // from this message and refutes it.
         List<Member> dead = new ArrayList<>();
         for (Member member : members.values()) {
             if (member.state == State.DEAD) {
@@ -360,8 +360,7 @@
             }
             if (nowMs >= probe.endMs) {
                 Member suspect = members.get(probe.target);
-                // A helper that sent neither an ack nor a nack hints that this member itself is not being heard, or is
-                // slow.
+                // A helper that sent neither an ack nor a nack suggests that this member itself is not being heard.
                 adjustHealth(probe.nacksOutstanding > 0 ? probe.nacksOutstanding : probe.indirect ? 0 : 1);
                 probe = null;
                 if (suspect != null && suspect.isPresent()) {
@@ -459,7 +458,7 @@
         }
         message.updates().forEach(update -> apply(update, nowMs));
         if (message instanceof Message.Ping ping) {
-            // The address may have been taken over by another member: only the intended target answers.
+            // Only the intended target answers, because its address may have been taken over by another member.
             if (ping.target().equals(self.id)) {
                 transport.send(senderAddress, new Message.Ack(ping.sequenceNumber(), piggybackedUpdates(null)));
             }
@@ -509,7 +508,8 @@
             case ALIVE -> applyAlive(update, nowMs);
             case SUSPECT -> applySuspicion(update, nowMs);
             case LEFT -> applyLeave(update, nowMs);
-            // Nobody is declared dead by another member's claim: each member waits for its own suspicion to time out.
+            // A member is never declared dead because another one says so; each member waits for its own suspicion to
+            // time out.
             case DEAD -> rejectedUpdates++;
         }
     }
@@ -530,7 +530,7 @@
         }
         Member member = members.get(update.memberId());
         if (member == self) {
-            // Told by an earlier process of this member: the others must learn of the current incarnation.
+            // Announced by an earlier process of this member; the others must learn of the current incarnation.
             if ((update.incarnation() > self.incarnation
                             || update.incarnation() == self.incarnation
                                     && !update.address().equals(self.address))
@@ -561,8 +561,8 @@
     }
 
     /**
-     * Applies a suspicion, which counts only at the incarnation that the suspected member itself announced: nobody may
-     * claim a higher one for it, and a suspicion at a lower one has been refuted already.
+     * Applies a suspicion. It counts only at the incarnation that the suspected member itself announced, because nobody
+     * else may raise it, and because a suspicion at a lower one has been refuted already.
      */
     private void applySuspicion(Update update, double nowMs) {
         Member member = members.get(update.memberId());
@@ -741,7 +741,8 @@
         for (Member member : members.values()) {
             result.add(member.lastOwnUpdate);
             if (member.state == State.SUSPECT || member.state == State.DEAD) {
-                // A dead member is sent as a suspicion: it may be alive on the other side of a network partition.
+                // A dead member is sent as a suspicion because it may be alive on the other side of a network
+                // partition.
                 result.add(signedUpdate(member, State.SUSPECT));
             }
         }
--- a/gossip/src/main/java/calicovale/gossip/member/Message.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Message.java
@@ -18,7 +18,8 @@
     record Ack(long sequenceNumber, List<Update> updates) implements Message {}
 
     /**
-     * Answers a ping-req whose target has not answered so far: the requester itself is heard (Lifeguard, section 4.A).
+     * Answers a ping-req whose target has not answered so far, so that the requester knows that it is heard itself
+     * (Lifeguard, section 4.A).
      */
     record Nack(long sequenceNumber, List<Update> updates) implements Message {}
 
--- a/gossip/src/main/java/calicovale/gossip/member/Suspicion.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Suspicion.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * The timeout of one suspicion (Lifeguard, section 4.B): it starts long and becomes shorter with each independent
+ * The timeout of one suspicion (Lifeguard, section 4.B). It starts long and becomes shorter with each independent
  * confirmation, so that a single member that is itself slow cannot have another declared dead soon.
  */
 final class Suspicion {
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -55,7 +55,8 @@
     /** Prefix of the names that stand for an address in replies over an accepted connection. */
     private static final String REPLY_PREFIX = "reply:";
     /**
-     * Least change of a box's evidence that is reported again: a quarter of the smallest step that changes a decision.
+     * Least change of a box's evidence that is reported again, in units of strength; a quarter of the smallest step
+     * that changes a decision.
      */
     private static final double MIN_EVIDENCE_CHANGE = 0.05;
 
@@ -280,7 +281,7 @@
             return;
         }
         if (error != null) {
-            // The keys read last stay in use: an unreadable folder must not dissolve the group.
+            // The keys read last stay in use, because an unreadable folder must not dissolve the group.
             count("roster-unreadable");
             LOG.warn("keys or roster could not be read, the previous ones stay in use: {}", error);
         }
@@ -627,7 +628,7 @@
         };
     }
 
-    /** One connection: carries a frame in one direction and possibly a reply frame back. */
+    /** One connection. It carries a frame in one direction and possibly a reply frame back. */
     private class FrameConnection implements Connection.Handler {
         private final String expectedReceiver;
         private final String peerAddress;
--- a/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
+++ b/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
@@ -205,7 +205,7 @@
     }
 
     /**
-     * Stalls a member's process for a time in ms: it neither sends nor receives, and processes later what arrived
+     * Stalls a member's process for a time in ms. It neither sends nor receives, and processes later what arrived
      * meanwhile.
      */
     public void stall(String id, double forMs) {
@@ -213,7 +213,7 @@
     }
 
     /**
-     * Proofs for simulation: a member's name takes the place of its key, which even members with false reports do not
+     * Proofs for simulation. A member's name takes the place of its key, which even members with false reports do not
      * forge.
      */
     private record NameProofs(String self) implements UpdateProofs {
@@ -235,8 +235,8 @@
     }
 
     /**
-     * Returns an update with the reporter's proof, for scripted members that report falsely: any content is possible,
-     * but only in their own name.
+     * Returns an update with the reporter's proof, for scripted members that report falsely. Any content is possible,
+     * but only in the reporter's own name.
      */
     public static Update updateBy(String reporter, String memberId, String address, long incarnation, State state) {
         Update update = Update.withoutProof(memberId, address, incarnation, state, reporter);
--- a/gossip/src/main/java/calicovale/gossip/wire/Codec.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Codec.java
@@ -31,9 +31,9 @@
      * certificate.
      */
     private static final int MAX_PROOF_BYTES = 400;
-    /** Units of a strength of 1 on the wire: strengths are sent as whole per cents. */
+    /** Units of a strength of 1 on the wire, where strengths are whole per cents. */
     private static final double STRENGTH_UNITS = 100;
-    /** Largest age or validity of a claim, in ms: one day, far above any setting. */
+    /** Largest age or validity of a claim, in ms; one day is far above any setting. */
     private static final long MAX_CLAIM_MS = 86_400_000;
 
     private static final CBORFactory FACTORY = CBORFactory.builder()
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -104,7 +104,8 @@
     }
 
     /**
-     * Returns a signed envelope for a receiver: an address, or the reference of the message that this one replies to.
+     * Returns a signed envelope for a receiver, given as an address or as the reference of the message that this one
+     * replies to.
      */
     public byte[] seal(double wallMs, String receiver, byte[] message, boolean withCertificate) {
         byte[] certificate = withCertificate ? signer.certificate() : new byte[0];
--- a/gossip/src/main/java/calicovale/gossip/wire/WireLimits.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/WireLimits.java
@@ -8,8 +8,8 @@
  * @param maxFrameBytes largest message over a connection, envelope included
  * @param maxUpdates largest number of updates or statements in one message
  * @param maxClaims largest number of claims in one statement
- * @param maxClockSkewMs largest difference between a message's time of sending and the local clock: clocks differ, but
- *     replays of old messages must be rejected
+ * @param maxClockSkewMs largest difference between a message's time of sending and the local clock; above 0 because
+ *     clocks differ, and bounded because old messages may be replayed
  * @param maxSenders largest number of senders whose sequence numbers are remembered, and of certificates held; twice
  *     as many sources have a rate of their own
  * @param knownSourceRatePerS messages per second that are verified for one key from one known source
--- a/gossip/src/test/java/calicovale/gossip/GroupTest.java
+++ b/gossip/src/test/java/calicovale/gossip/GroupTest.java
@@ -108,7 +108,7 @@
         group.restart("m3", 1);
         runUntil(group, "it is back", 60_000, group::agreed);
         assertTrue(group.incarnation("m3") > 1);
-        // A restart at once, before the death was detected, and with a clock that went back: the new process must not
+        // A restart at once, before the death was detected, and with a clock that went back. The new process must not
         // be taken for the former one.
         group.kill("m3");
         group.restart("m3", 1);
--- a/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
@@ -36,7 +36,7 @@
     private static final int MAX_STEPS = 9;
     private static final int MAX_STATES = 10_000;
     private static final int MAX_LOSSES = 2;
-    /** Five half-lives of the evidence: what is left is below the least evidence that counts. */
+    /** Five half-lives of the evidence, after which what is left is below the least evidence that counts. */
     private static final double EVIDENCE_END_MS = 15_000;
 
     private static final MemberSettings MEMBER_SETTINGS =
--- a/gossip/src/test/java/calicovale/gossip/net/Group.java
+++ b/gossip/src/test/java/calicovale/gossip/net/Group.java
@@ -27,7 +27,7 @@
 
 /** A group of members with sockets, keys and a roster of their own, each on its own event loop. */
 final class Group implements AutoCloseable {
-    /** Generous, because no verdict depends on it: only a failing test waits that long. */
+    /** Generous, because no verdict depends on it; only a failing test waits that long. */
     private static final long AWAIT_TIMEOUT_MS = 40_000;
 
     /** One member's process. */
