--- a/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
@@ -19,7 +19,7 @@
 import calicovale.ControllerApi.Takeover;
 import calicovale.ControllerApi.TimerFired;
 import calicovale.SessionController;
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import calicovale.host.PlatformSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -57,13 +57,13 @@
         while ((line = in.readLine()) != null) {
             try {
                 handleLine(line);
-            } catch (BadValueException e) {
+            } catch (InvalidValueException e) {
                 errors.println("calicovale adapter: " + e.getMessage());
             }
         }
     }
 
-    private void handleLine(String line) throws IOException, BadValueException {
+    private void handleLine(String line) throws IOException, InvalidValueException {
         if (line.equals("GO")) {
             reply.append("EOR\n");
             out.append(reply);
@@ -80,9 +80,10 @@
         switch (message.messageName()) {
             case "ROUND" -> nowMs = message.number("tMs");
             case "INVENTORY" ->
-                serverListPages.put(message.nonNegativeLong("page"), readServerRows(message.integer("nodesList")));
+                serverListPages.put(
+                        message.nonNegativeLong("page"), readServerRows(message.nonNegativeInt("nodesList")));
             case "NEW_INSTANCE" -> {
-                int instance = message.integer("who");
+                int instance = message.nonNegativeInt("who");
                 long seed = message.nonNegativeLong("rngSeed");
                 Settings settings = PlatformSettings.readController(message);
                 try {
@@ -91,7 +92,7 @@
                     throw new InvalidWireLineException(e.getMessage(), line);
                 }
             }
-            case "TEARDOWN" -> controllers.remove(message.integer("who"));
+            case "TEARDOWN" -> controllers.remove(message.nonNegativeInt("who"));
             case "DEMAND",
                     "RESUMED",
                     "ACCEPTED",
@@ -106,8 +107,8 @@
         }
     }
 
-    private void dispatch(WireLine message) throws BadValueException {
-        int instance = message.integer("who");
+    private void dispatch(WireLine message) throws InvalidValueException {
+        int instance = message.nonNegativeInt("who");
         SessionController controller = controllers.get(instance);
         if (controller == null) {
             throw new InvalidWireLineException("instance " + instance + " is not running", message.rawLine());
@@ -124,34 +125,34 @@
     }
 
     /** Translates a message to an event; null if the message is to be ignored. */
-    private Event toEvent(WireLine message) throws BadValueException {
+    private Event toEvent(WireLine message) throws InvalidValueException {
         return switch (message.messageName()) {
             case "DEMAND" -> toRequest(message);
             case "RESUMED" -> new Takeover(toRequest(message), message.nonNegativeLong("server"));
             case "ACCEPTED" ->
                 new Started(
                         message.text("tid"),
-                        message.integer("hop"),
+                        message.nonNegativeInt("hop"),
                         message.nonNegativeLong("server"),
                         message.number("elapsedMs", 0));
             case "SETTLED" ->
                 new AttemptEnded(
                         message.text("tid"),
-                        message.integer("hop"),
+                        message.nonNegativeInt("hop"),
                         message.nonNegativeLong("server"),
                         toOutcome(message),
                         message.number("elapsedMs", 0),
                         message.flag("settled"),
                         message.loadReport("usage"));
             case "CHANGE" -> {
-                int kindNumber = message.integer("what");
+                int kindNumber = message.nonNegativeInt("what");
                 NoteKind[] kinds = NoteKind.values();
                 // ignore kinds of note that this version does not know
                 yield kindNumber < 1 || kindNumber > kinds.length
                         ? null
                         : new Note(
                                 message.text("tid"),
-                                message.integer("hop", 0),
+                                message.nonNegativeInt("hop", 0),
                                 message.nonNegativeLong("server"),
                                 kinds[kindNumber - 1],
                                 message.number("x"));
@@ -164,29 +165,29 @@
                         toOutcome(message),
                         message.number("elapsedMs", 0),
                         message.loadReport("usage"));
-            case "WHISPER" -> new PeerMessage(message.integer("src"), messageBody(message));
+            case "WHISPER" -> new PeerMessage(message.nonNegativeInt("src"), messageBody(message));
             default -> new TimerFired(message.text("name"));
         };
     }
 
-    private static Request toRequest(WireLine message) throws BadValueException {
+    private static Request toRequest(WireLine message) throws InvalidValueException {
         return new Request(
                 message.text("tid"),
-                message.integer("band"),
-                message.integer("realm", 0),
+                message.nonNegativeInt("band"),
+                message.nonNegativeInt("realm", 0),
                 message.text("object", ""),
                 message.text("item", ""),
                 message.number("dropDeadMs", Double.MAX_VALUE),
                 message.number("workMs", 0),
-                message.integer("fromCell", 0),
-                message.integer("span", Integer.MAX_VALUE),
-                message.integer("top", Integer.MAX_VALUE),
+                message.nonNegativeInt("fromCell", 0),
+                message.nonNegativeInt("span", Integer.MAX_VALUE),
+                message.nonNegativeInt("top", Integer.MAX_VALUE),
                 message.flag("isRetry"),
                 message.flag("moved"),
                 message.flag("reconnect"));
     }
 
-    private ServerList toServerList(WireLine message) throws BadValueException {
+    private ServerList toServerList(WireLine message) throws InvalidValueException {
         String scopeName = message.text("scope");
         ListScope scope =
                 switch (scopeName) {
@@ -214,9 +215,9 @@
      * Reads the ROW lines after an INVENTORY line, all of them even if one is invalid, so that none is left in the
      * input.
      */
-    private List<ServerEntry> readServerRows(int count) throws IOException, BadValueException {
+    private List<ServerEntry> readServerRows(int count) throws IOException, InvalidValueException {
         List<ServerEntry> result = new ArrayList<>();
-        BadValueException lastFault = null;
+        InvalidValueException lastFault = null;
         for (int i = 0; i < count; i++) {
             String line = in.readLine();
             if (line == null) {
@@ -224,7 +225,7 @@
             }
             try {
                 result.add(parseServerRow(line));
-            } catch (BadValueException e) {
+            } catch (InvalidValueException e) {
                 lastFault = e;
             }
         }
@@ -234,7 +235,7 @@
         return List.copyOf(result);
     }
 
-    private static ServerEntry parseServerRow(String line) throws BadValueException {
+    private static ServerEntry parseServerRow(String line) throws InvalidValueException {
         WireLine row = WireLine.parse(line);
         if (!row.messageName().equals("ROW")) {
             throw new InvalidWireLineException("a ROW line is expected here", line);
@@ -253,14 +254,14 @@
         return new ServerEntry(
                 row.nonNegativeLong("server"),
                 state,
-                row.integer("hw", 0),
-                row.integer("regionPart", 0),
-                row.integer("place", 0),
+                row.nonNegativeInt("hw", 0),
+                row.nonNegativeInt("regionPart", 0),
+                row.nonNegativeInt("place", 0),
                 row.number("lastStartMs", 0),
                 row.number("share", 1));
     }
 
-    private static Outcome toOutcome(WireLine message) throws BadValueException {
+    private static Outcome toOutcome(WireLine message) throws InvalidValueException {
         String code = message.text("result");
         return switch (code) {
             case "200" -> Outcome.OK;
@@ -278,7 +279,7 @@
         };
     }
 
-    private static byte[] messageBody(WireLine message) throws BadValueException {
+    private static byte[] messageBody(WireLine message) throws InvalidValueException {
         String hex = message.text("raw", "-");
         try {
             return hex.equals("-") ? new byte[0] : HexFormat.of().parseHex(hex);
--- a/bench-adapter/src/main/java/calicovale/adapter/WireLine.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireLine.java
@@ -1,12 +1,12 @@
 package calicovale.adapter;
 
-import calicovale.host.BadValueException;
-import calicovale.host.Values;
+import calicovale.host.InvalidValueException;
+import calicovale.host.KeyedValues;
 import java.util.HashMap;
 import java.util.Map;
 
 /** One line of the bench's wire: a message name followed by name=value parts. Unknown names are ignored. */
-final class WireLine extends Values {
+final class WireLine extends KeyedValues {
     /** Name of the only message in which a name may occur more than once; the last value counts. */
     private static final String MESSAGE_WITH_REPEATABLE_KEYS = "NEW_INSTANCE";
 
@@ -54,12 +54,12 @@
     }
 
     @Override
-    protected void fault(String message) throws BadValueException {
+    protected void reportFault(String message) throws InvalidValueException {
         throw new InvalidWireLineException(message, rawLine);
     }
 
     /** Returns a load report, name:value pairs separated by commas; empty if it is missing. */
-    Map<String, Double> loadReport(String key) throws BadValueException {
+    Map<String, Double> loadReport(String key) throws InvalidValueException {
         if (!has(key)) {
             return Map.of();
         }
--- a/cli/src/main/java/calicovale/cli/ChangeCommand.java
+++ b/cli/src/main/java/calicovale/cli/ChangeCommand.java
@@ -141,7 +141,7 @@
             mixinStandardHelpOptions = true)
     int key(@Option(names = "--out", required = true, description = "a file that is not there yet") Path out)
             throws IOException, GeneralSecurityException {
-        Ed25519.Pair pair = Ed25519.Pair.make();
+        Ed25519.TextKeyPair pair = Ed25519.TextKeyPair.generate();
         try {
             Files.writeString(
                     Files.createFile(
--- a/cli/src/main/java/calicovale/cli/KeyCommand.java
+++ b/cli/src/main/java/calicovale/cli/KeyCommand.java
@@ -50,7 +50,7 @@
     }
 
     private static String id(byte[] key) {
-        return Long.toHexString(Ed25519.id(key));
+        return Long.toHexString(Ed25519.keyId(key));
     }
 
     @Command(
@@ -83,14 +83,16 @@
         if (roster != null) {
             place(roster.resolve(member + "-" + id(KeyDocuments.pair(out).publicKey()) + ".json"), made.get(1));
         }
-        spec.commandLine().getOut().println(Ed25519.text(KeyDocuments.pair(out).publicKey()));
+        spec.commandLine()
+                .getOut()
+                .println(Ed25519.toBase64Url(KeyDocuments.pair(out).publicKey()));
         spec.commandLine().getOut().flush();
         return Main.WELL;
     }
 
     private byte[] publicKey(String text) {
         try {
-            return Ed25519.raw(Ed25519.publicKey(text));
+            return Ed25519.rawPublicKey(Ed25519.publicKey(text));
         } catch (IllegalArgumentException e) {
             throw new ParameterException(
                     spec.commandLine(), "a public key as 'key new' prints it is expected, not " + text);
--- a/controller/src/main/java/calicovale/ControllerApi.java
+++ b/controller/src/main/java/calicovale/ControllerApi.java
@@ -211,7 +211,7 @@
         FAILED
     }
 
-    /** Outcome of an attempt or a probe; {@link #provesUnrun()} returns whether it proves that nothing ran. */
+    /** Outcome of an attempt or a probe; {@link #provesNeverRan()} returns whether it proves that nothing ran. */
     public enum Outcome {
         OK(false),
         ERROR(false),
@@ -229,7 +229,7 @@
         }
 
         /** Returns whether this outcome proves that the attempt never ran, so that it had no effect. */
-        public boolean provesUnrun() {
+        public boolean provesNeverRan() {
             return neverRan;
         }
     }
--- a/controller/src/main/java/calicovale/SessionController.java
+++ b/controller/src/main/java/calicovale/SessionController.java
@@ -464,7 +464,7 @@
             else applyOutcome(server, event.outcome());
         }
         if (!assigned) return;
-        if (!event.outcome().provesUnrun() && !session.mayHaveRun) {
+        if (!event.outcome().provesNeverRan() && !session.mayHaveRun) {
             session.mayHaveRun = true;
             session.tokenServer = server;
             session.tokenStartedAt = session.sentAt;
--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -87,13 +87,13 @@
         server = new HttpServer(loop, name, players, manager::handle).crossOrigin(settings.crossOrigin());
         manager.wireCounts(() -> {
             Map<String, Long> counts = new LinkedHashMap<>();
-            counts.put("player-connections", (long) server.open());
+            counts.put("player-connections", (long) server.openConnections());
             counts.put("player-connections-refused", server.counters().connectionsRefused);
-            counts.put("player-messages-refused", server.counters().refused);
-            counts.put("player-connections-timed-out", server.counters().timedOut);
+            counts.put("player-messages-refused", server.counters().messagesRefused);
+            counts.put("player-connections-timed-out", server.counters().connectionsTimedOut);
             counts.put("player-preflights", server.counters().preflights);
             counts.put("player-handler-errors", server.counters().handlerErrors);
-            counts.put("box-messages-malformed", client.counters().refused);
+            counts.put("box-messages-malformed", client.counters().messagesRefused);
             counts.put("box-pool-overflows", client.counters().poolOverflows);
             counts.put("pending-bytes-overflows", loop.counters().pendingOverflows);
             counts.put("mailbox-overflows", loop.counters().mailboxOverflows);
--- a/front/src/main/java/calicovale/front/box/BoxLink.java
+++ b/front/src/main/java/calicovale/front/box/BoxLink.java
@@ -139,7 +139,7 @@
     /** The directory lists the box at another address: a new process. */
     public void address(InetSocketAddress next) {
         if (!next.equals(address)) {
-            client.forget(address);
+            client.closeIdleConnections(address);
             address = next;
             if (news.wanted()) {
                 lost("listed at another address");
@@ -176,7 +176,7 @@
                         }
                         heard.started("http://" + address.getHostString() + ":" + address.getPort() + base, head);
                     } catch (java.io.IOException | IllegalArgumentException e) {
-                        counters.count("box-answers-malformed");
+                        counters.increment("box-answers-malformed");
                         LOG.warn("box {}: a set-up's answer is malformed", id);
                         release(key);
                         heard.failed(Failure.MALFORMED);
@@ -214,7 +214,7 @@
                 MESSAGE_MS,
                 (head, content, failure) -> {
                     if (failure != null) {
-                        counters.count("box-messages-lost");
+                        counters.increment("box-messages-lost");
                     } else if (head.status() >= 400 && refused != null) {
                         refused.run();
                     }
@@ -222,7 +222,7 @@
     }
 
     /** Fetches a lecture's media playlist at a rung. */
-    public void source(String title, int rung, HttpClient.WholeHandler handler) {
+    public void source(String title, int rung, HttpClient.FullResponseHandler handler) {
         client.send(
                 address,
                 name(),
@@ -258,7 +258,7 @@
             brokenAt = nowMs();
         }
         if (failure == Failure.CONNECT_REFUSED) {
-            client.forget(address);
+            client.closeIdleConnections(address);
             lost("nobody listens at its address");
         }
     }
@@ -266,7 +266,7 @@
     private void lost(String why) {
         brokenAt = nowMs();
         incarnation = null;
-        counters.count("boxes-lost");
+        counters.increment("boxes-lost");
         LOG.info("box {}: lost, {}", id, why);
         listener.onLost(this, why);
     }
@@ -276,7 +276,7 @@
         try {
             n = Documents.MAPPER.readTree(data);
         } catch (JsonProcessingException e) {
-            counters.count("box-events-malformed");
+            counters.increment("box-events-malformed");
             return;
         }
         switch (type) {
@@ -284,8 +284,8 @@
                 String process = n.path("incarnation").asText();
                 if (incarnation != null && !incarnation.equals(process)) {
                     // its sessions are lost too: they are missing among those held
-                    counters.count("boxes-restarted");
-                    client.forget(address);
+                    counters.increment("boxes-restarted");
+                    client.closeIdleConnections(address);
                 }
                 incarnation = process;
                 brokenAt = -1;
@@ -311,7 +311,7 @@
                         .properties()
                         .forEach(e ->
                                 listener.onServed(this, e.getKey(), e.getValue().asText()));
-            default -> counters.count("box-events-unknown");
+            default -> counters.increment("box-events-unknown");
         }
     }
 }
--- a/front/src/main/java/calicovale/front/directory/DirectoryLink.java
+++ b/front/src/main/java/calicovale/front/directory/DirectoryLink.java
@@ -156,10 +156,10 @@
                                             .path("nowMs")
                                             .asDouble(Double.NaN));
                         } catch (IOException e) {
-                            counters.count("directory-malformed");
+                            counters.increment("directory-malformed");
                         }
                     } else {
-                        counters.count("clock-readings-lost");
+                        counters.increment("clock-readings-lost");
                     }
                     if (ready != null) {
                         Runnable first = ready;
@@ -183,10 +183,10 @@
         try {
             JsonNode n = Documents.MAPPER.readTree(Files.readString(saved));
             tell(ListScope.SAVED, n);
-            counters.count("saved-lists-used");
+            counters.increment("saved-lists-used");
         } catch (IOException | IllegalArgumentException e) {
             LOG.warn("the kept list {} can't be used: {}", saved, e.getMessage());
-            counters.count("saved-lists-refused");
+            counters.increment("saved-lists-refused");
         }
     }
 
@@ -219,7 +219,7 @@
                 throw new IllegalArgumentException("a box without a number or a loopback address");
             }
             if (!known.containsKey(id) && known.size() >= mostBoxes) {
-                counters.count("boxes-over-bound");
+                counters.increment("boxes-over-bound");
                 continue;
             }
             known.put(id, box);
--- a/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
+++ b/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
@@ -90,7 +90,7 @@
                 });
         if (ledger != null) {
             if (ledger.recovery().bytesCut() > 0) {
-                counters.count("sessions-log-torn");
+                counters.increment("sessions-log-torn");
             }
             LOG.info(
                     "sessions: {} found, {} bytes of a torn tail cut",
@@ -201,7 +201,7 @@
                     loop.execute(() -> {
                         writing = false;
                         if (result == null) {
-                            counters.count("sessions-log-writes");
+                            counters.increment("sessions-log-writes");
                             if (failed) {
                                 LOG.warn("sessions: the disk is written again");
                             }
@@ -226,7 +226,7 @@
     }
 
     private void failed(IOException error, Map<String, Entry> ofEntries, Set<String> ofOver, List<Showing> ofShowings) {
-        counters.count("sessions-log-failed");
+        counters.increment("sessions-log-failed");
         if (!failed) {
             LOG.error("sessions: the disk can't be written, the front goes on without it: {}", error.toString());
         }
--- a/front/src/main/java/calicovale/front/operators/ChangeDesk.java
+++ b/front/src/main/java/calicovale/front/operators/ChangeDesk.java
@@ -113,7 +113,7 @@
                 found.ofSnapshot(),
                 found.bytesCut());
         if (found.bytesCut() > 0) {
-            counters.count("changes-log-torn");
+            counters.increment("changes-log-torn");
         }
     }
 
@@ -206,7 +206,7 @@
         try {
             change = Change.parse(name, text, settings.changeKeys());
         } catch (InvalidDocumentException e) {
-            counters.count("changes-refused");
+            counters.increment("changes-refused");
             reply.refused(422, "Unprocessable Content", e.faults());
             return;
         }
@@ -217,7 +217,7 @@
             return;
         }
         if (!book.accepts(change)) {
-            counters.count("changes-refused");
+            counters.increment("changes-refused");
             reply.refused(
                     409,
                     "Conflict",
@@ -234,7 +234,7 @@
             if (file != null) {
                 byFile.put(file, change.id());
             }
-            counters.count(counts ? "changes-told" : "changes-told-late");
+            counters.increment(counts ? "changes-told" : "changes-told-late");
             LOG.info("change {} told{}", change.id(), counts ? "" : ", it counts after the next start");
             changed.run();
             reply.done(counts, change);
@@ -249,7 +249,7 @@
         keep(reply, () -> store.withdraw(id), () -> {
             book.withdraw(id);
             byFile.values().remove(id);
-            counters.count("changes-withdrawn");
+            counters.increment("changes-withdrawn");
             LOG.info("change {} withdrawn", id);
             changed.run();
             reply.done(true, null);
@@ -275,12 +275,12 @@
             if (kept) {
                 then.run();
             } else {
-                counters.count("changes-log-failed");
+                counters.increment("changes-log-failed");
                 reply.refused(503, "Service Unavailable", List.of("the change could not be kept; nothing was changed"));
             }
         });
         if (!taken) {
-            counters.count("bound-changes-waiting-hit");
+            counters.increment("bound-changes-waiting-hit");
             reply.refused(503, "Service Unavailable", List.of("too much waits for the disk"));
         }
     }
@@ -325,7 +325,7 @@
                 },
                 look -> {
                     if (look == null) {
-                        counters.count("changes-watch-failed");
+                        counters.increment("changes-watch-failed");
                     } else {
                         found(look);
                     }
@@ -338,7 +338,7 @@
 
     private void found(FolderWatch.Look look) {
         for (int i = 0; i < look.overBound(); i++) {
-            counters.count("bound-watched-hit");
+            counters.increment("bound-watched-hit");
         }
         for (String file : look.gone()) {
             String id = byFile.remove(file);
@@ -348,7 +348,7 @@
         }
         for (FolderWatch.Came came : look.came()) {
             if (came.text() == null) {
-                counters.count("changes-refused");
+                counters.increment("changes-refused");
                 LOG.warn("watched {}", came.fault());
                 continue;
             }
--- a/front/src/main/java/calicovale/front/peers/PeerNews.java
+++ b/front/src/main/java/calicovale/front/peers/PeerNews.java
@@ -37,7 +37,7 @@
                 random,
                 settings.bounds().boxes(),
                 (box, strength) -> host.raise(new Suspected(box, strength)));
-        host.onEvent(this::saw);
+        host.setEventListener(this::saw);
     }
 
     /** Joins; the address bound. */
--- a/front/src/main/java/calicovale/front/player/BoxNews.java
+++ b/front/src/main/java/calicovale/front/player/BoxNews.java
@@ -74,7 +74,7 @@
                     default -> null;
                 };
         if (what == null || !(value >= 0) || Double.isInfinite(value)) {
-            counters.count("box-events-malformed");
+            counters.increment("box-events-malformed");
             return;
         }
         Viewing v = table.byId.get(session);
@@ -88,7 +88,7 @@
         if (v == null || v.state != Viewing.State.PLAYING || !v.key().equals(key)) {
             return;
         }
-        counters.count("sessions-ended");
+        counters.increment("sessions-ended");
         LOG.atInfo().addKeyValue("session", v.id).log("ended at box {}: {}", box.id(), reason);
         setUps.leave(v, Outcome.OK, load);
         if (!v.ofPiece) {
--- a/front/src/main/java/calicovale/front/player/PieceHolders.java
+++ b/front/src/main/java/calicovale/front/player/PieceHolders.java
@@ -94,13 +94,13 @@
         while (known.size() > most && oldest.hasNext()) {
             if (oldest.next().state != State.ASKING) {
                 oldest.remove();
-                counters.count("piece-holders-dropped");
+                counters.increment("piece-holders-dropped");
             }
         }
     }
 
     private void ask(BoxLink box, Key key, Known is) {
-        counters.count("piece-holders-asked");
+        counters.increment("piece-holders-asked");
         box.source(key.title(), key.rung(), (head, body, failure) -> {
             is.atMs = nowMs();
             if (failure != null || head.status() != 200 && head.status() != 404) {
--- a/front/src/main/java/calicovale/front/player/PieceSetUps.java
+++ b/front/src/main/java/calicovale/front/player/PieceSetUps.java
@@ -48,7 +48,7 @@
     @Override
     public Viewing place(Viewing beside, String title, Holders holders, Runnable changed) {
         if (table.full() != null) {
-            counters.count("piece-set-ups-held");
+            counters.increment("piece-set-ups-held");
             return null;
         }
         Viewing v = new Viewing(
@@ -90,7 +90,7 @@
         String key = v.key();
         loop.schedule(0, () -> {
             if (v.state == Viewing.State.PLAYING && v.key().equals(key)) {
-                counters.count("piece-rates-told");
+                counters.increment("piece-rates-told");
                 v.box.rung(key, rung, ++v.rungChange);
                 host.raise(new Note(v.id, v.attempt, v.box.id(), NoteKind.RUNG, rung));
             }
--- a/front/src/main/java/calicovale/front/player/PlayerAnswers.java
+++ b/front/src/main/java/calicovale/front/player/PlayerAnswers.java
@@ -24,7 +24,7 @@
 
     /** The final answer to a request that is given up on: at once, with a retry-after. */
     boolean turnAway(Exchange x, String id, double afterMs) {
-        counters.count("refused");
+        counters.increment("refused");
         long seconds = Math.max(1, (long) Math.ceil(afterMs / 1000));
         return x.problem(
                 503,
--- a/front/src/main/java/calicovale/front/player/Programme.java
+++ b/front/src/main/java/calicovale/front/player/Programme.java
@@ -194,7 +194,7 @@
         } else {
             passDone = of;
             passMs = nowMs() - passBeganMs;
-            counters.count("changes-passes");
+            counters.increment("changes-passes");
         }
     }
 
@@ -278,7 +278,7 @@
                 return piece;
             }
             if (piece == null) {
-                counters.count("changes-put-off");
+                counters.increment("changes-put-off");
                 part.passed = segment;
                 return null;
             }
@@ -292,7 +292,7 @@
                 continue;
             }
             if (!book.canShow()) {
-                counters.count("bound-shown-hit");
+                counters.increment("bound-shown-hit");
                 return null;
             }
             note(v, c, facts);
@@ -340,7 +340,7 @@
         part.begun = null;
         part.candidates = part.candidates.stream().filter(x -> x != c).toList();
         part.cookieUntilMs = nowMs() + COOKIE_MS;
-        counters.count("changes-shown");
+        counters.increment("changes-shown");
         tally(c.id()).shown++;
         LOG.atInfo()
                 .addKeyValue("session", v.id)
@@ -352,7 +352,7 @@
         if (!v.part.told.contains(change)) {
             v.part.told = new HashSet<>(v.part.told);
             v.part.told.add(change);
-            counters.count(counter);
+            counters.increment(counter);
             Tally tally = tally(change);
             if (counter.equals("changes-left-out")) {
                 tally.leftOut++;
@@ -413,7 +413,7 @@
         if (now == null
                 || now == Piece.WAIT
                 || now.source().count() != piece.source().count()) {
-            counters.count("changes-cut");
+            counters.increment("changes-cut");
             tally(piece.id()).cut++;
             return null;
         }
@@ -463,7 +463,7 @@
         Viewing[] home = new Viewing[1];
         home[0] = sessions.place(v, c.title(), at, () -> homeChanged(v, c.id(), home[0]));
         if (home[0] != null) {
-            counters.count("piece-set-ups");
+            counters.increment("piece-set-ups");
             part.homes = new HashMap<>(part.homes);
             part.homes.put(c.id(), home[0]);
         }
@@ -480,7 +480,7 @@
             v.part.homes.remove(change);
             if (shows) {
                 // its box is gone or has ended it: what is left of it is left out, the lecture goes on from there
-                counters.count("pieces-lost");
+                counters.increment("pieces-lost");
                 v.playlist.leaveOut(v.source, change, nowMs());
             }
         }
@@ -558,7 +558,7 @@
         part.waiting.add(once);
         loop.schedule(settings.times().stitchWait(), () -> {
             if (!ran[0]) {
-                counters.count("changes-waits-over");
+                counters.increment("changes-waits-over");
                 part.passed = v.playlist.nextSegment();
                 once.run();
             }
@@ -580,7 +580,7 @@
         }
         List<Showing> showings = cookie.read(v.viewer, headers);
         if (showings == null) {
-            counters.count("cookies-refused");
+            counters.increment("cookies-refused");
         } else {
             v.part.showings = showings;
         }
--- a/front/src/main/java/calicovale/front/player/Reloads.java
+++ b/front/src/main/java/calicovale/front/player/Reloads.java
@@ -65,13 +65,13 @@
             }
         }
         if (v == null || v.ofPiece) {
-            counters.count("unknown-sessions");
+            counters.increment("unknown-sessions");
             x.problem(404, "Not Found", "no such session here; ask for the lecture again");
             return;
         }
-        counters.count("reloads");
+        counters.increment("reloads");
         if (Cmcd.of(x.head()).containsKey("bs")) {
-            counters.count("players-starved");
+            counters.increment("players-starved");
             LOG.atInfo().addKeyValue("session", v.id).log("the player's buffer ran empty");
         }
         route(v, x);
@@ -85,10 +85,10 @@
                 if (v.playlist.complete()) {
                     serve(v, x, false);
                 } else if (table.draining || table.pending >= settings.bounds().pending()) {
-                    counters.count(table.draining ? "refused-draining" : "bound-pending-hit");
+                    counters.increment(table.draining ? "refused-draining" : "bound-pending-hit");
                     answers.turnAway(x, null, settings.controller().limits().retryAfterMs());
                 } else {
-                    counters.count("returned");
+                    counters.increment("returned");
                     setUps.place(v, x, false, false, true);
                 }
             }
@@ -102,7 +102,7 @@
             if (now == null && mayFetch) {
                 // what could not be had is not asked for again by this exchange
                 sources.fetch(v.box, v.title, v.rung, () -> {
-                    if (!x.gone()) {
+                    if (!x.peerClosed()) {
                         serve(v, x, false);
                     }
                 });
@@ -113,13 +113,13 @@
             }
         }
         if (v.playlist.runs() == 0) {
-            counters.count("reloads-failed");
+            counters.increment("reloads-failed");
             x.problem(502, "Bad Gateway", "the lecture's playlist can't be had");
         } else if (keeper.covers(v)) {
             give(v, x);
         } else {
             keeper.whenKept(() -> {
-                if (!x.gone()) {
+                if (!x.peerClosed()) {
                     give(v, x);
                 }
             });
@@ -132,7 +132,7 @@
         SessionKeeper.goOn(v, now);
         if (!v.playlist.extend(now, v.rung, v.base + v.rung + "/", nowMs(), programme.stitcher(v))) {
             programme.whenReady(v, () -> {
-                if (!x.gone()) {
+                if (!x.peerClosed()) {
                     route(v, x);
                 }
             });
@@ -159,11 +159,11 @@
         Viewing v = table.byToken.get(token);
         Piece piece = v == null ? null : v.playlist.planned(change);
         if (piece == null) {
-            counters.count("not-found");
+            counters.increment("not-found");
             x.problem(404, "Not Found", "no such piece in a session here");
             return;
         }
-        counters.count("pieces-given");
+        counters.increment("pieces-given");
         x.respond(
                 200,
                 PlayerAnswers.named(v.id).add("Content-Type", PlayerAnswers.HLS).add("Cache-Control", "no-store"),
--- a/front/src/main/java/calicovale/front/player/SessionKeeper.java
+++ b/front/src/main/java/calicovale/front/player/SessionKeeper.java
@@ -49,7 +49,7 @@
         rest.forEach(ledger::over);
         found.clear();
         if (!rest.isEmpty()) {
-            counters.count("sessions-not-back");
+            counters.increment("sessions-not-back");
         }
     }
 
@@ -126,7 +126,7 @@
         ledger.whenKept(once);
         loop.schedule(settings.times().stitchWait(), () -> {
             if (!ran[0]) {
-                counters.count("sessions-log-behind");
+                counters.increment("sessions-log-behind");
                 once.run();
             }
         });
@@ -156,7 +156,7 @@
         v.returning = true;
         v.state = Viewing.State.LOST;
         v.backAfterMs = Math.max(0, foundAliveMs - e.atMs());
-        counters.count("sessions-back");
+        counters.increment("sessions-back");
         return v;
     }
 
--- a/front/src/main/java/calicovale/front/player/SessionManager.java
+++ b/front/src/main/java/calicovale/front/player/SessionManager.java
@@ -139,7 +139,7 @@
         } else if (path.equals("/v1/status") && reads) {
             status(x);
         } else {
-            counters.count("not-found");
+            counters.increment("not-found");
             x.problem(404, "Not Found", "no such resource");
         }
     }
@@ -155,13 +155,13 @@
 
     private void first(Exchange x, String title) {
         HttpHead head = x.head();
-        String className = head.query("class");
+        String className = head.queryParameter("class");
         int c = className == null ? -1 : settings.classNames().indexOf(className);
-        String named = head.query("viewer");
+        String named = head.queryParameter("viewer");
         String viewer = named != null ? named : Cmcd.of(head).getOrDefault("sid", "");
         boolean tooLong = viewer.length() > MOST_VIEWER_CHARS;
         if (c < 0 || tooLong || !title.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,99}")) {
-            counters.count("bad-requests");
+            counters.increment("bad-requests");
             x.problem(
                     400,
                     "Bad Request",
@@ -176,30 +176,30 @@
         int top;
         double wait;
         try {
-            String topText = head.query("top");
+            String topText = head.queryParameter("top");
             top = topText == null ? k.highestRung() : Integer.parseInt(topText);
-            String waitText = head.query("wait");
+            String waitText = head.queryParameter("wait");
             wait = waitText == null ? k.deadlineMs() : Math.min(k.deadlineMs(), Integer.parseInt(waitText));
         } catch (NumberFormatException e) {
-            counters.count("bad-requests");
+            counters.increment("bad-requests");
             x.problem(400, "Bad Request", "top and wait: whole numbers are expected");
             return;
         }
         if (top < k.lowestRung()) {
-            counters.count("bad-requests");
+            counters.increment("bad-requests");
             x.problem(400, "Bad Request", "top: at least " + k.lowestRung() + " is expected for this class");
             return;
         }
-        String tenant = head.query("tenant");
+        String tenant = head.queryParameter("tenant");
         int t = tenant == null ? 0 : settings.tenantNames().indexOf(tenant);
         if (t < 0) {
-            counters.count("bad-requests");
+            counters.increment("bad-requests");
             x.problem(400, "Bad Request", "tenant: unknown");
             return;
         }
         String full = table.full();
         if (full != null) {
-            counters.count(full);
+            counters.increment(full);
             answers.turnAway(x, null, settings.controller().limits().retryAfterMs());
             return;
         }
@@ -212,23 +212,23 @@
                 top,
                 wait,
                 new SessionPlaylist(settings.playlist(), nowMs(), host.nowMs()));
-        v.returning = head.query("returning") != null;
+        v.returning = head.queryParameter("returning") != null;
         v.interstitials = switch (settings.interstitials()) {
             case NEVER -> false;
-            case ASKED -> head.query("interstitials") != null;
+            case ASKED -> head.queryParameter("interstitials") != null;
             case ALWAYS -> true;
         };
-        programme.cookies(v, head.headers().all("Cookie"));
+        programme.cookies(v, head.headers().getAll("Cookie"));
         table.byToken.put(v.token, v);
-        counters.count("requests-taken");
-        setUps.place(v, x, head.query("retry") != null, false, v.returning);
+        counters.increment("requests-taken");
+        setUps.place(v, x, head.queryParameter("retry") != null, false, v.returning);
     }
 
     private void status(Exchange x) {
         ObjectNode n = Documents.MAPPER.createObjectNode();
         n.put("sessions", table.byToken.size()).put("pending", table.pending);
         ObjectNode counts = n.putObject("counters");
-        counters.all().forEach(counts::put);
+        counters.snapshot().forEach(counts::put);
         wireCounts.get().forEach(counts::put);
         x.respond(200, "application/json", n.toString());
     }
--- a/front/src/main/java/calicovale/front/player/SetUps.java
+++ b/front/src/main/java/calicovale/front/player/SetUps.java
@@ -31,7 +31,7 @@
  * it carries out what the controller answers, and gives each exchange that waits one answer, the controller's or the
  * deadline's.
  */
-final class SetUps implements ControllerHost.Carrier {
+final class SetUps implements ControllerHost.ActionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SetUps.class);
     private final EventLoop loop;
     private final FrontSettings settings;
@@ -114,8 +114,8 @@
     /** An exchange is answered by what comes of the present placing. */
     void await(Viewing v, Exchange x) {
         v.waiting.add(x);
-        x.onGone(() -> {
-            if (v.state == Viewing.State.PLACING && v.waiting.stream().allMatch(Exchange::gone)) {
+        x.onPeerClosed(() -> {
+            if (v.state == Viewing.State.PLACING && v.waiting.stream().allMatch(Exchange::peerClosed)) {
                 depart(v);
             }
         });
@@ -127,7 +127,7 @@
             return;
         }
         v.departed = true;
-        counters.count("departed");
+        counters.increment("departed");
         LOG.atInfo().addKeyValue("session", v.id).log("the viewer left before the answer");
         // with an attempt out the controller calls it off, or it ends by itself: the request stays known until then
         host.raise(new Departed(v.id));
@@ -140,7 +140,7 @@
         if (v.state != Viewing.State.PLACING || !v.id.equals(id) || v.departed) {
             return;
         }
-        counters.count("overdue");
+        counters.increment("overdue");
         v.departed = true;
         answerAll(v, x -> x.problem(504, PlayerAnswers.named(id), "Gateway Timeout", "no box answered in time", ""));
         host.raise(new Departed(v.id));
@@ -158,7 +158,7 @@
         List<Exchange> all = new ArrayList<>(v.waiting);
         v.waiting.clear();
         for (Exchange x : all) {
-            if (!x.gone()) {
+            if (!x.peerClosed()) {
                 any |= answer.to(x);
             }
         }
@@ -172,7 +172,7 @@
         v.attempt++;
         v.box = box;
         v.attemptAtMs = nowMs();
-        counters.count("attempts");
+        counters.increment("attempts");
         int attempt = v.attempt;
         if (box == null) {
             loop.schedule(0, () -> ended(v, id, attempt, server, Outcome.CONNECT_FAILED, Map.of()));
@@ -211,7 +211,7 @@
                             case MALFORMED -> Outcome.ERROR;
                             case CANCELLED -> Outcome.CANCELLED;
                         };
-                if (!outcome.provesUnrun()) {
+                if (!outcome.provesNeverRan()) {
                     // it may have been started: the box lets it go now, or at the end of its lease
                     box.release(id + "." + attempt);
                 }
@@ -224,7 +224,7 @@
         double elapsed = nowMs() - v.attemptAtMs;
         boolean wanted = !v.departed && v.state == Viewing.State.PLACING && v.id.equals(id);
         boolean background = wanted && v.waiting.isEmpty() && v.given;
-        if (!wanted || !background && v.waiting.stream().allMatch(Exchange::gone)) {
+        if (!wanted || !background && v.waiting.stream().allMatch(Exchange::peerClosed)) {
             letGo(v, id, attempt, box, elapsed);
             return;
         }
@@ -261,7 +261,7 @@
             return;
         }
         v.given = true;
-        counters.count("played");
+        counters.increment("played");
         LOG.atInfo()
                 .addKeyValue("session", id)
                 .log("plays at box {}, rung {}, after {} ms", box.id(), v.rung, Math.round(elapsed));
@@ -269,7 +269,7 @@
 
     /** A set-up came to play that nobody waits for. */
     private void letGo(Viewing v, String id, int attempt, BoxLink box, double elapsed) {
-        counters.count("let-go");
+        counters.increment("let-go");
         box.release(id + "." + attempt);
         host.raise(new AttemptEnded(id, attempt, box.id(), Outcome.OK, elapsed, true, Map.of()));
         if (v.state == Viewing.State.PLACING && v.id.equals(id)) {
@@ -284,7 +284,7 @@
             v.call = null;
             v.timedOut = outcome == Outcome.TIMEOUT;
         }
-        counters.count(
+        counters.increment(
                 "attempts-" + outcome.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
         LOG.atInfo().addKeyValue("session", id).log("set-up {} at box {} ended: {}", attempt, server, outcome);
         boolean closed = v.departed || !present;
@@ -311,7 +311,7 @@
         v.rung = rung;
         if (v.state == Viewing.State.PLAYING) {
             programme.takesAnew(v);
-            counters.count("rung-changes");
+            counters.increment("rung-changes");
             v.box.rung(v.key(), rung, ++v.rungChange);
             LOG.atInfo().addKeyValue("session", id).log("rung {}", rung);
         }
@@ -323,7 +323,7 @@
         if (v == null || v.state != Viewing.State.PLAYING) {
             return;
         }
-        counters.count("moves");
+        counters.increment("moves");
         v.box.release(v.key());
         boolean piece = v.ofPiece;
         leave(v, Outcome.OK, Map.of());
@@ -349,7 +349,7 @@
         if (v == null) {
             return;
         }
-        counters.count("failed");
+        counters.increment("failed");
         LOG.atInfo().addKeyValue("session", id).log("failed");
         int status = v.timedOut ? 504 : 502;
         answerAll(
@@ -384,7 +384,7 @@
 
     /** Its box, or what it held there, is gone: the player's next reload is a new request. */
     void lose(Viewing v, String why) {
-        counters.count("sessions-lost");
+        counters.increment("sessions-lost");
         LOG.atInfo().addKeyValue("session", v.id).log("lost at box {}: {}", v.box.id(), why);
         leave(v, Outcome.RESET, Map.of());
     }
--- a/front/src/main/java/calicovale/front/player/SourceCache.java
+++ b/front/src/main/java/calicovale/front/player/SourceCache.java
@@ -43,7 +43,7 @@
         count += all[rung] == null ? 1 : 0;
         all[rung] = source;
         while (count > most && kept.size() > 1) {
-            counters.count("sources-dropped");
+            counters.increment("sources-dropped");
             var least = kept.entrySet().iterator();
             count -= (int) Arrays.stream(least.next().getValue())
                     .filter(Objects::nonNull)
@@ -59,7 +59,7 @@
 
     /** Tells of a playlist that was no good. */
     void refused(BoxLink box, String title, int rung, HlsException e) {
-        counters.count("sources-malformed");
+        counters.increment("sources-malformed");
         LOG.warn("box {}: the playlist of {} at rung {} is refused: {}", box.id(), title, rung, e.getMessage());
     }
 
@@ -72,7 +72,7 @@
             return;
         }
         fetching.put(key, new ArrayList<>(List.of(done)));
-        counters.count("sources-fetched");
+        counters.increment("sources-fetched");
         box.source(title, rung, (head, body, failure) -> {
             if (failure == null && head.status() == 200) {
                 try {
@@ -81,7 +81,7 @@
                     refused(box, title, rung, e);
                 }
             } else {
-                counters.count("sources-missed");
+                counters.increment("sources-missed");
             }
             fetching.remove(key).forEach(Runnable::run);
         });
--- a/front/src/main/java/calicovale/front/playlist/Piece.java
+++ b/front/src/main/java/calicovale/front/playlist/Piece.java
@@ -67,24 +67,24 @@
      */
     String dateRange(double dateMs, long number, double fromS, double listedS) {
         Attributes range = range("org.calicovale.change", dateMs, number)
-                .set("PLANNED-DURATION", seconds(source.lengthS() - fromS));
-        return line(listedS < 0 ? range : range.set("DURATION", seconds(listedS)));
+                .setUnquoted("PLANNED-DURATION", seconds(source.lengthS() - fromS));
+        return line(listedS < 0 ? range : range.setUnquoted("DURATION", seconds(listedS)));
     }
 
     /** The EXT-X-DATERANGE line by which a player plays it as an interstitial, in place of so many seconds. */
     String interstitial(double dateMs, long number, double replacedS) {
         return line(range("com.apple.hls.interstitial", dateMs, number)
-                .set("DURATION", seconds(source.lengthS()))
-                .quoted("X-ASSET-URI", asset)
-                .set("X-RESUME-OFFSET", seconds(replacedS))
-                .quoted("X-RESTRICT", "SKIP,JUMP"));
+                .setUnquoted("DURATION", seconds(source.lengthS()))
+                .setQuoted("X-ASSET-URI", asset)
+                .setUnquoted("X-RESUME-OFFSET", seconds(replacedS))
+                .setQuoted("X-RESTRICT", "SKIP,JUMP"));
     }
 
     private Attributes range(String kind, double dateMs, long number) {
         return new Attributes()
-                .quoted("ID", id + "-" + number)
-                .quoted("CLASS", kind)
-                .quoted("START-DATE", date(dateMs));
+                .setQuoted("ID", id + "-" + number)
+                .setQuoted("CLASS", kind)
+                .setQuoted("START-DATE", date(dateMs));
     }
 
     private static String line(Attributes range) {
--- a/front/src/main/java/calicovale/front/playlist/Source.java
+++ b/front/src/main/java/calicovale/front/playlist/Source.java
@@ -43,7 +43,7 @@
     /** Reads a box's media playlist. */
     public static Source parse(String text) throws HlsException {
         Playlist playlist = Playlist.parse(text);
-        if (playlist.multivariant() || playlist.entries().isEmpty()) {
+        if (playlist.isMultivariant() || playlist.entries().isEmpty()) {
             throw new HlsException(1, "a media playlist with segments is expected");
         }
         int count = playlist.entries().size();
@@ -61,12 +61,12 @@
             StringBuilder lines = new StringBuilder();
             boolean broken = false;
             for (Playlist.Line line : entry.lines()) {
-                switch (line.tag() ? line.name() : "") {
+                switch (line.isTag() ? line.name() : "") {
                     case "EXT-X-KEY" -> told.add(Attributes.parse(line.value(), 1));
                     case "EXT-X-MAP" -> map = Attributes.parse(line.value(), 1);
                     case "EXT-X-DISCONTINUITY" -> broken = i > 0;
                     default -> {
-                        if (!line.tag() || !REWRITTEN.contains(line.name())) {
+                        if (!line.isTag() || !REWRITTEN.contains(line.name())) {
                             lines.append(line).append('\n');
                         }
                     }
@@ -94,8 +94,8 @@
                     explicit(keys, first + i),
                     map,
                     broken));
-            starts[i + 1] = starts[i] + entry.duration();
-            longest = Math.max(longest, entry.duration());
+            starts[i + 1] = starts[i] + entry.durationSeconds();
+            longest = Math.max(longest, entry.durationSeconds());
         }
         return new Source(
                 List.copyOf(segments),
@@ -123,7 +123,7 @@
         List<Attributes> result = new ArrayList<>(keys.size());
         for (Attributes key : keys) {
             boolean implied = "AES-128".equals(key.get("METHOD")) && key.get("IV") == null;
-            result.add(implied ? key.copy().set("IV", String.format(Locale.ROOT, "0x%032X", sequence)) : key);
+            result.add(implied ? key.copy().setUnquoted("IV", String.format(Locale.ROOT, "0x%032X", sequence)) : key);
         }
         return result;
     }
@@ -197,7 +197,7 @@
 
     private static Attributes below(Attributes of, String base) {
         String uri = of.get("URI");
-        return uri == null ? of : of.copy().quoted("URI", resolve(base, uri));
+        return uri == null ? of : of.copy().setQuoted("URI", resolve(base, uri));
     }
 
     /** A URI reference (RFC 3986, 5.2) of the kinds that boxes write: absolute, from the root, or below the base. */
--- a/front/src/main/java/calicovale/front/settings/FrontSettings.java
+++ b/front/src/main/java/calicovale/front/settings/FrontSettings.java
@@ -248,7 +248,7 @@
         } catch (IllegalArgumentException e) {
             faults.add(name + ": /changeKeys/" + e.getMessage());
         }
-        CrossOrigin crossOrigin = CrossOrigin.NOBODY;
+        CrossOrigin crossOrigin = CrossOrigin.DISABLED;
         try {
             crossOrigin = crossOrigin(n.path("crossOrigin"));
         } catch (IllegalArgumentException e) {
--- a/front/src/main/java/calicovale/front/stream/HeldStream.java
+++ b/front/src/main/java/calicovale/front/stream/HeldStream.java
@@ -83,7 +83,7 @@
     }
 
     private void count(String what) {
-        counters.count(name.replaceAll(":.*", "") + "-streams-" + what);
+        counters.increment(name.replaceAll(":.*", "") + "-streams-" + what);
     }
 
     /** Whether it is wanted. */
@@ -93,7 +93,7 @@
 
     /** Tries that failed since {@link #good()}. */
     public int failures() {
-        return backoff.failures();
+        return backoff.failedAttempts();
     }
 
     /** Wants it from now on. */
@@ -210,7 +210,7 @@
         count("broken");
         listener.onBroken(failure);
         if (wanted && retry == null) {
-            retry = loop.schedule(backoff.nextMs(), () -> {
+            retry = loop.schedule(backoff.nextDelayMs(), () -> {
                 retry = null;
                 if (wanted && call == null) {
                     open();
--- a/front/src/test/java/calicovale/front/CommonClockTest.java
+++ b/front/src/test/java/calicovale/front/CommonClockTest.java
@@ -58,14 +58,14 @@
         Backoff backoff = new Backoff(100, 1000, new SplittableRandom(1));
         double sum = 0;
         for (int i = 0; i < 20; i++) {
-            double wait = backoff.nextMs();
+            double wait = backoff.nextDelayMs();
             double length = Math.min(1000, 100 * Math.pow(2, i));
             assertTrue(wait >= length / 2 && wait <= length, "wait " + i + " is " + wait);
             sum += i >= 10 ? wait : 0;
         }
         assertTrue(sum > 5100 && sum < 9900, "no spread: " + sum);
-        assertEquals(20, backoff.failures());
+        assertEquals(20, backoff.failedAttempts());
         backoff.reset();
-        assertTrue(backoff.nextMs() <= 100);
+        assertTrue(backoff.nextDelayMs() <= 100);
     }
 }
--- a/front/src/test/java/calicovale/front/SessionPlaylistTest.java
+++ b/front/src/test/java/calicovale/front/SessionPlaylistTest.java
@@ -59,9 +59,9 @@
                 later.entries().stream().map(Playlist.Entry::uri).toList());
         assertTrue(later.entries().get(0).has("EXT-X-MAP"), "the window's first segment needs its map");
         assertEquals("2", later.entries().get(0).value("EXT-X-VENDOR"));
-        assertFalse(later.ended());
+        assertFalse(later.isEnded());
         p.extend(source, 3, "http://a/3/", 60_000);
-        assertTrue(Playlist.parse(p.render()).ended());
+        assertTrue(Playlist.parse(p.render()).isEnded());
     }
 
     @Test
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -19,9 +19,9 @@
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.keys.Ed25519;
 import calicovale.protocols.net.Connection;
-import calicovale.protocols.net.Datagrams;
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.net.Timer;
+import calicovale.protocols.net.UdpSocket;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -90,7 +90,7 @@
     private Membership membership;
     private ClaimBook statementStore;
     private Judge claimEvaluator;
-    private Datagrams datagrams;
+    private UdpSocket datagrams;
     private EventLoop.Listener connectionListener;
     private String localAddress;
     private NetworkConditions networkConditions = NetworkConditions.NO_FAULTS;
@@ -139,7 +139,7 @@
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: a readable folder is expected"));
         }
         applyRoster(List.of());
-        if (roster.find(Ed25519.id(keyPair.publicKey()), loop.clock().millis()) == null) {
+        if (roster.find(Ed25519.keyId(keyPair.publicKey()), loop.clock().millis()) == null) {
             throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: "
                     + (settings.authority() == null ? "the key" : "a certificate, in force, of the key") + " of "
                     + settings.member() + " is expected"));
@@ -204,7 +204,7 @@
      */
     private InetSocketAddress bind() throws IOException {
         for (int attempt = 1; ; attempt++) {
-            datagrams = loop.datagrams(settings.listen(), this::onDatagram);
+            datagrams = loop.bindUdp(settings.listen(), this::onDatagram);
             InetSocketAddress bound = datagrams.address();
             try {
                 connectionListener = loop.listen(bound, CONNECTION, this::accept);
@@ -292,7 +292,7 @@
         }
         if (newPair != null && !Arrays.equals(newPair.publicKey(), keyPair.publicKey())) {
             if (!newPair.member().equals(settings.member())
-                    || roster.find(Ed25519.id(newPair.publicKey()), wallMs()) == null
+                    || roster.find(Ed25519.keyId(newPair.publicKey()), wallMs()) == null
                             && (!roster.usesCertificates() || ownCertificate(newPair.publicKey()) == null)) {
                 count("keys-not-listed");
                 LOG.warn(
@@ -687,7 +687,7 @@
         }
 
         private void onFrame(Connection connection) {
-            InetSocketAddress remote = connection.remote();
+            InetSocketAddress remote = connection.remoteAddress();
             count("received");
             Envelopes.Opened opened = remote == null
                     ? null
--- a/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
+++ b/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
@@ -39,7 +39,7 @@
      * the roster.
      */
     public static List<String> make(String member) throws GeneralSecurityException {
-        Ed25519.Pair pair = Ed25519.Pair.make();
+        Ed25519.TextKeyPair pair = Ed25519.TextKeyPair.generate();
         return List.of(
                 toJson(
                         "schema",
@@ -102,13 +102,13 @@
                 "member",
                 member,
                 "key",
-                Ed25519.text(key),
+                Ed25519.toBase64Url(key),
                 "fromMs",
                 fromMs,
                 "untilMs",
                 untilMs,
                 "signature",
-                Ed25519.text(certificate.signature()));
+                Ed25519.toBase64Url(certificate.signature()));
     }
 
     /** Parses a certificate; its signature is verified by the roster. */
@@ -129,7 +129,7 @@
 
     /** Returns the document of a revocation; {@code authority} is null in a group without an operators' key. */
     public static String revocation(PrivateKey authority, byte[] key) {
-        String text = Ed25519.text(key);
+        String text = Ed25519.toBase64Url(key);
         return authority == null
                 ? toJson("schema", "calicovale/revocation/1", "key", text)
                 : toJson(
@@ -138,7 +138,7 @@
                         "key",
                         text,
                         "signature",
-                        Ed25519.text(Ed25519.sign(authority, revocationBytes(text))));
+                        Ed25519.toBase64Url(Ed25519.sign(authority, revocationBytes(text))));
     }
 
     /**
@@ -155,6 +155,6 @@
                                 revocationBytes(document.get("key").asText())))) {
             throw new InvalidDocumentException(List.of(name + ": /signature: the operators' signature is expected"));
         }
-        return Ed25519.id(decodeBytes(document, "key"));
+        return Ed25519.keyId(decodeBytes(document, "key"));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Certificate.java
@@ -58,12 +58,12 @@
         int idLength = bytes.length == 0 ? 0 : bytes[0];
         if (idLength <= 0
                 || idLength > MAX_MEMBER_ID_BYTES
-                || bytes.length != 1 + idLength + Ed25519.KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
+                || bytes.length != 1 + idLength + Ed25519.PUBLIC_KEY_BYTES + 16 + Ed25519.SIGNATURE_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
         byte[] idBytes = new byte[idLength];
-        byte[] key = new byte[Ed25519.KEY_BYTES];
+        byte[] key = new byte[Ed25519.PUBLIC_KEY_BYTES];
         byte[] signature = new byte[Ed25519.SIGNATURE_BYTES];
         in.get(idBytes).get(key);
         long fromMs = in.getLong();
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -173,7 +173,7 @@
             }
             Certificate certificate = Certificate.decode(
                     Arrays.copyOfRange(bytes, CERTIFICATE_OFFSET, CERTIFICATE_OFFSET + certificateLength));
-            entry = certificate != null && Ed25519.id(certificate.key()) == keyId && roster.admit(certificate)
+            entry = certificate != null && Ed25519.keyId(certificate.key()) == keyId && roster.admit(certificate)
                     ? roster.find(keyId, wallMs)
                     : null;
             if (entry == null) {
--- a/gossip/src/main/java/calicovale/gossip/wire/Roster.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Roster.java
@@ -44,7 +44,7 @@
     public void replaceListed(Collection<Entry> keys, Collection<Certificate> certificates, Set<Long> revokedIds) {
         Map<Long, Entry> next = new HashMap<>();
         if (authority == null) {
-            keys.forEach(entry -> next.put(Ed25519.id(Ed25519.raw(entry.key())), entry));
+            keys.forEach(entry -> next.put(Ed25519.keyId(Ed25519.rawPublicKey(entry.key())), entry));
         }
         listed = next;
         revoked = new HashSet<>(revokedIds);
@@ -57,7 +57,7 @@
      * many.
      */
     public boolean admit(Certificate certificate) {
-        long id = Ed25519.id(certificate.key());
+        long id = Ed25519.keyId(certificate.key());
         if (authority == null || revoked.contains(id)) {
             return false;
         }
--- a/gossip/src/main/java/calicovale/gossip/wire/Signer.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Signer.java
@@ -34,7 +34,7 @@
     /** Replaces the key in use. */
     public void replaceKey(PrivateKey newKey, byte[] publicKey, Certificate keyCertificate) {
         key = newKey;
-        keyId = Ed25519.id(publicKey);
+        keyId = Ed25519.keyId(publicKey);
         certificate = keyCertificate == null ? new byte[0] : keyCertificate.encode();
         if (keyCertificate != null) {
             roster.admit(keyCertificate);
@@ -75,7 +75,7 @@
                     Certificate.decode(Arrays.copyOfRange(proof, 8 + Ed25519.SIGNATURE_BYTES, proof.length));
             if (carried != null
                     && carried.member().equals(reporter)
-                    && Ed25519.id(carried.key()) == signingKeyId
+                    && Ed25519.keyId(carried.key()) == signingKeyId
                     && roster.admit(carried)) {
                 entry = roster.find(signingKeyId, wallMs.getAsDouble());
             }
--- a/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
+++ b/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
@@ -34,12 +34,12 @@
 
     /** Keys and envelopes of one member. */
     private static final class TestMember {
-        final Ed25519.Pair pair;
+        final Ed25519.TextKeyPair pair;
         final Roster roster;
         final Signer signer;
         final Envelopes envelopes;
 
-        TestMember(String group, Ed25519.Pair pair, long epoch, List<Roster.Entry> allowed) {
+        TestMember(String group, Ed25519.TextKeyPair pair, long epoch, List<Roster.Entry> allowed) {
             this.pair = pair;
             roster = new Roster(group, null, 100);
             roster.replaceListed(allowed, List.of(), Set.of());
@@ -47,7 +47,7 @@
                     roster,
                     () -> WALL_MS,
                     Ed25519.privateKey(pair.privateKey()),
-                    Ed25519.raw(Ed25519.publicKey(pair.publicKey())),
+                    Ed25519.rawPublicKey(Ed25519.publicKey(pair.publicKey())),
                     null);
             envelopes = new Envelopes(roster, signer, LIMITS, epoch, 0);
         }
@@ -57,20 +57,20 @@
         }
     }
 
-    private static Ed25519.Pair pair() {
+    private static Ed25519.TextKeyPair pair() {
         try {
-            return Ed25519.Pair.make();
+            return Ed25519.TextKeyPair.generate();
         } catch (java.security.GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Roster.Entry entry(String member, Ed25519.Pair pair) {
+    private static Roster.Entry entry(String member, Ed25519.TextKeyPair pair) {
         return new Roster.Entry(member, Ed25519.publicKey(pair.publicKey()), 0, Double.MAX_VALUE);
     }
 
-    private final Ed25519.Pair keyA = pair();
-    private final Ed25519.Pair keyB = pair();
+    private final Ed25519.TextKeyPair keyA = pair();
+    private final Ed25519.TextKeyPair keyB = pair();
     private final List<Roster.Entry> both = List.of(entry("a", keyA), entry("b", keyB));
     private final TestMember a = new TestMember("g", keyA, 100, both);
     private final TestMember b = new TestMember("g", keyB, 100, both);
@@ -292,19 +292,19 @@
 
     @Test
     void aKeyIsReplacedWhileTheOldOneIsValidAndARevokedKeyIsRejected() {
-        Ed25519.Pair next = pair();
+        Ed25519.TextKeyPair next = pair();
         b.roster.replaceListed(List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
         byte[] old = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         assertNotNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", old, old.length));
         a.signer.replaceKey(
-                Ed25519.privateKey(next.privateKey()), Ed25519.raw(Ed25519.publicKey(next.publicKey())), null);
+                Ed25519.privateKey(next.privateKey()), Ed25519.rawPublicKey(Ed25519.publicKey(next.publicKey())), null);
         byte[] renewed = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         assertEquals(
                 "a",
                 b.envelopes
                         .open(0, WALL_MS, "b:1", "a:1", renewed, renewed.length)
                         .sender());
-        long id = Ed25519.id(Ed25519.raw(Ed25519.publicKey(next.publicKey())));
+        long id = Ed25519.keyId(Ed25519.rawPublicKey(Ed25519.publicKey(next.publicKey())));
         b.roster.replaceListed(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
         byte[] revoked = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", revoked, revoked.length));
@@ -313,9 +313,9 @@
 
     @Test
     void onlyACertificateOfTheAuthorityGroupAndTimeAdmitsAMember() {
-        Ed25519.Pair authority = pair();
+        Ed25519.TextKeyPair authority = pair();
         PrivateKey authorityKey = Ed25519.privateKey(authority.privateKey());
-        byte[] rawA = Ed25519.raw(Ed25519.publicKey(keyA.publicKey()));
+        byte[] rawA = Ed25519.rawPublicKey(Ed25519.publicKey(keyA.publicKey()));
         Certificate good = Certificate.sign(authorityKey, "g", "a", rawA, 0, (long) WALL_MS + 1000);
         Certificate selfSigned =
                 Certificate.sign(Ed25519.privateKey(keyA.privateKey()), "g", "a", rawA, 0, Long.MAX_VALUE);
@@ -336,7 +336,7 @@
             assertEquals(certificate == good, receiver.open(0, WALL_MS, "b:1", "a:1", later, later.length) != null);
             if (certificate == good) {
                 assertNull(receiver.open(0, WALL_MS + 1000, "b:1", "a:1", bare, bare.length), "its time is over");
-                roster.replaceListed(List.of(), List.of(), Set.of(Ed25519.id(rawA)));
+                roster.replaceListed(List.of(), List.of(), Set.of(Ed25519.keyId(rawA)));
                 assertNull(receiver.open(
                         0, WALL_MS, "b:1", "a:1", sender.seal(WALL_MS, "b:1", new byte[] {1}, true), certified.length));
                 assertFalse(roster.admit(good), "revoked");
--- a/host/src/main/java/calicovale/host/Backoff.java
+++ b/host/src/main/java/calicovale/host/Backoff.java
@@ -30,7 +30,7 @@
      * half and the whole of the current upper bound, so that callers whose attempts failed at the same time do not
      * retry at the same time.
      */
-    public double nextMs() {
+    public double nextDelayMs() {
         // caps the exponent, so that the power stays finite however many attempts have failed
         double delayMs = Math.min(maxDelayMs, initialDelayMs * Math.pow(2, Math.min(30, failures)));
         failures++;
@@ -43,7 +43,7 @@
     }
 
     /** Returns the number of failed attempts since the peer was last reached. */
-    public int failures() {
+    public int failedAttempts() {
         return failures;
     }
 }
--- a/host/src/main/java/calicovale/host/ControllerHost.java
+++ b/host/src/main/java/calicovale/host/ControllerHost.java
@@ -40,7 +40,7 @@
             Scheduler scheduler,
             Settings settings,
             long seed,
-            Carrier actionHandler) {
+            ActionHandler actionHandler) {
         this.clockMs = clockMs;
         this.monotonicNanos = monotonicNanos;
         handlingEvent = true;
@@ -113,7 +113,7 @@
     }
 
     /** Carries out the controller's actions; see {@link Actions}. No method may block. */
-    public interface Carrier {
+    public interface ActionHandler {
         /** Sets up a session at a server; the attempt is cancelled after {@code timeoutMs} ms. */
         void attempt(String id, long server, double timeoutMs);
 
@@ -152,7 +152,7 @@
     }
 
     /** Sets the listener that receives each event after the controller has handled it. */
-    public void onEvent(Consumer<Event> listener) {
+    public void setEventListener(Consumer<Event> listener) {
         eventListener = listener;
     }
 
--- a/host/src/main/java/calicovale/host/Counters.java
+++ b/host/src/main/java/calicovale/host/Counters.java
@@ -8,7 +8,7 @@
     private final Map<String, long[]> counts = new LinkedHashMap<>();
 
     /** Adds one to a counter, which starts at 0. */
-    public void count(String name) {
+    public void increment(String name) {
         counts.computeIfAbsent(name, n -> new long[1])[0]++;
     }
 
@@ -19,7 +19,7 @@
     }
 
     /** Returns a copy of all counters, in the order in which each was first incremented. */
-    public Map<String, Long> all() {
+    public Map<String, Long> snapshot() {
         Map<String, Long> result = new LinkedHashMap<>();
         counts.forEach((name, count) -> result.put(name, count[0]));
         return result;
--- a/host/src/main/java/calicovale/host/Values.java
+++ b/host/src/main/java/calicovale/host/KeyedValues.java
@@ -4,19 +4,19 @@
 
 /**
  * Typed access to text values by key. Keys that are never read are ignored. An invalid value is reported to
- * {@link #fault(String)}, which throws unless a subclass collects the messages.
+ * {@link #reportFault(String)}, which throws unless a subclass collects the messages.
  */
-public class Values {
+public class KeyedValues {
     private final Map<String, String> values;
 
     /** Reads from {@code values}, which is not copied. */
-    public Values(Map<String, String> values) {
+    public KeyedValues(Map<String, String> values) {
         this.values = values;
     }
 
     /** Reports an invalid value. If this returns normally, the value is read as empty, false or 0. */
-    protected void fault(String message) throws BadValueException {
-        throw new BadValueException(message);
+    protected void reportFault(String message) throws InvalidValueException {
+        throw new InvalidValueException(message);
     }
 
     /** Returns whether the key has a value that is not empty. */
@@ -26,9 +26,9 @@
     }
 
     /** Returns a required text; empty after a reported fault. */
-    public String text(String key) throws BadValueException {
+    public String text(String key) throws InvalidValueException {
         if (!has(key)) {
-            fault("'" + key + "' is missing");
+            reportFault("'" + key + "' is missing");
         }
         return values.getOrDefault(key, "");
     }
@@ -39,28 +39,28 @@
     }
 
     /** Returns a required finite number. */
-    public double number(String key) throws BadValueException {
+    public double number(String key) throws InvalidValueException {
         String value = text(key);
         return value.isEmpty() ? 0 : parseNumber(key, value);
     }
 
     /** Returns a finite number, or {@code defaultValue} if it is missing. */
-    public double number(String key, double defaultValue) throws BadValueException {
+    public double number(String key, double defaultValue) throws InvalidValueException {
         return has(key) ? parseNumber(key, values.get(key)) : defaultValue;
     }
 
     /** Returns a required whole number from 0. */
-    public int integer(String key) throws BadValueException {
+    public int nonNegativeInt(String key) throws InvalidValueException {
         return toNonNegativeInt(key, number(key));
     }
 
     /** Returns a whole number from 0, or {@code defaultValue} if it is missing. */
-    public int integer(String key, int defaultValue) throws BadValueException {
+    public int nonNegativeInt(String key, int defaultValue) throws InvalidValueException {
         return has(key) ? toNonNegativeInt(key, number(key)) : defaultValue;
     }
 
     /** Returns a required whole number from 0 that may exceed the range of an int. */
-    public long nonNegativeLong(String key) throws BadValueException {
+    public long nonNegativeLong(String key) throws InvalidValueException {
         String value = text(key);
         if (value.isEmpty()) {
             return 0;
@@ -73,12 +73,12 @@
         } catch (NumberFormatException e) {
             // reported below
         }
-        fault("'" + key + "' must be a whole number from 0 to 9223372036854775807, not '" + value + "'");
+        reportFault("'" + key + "' must be a whole number from 0 to 9223372036854775807, not '" + value + "'");
         return 0;
     }
 
     /** Returns whether a flag is set: 1 or true; a missing value means false. */
-    public boolean flag(String key) throws BadValueException {
+    public boolean flag(String key) throws InvalidValueException {
         String value = values.get(key);
         if (value == null || value.isEmpty() || value.equals("0") || value.equals("false")) {
             return false;
@@ -86,7 +86,7 @@
         if (value.equals("1") || value.equals("true")) {
             return true;
         }
-        fault("'" + key + "' must be 1, true, 0 or false, not '" + value + "'");
+        reportFault("'" + key + "' must be 1, true, 0 or false, not '" + value + "'");
         return false;
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Returns a list of finite numbers separated by commas; empty if it is missing. */
-    public double[] numbers(String key) throws BadValueException {
+    public double[] numbers(String key) throws InvalidValueException {
         String[] parts = list(key);
         double[] result = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
@@ -106,7 +106,7 @@
     }
 
     /** Parses a finite number; {@code key} names it in the message. */
-    protected final double parseNumber(String key, String value) throws BadValueException {
+    protected final double parseNumber(String key, String value) throws InvalidValueException {
         try {
             double parsed = Double.parseDouble(value);
             if (Double.isFinite(parsed)) {
@@ -115,13 +115,13 @@
         } catch (NumberFormatException e) {
             // reported below
         }
-        fault("'" + key + "' must be a finite number, not '" + value + "'");
+        reportFault("'" + key + "' must be a finite number, not '" + value + "'");
         return 0;
     }
 
-    private int toNonNegativeInt(String key, double value) throws BadValueException {
+    private int toNonNegativeInt(String key, double value) throws InvalidValueException {
         if (value != Math.rint(value) || value < 0 || value > Integer.MAX_VALUE) {
-            fault("'" + key + "' must be a whole number from 0 to 2147483647, not '" + values.get(key) + "'");
+            reportFault("'" + key + "' must be a whole number from 0 to 2147483647, not '" + values.get(key) + "'");
             return 0;
         }
         return (int) value;
--- a/host/src/main/java/calicovale/host/PlatformSettings.java
+++ b/host/src/main/java/calicovale/host/PlatformSettings.java
@@ -20,8 +20,8 @@
  * @param zones names of the zones
  * @param kinds names of the kinds of server
  * @param connectTimeoutMs time after which an attempt to connect has failed, in ms
- * @param connIdleMs time after which servers close an idle connection, in ms
- * @param mostHeld upper bound of the sessions that one manager may hold
+ * @param connectionIdleMs time after which servers close an idle connection, in ms
+ * @param maxSessions upper bound of the sessions that one manager may hold
  */
 public record PlatformSettings(
         Settings controller,
@@ -29,13 +29,13 @@
         List<String> zones,
         List<String> kinds,
         double connectTimeoutMs,
-        double connIdleMs,
-        int mostHeld) {
+        double connectionIdleMs,
+        int maxSessions) {
 
     /** Reads all settings; {@code values} handles invalid values. */
-    public static PlatformSettings read(Values values) throws BadValueException {
+    public static PlatformSettings read(KeyedValues values) throws InvalidValueException {
         List<String> classNames = new ArrayList<>();
-        for (int i = 0; i < values.integer("profiles.count", 0); i++) {
+        for (int i = 0; i < values.nonNegativeInt("profiles.count", 0); i++) {
             classNames.add(values.text("profiles." + i + ".name", ""));
         }
         return new PlatformSettings(
@@ -45,18 +45,18 @@
                 List.of(values.list("kinds")),
                 values.number("limits.connectTimeoutMs", 0),
                 values.number("limits.connIdleMs", 0),
-                values.integer("limits.mostHeld", 0));
+                values.nonNegativeInt("limits.mostHeld", 0));
     }
 
     /** Reads the settings of the session controller; {@code values} handles invalid values. */
-    public static Settings readController(Values values) throws BadValueException {
+    public static Settings readController(KeyedValues values) throws InvalidValueException {
         List<SessionClass> classes = readClasses(values);
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < values.integer("parties.count", 0); i++) {
+        for (int i = 0; i < values.nonNegativeInt("parties.count", 0); i++) {
             tenants.add(new Tenant(values.number("parties." + i + ".quotaRps", 0)));
         }
         Limits limits = new Limits(
-                values.integer("limits.sendCap", 0),
+                values.nonNegativeInt("limits.sendCap", 0),
                 values.flag("limits.retryAfter") ? values.number("limits.maxRetryAfterMs", 0) : 0,
                 values.flag("limits.probes"),
                 values.flag("limits.mayTell"),
@@ -76,8 +76,8 @@
         Media media = new Media(
                 toList(values.numbers("specifics.levelKb")),
                 toList(values.numbers("specifics.ladderWorth")),
-                values.integer("specifics.positions", 0),
-                values.integer("specifics.racks", 0),
+                values.nonNegativeInt("specifics.positions", 0),
+                values.nonNegativeInt("specifics.racks", 0),
                 values.number("specifics.linkUnitKb", 0),
                 values.number("specifics.rackLinkKb", 0),
                 toList(values.numbers("specifics.kindStreams")),
@@ -88,9 +88,9 @@
                 values.number("specifics.seeMs", 0),
                 values.number("specifics.tellMs", 0));
         return new Settings(
-                values.integer("me", 0),
-                values.integer("replicasOfMe", 1),
-                values.integer("az", 0),
+                values.nonNegativeInt("me", 0),
+                values.nonNegativeInt("replicasOfMe", 1),
+                values.nonNegativeInt("az", 0),
                 classes,
                 tenants,
                 values.number("overShareWorth", 1),
@@ -105,7 +105,7 @@
                 values.number("costs.probe", 0));
     }
 
-    private static List<SessionClass> readClasses(Values values) throws BadValueException {
+    private static List<SessionClass> readClasses(KeyedValues values) throws InvalidValueException {
         double[] lowestRungs = values.numbers("specifics.lowestRung");
         double[] highestRungs = values.numbers("specifics.highestRung");
         double[] scales = values.numbers("specifics.scaleByClass");
@@ -113,7 +113,7 @@
         String[] liveFlags = values.list("specifics.classLive");
         int rungCount = values.numbers("specifics.levelKb").length;
         List<SessionClass> result = new ArrayList<>();
-        for (int i = 0; i < values.integer("profiles.count", 0); i++) {
+        for (int i = 0; i < values.nonNegativeInt("profiles.count", 0); i++) {
             String keyPrefix = "profiles." + i + ".";
             Effect effect = Effect.values()[
                     indexOfChoice(values, keyPrefix + "effect", "pure", "pure", "token", "side_effect")];
@@ -134,7 +134,7 @@
         return result;
     }
 
-    private static ReportMode readReportMode(Values values) throws BadValueException {
+    private static ReportMode readReportMode(KeyedValues values) throws InvalidValueException {
         return ReportMode.values()[indexOfChoice(values, "report.how", "silent", "piggyback", "pull", "silent")];
     }
 
@@ -151,15 +151,15 @@
     }
 
     /** Returns the position of a value among {@code choices}, or 0 after reporting that it is none of them. */
-    private static int indexOfChoice(Values values, String key, String defaultChoice, String... choices)
-            throws BadValueException {
+    private static int indexOfChoice(KeyedValues values, String key, String defaultChoice, String... choices)
+            throws InvalidValueException {
         String value = values.text(key, defaultChoice);
         for (int i = 0; i < choices.length; i++) {
             if (choices[i].equals(value)) {
                 return i;
             }
         }
-        values.fault("'" + key + "' is '" + value + "'; accepted values: " + String.join(", ", choices));
+        values.reportFault("'" + key + "' is '" + value + "'; accepted values: " + String.join(", ", choices));
         return 0;
     }
 }
--- a/manager/src/main/java/calicovale/manager/LimitedLog.java
+++ b/manager/src/main/java/calicovale/manager/LimitedLog.java
@@ -24,12 +24,12 @@
 
     /** Counts one of a kind; the kinds are few and known. */
     public void count(String kind) {
-        counters.count(kind);
+        counters.increment(kind);
     }
 
     /** Counts one of a kind and logs it, with how many went without a line. */
     public void say(String kind, Object what) {
-        counters.count(kind);
+        counters.increment(kind);
         double now = clock.millis();
         double[] seen = last.computeIfAbsent(kind, k -> new double[] {Double.NEGATIVE_INFINITY, 0});
         if (now - seen[0] < EVERY_MS) {
--- a/manager/src/main/java/calicovale/manager/SessionManager.java
+++ b/manager/src/main/java/calicovale/manager/SessionManager.java
@@ -100,7 +100,7 @@
         int most = (int) Math.max(
                 1,
                 Math.min(
-                        platform.mostHeld() > 0 ? platform.mostHeld() : Integer.MAX_VALUE,
+                        platform.maxSessions() > 0 ? platform.maxSessions() : Integer.MAX_VALUE,
                         Math.min(byHeap, (long) SESSIONS_PER_MB * config.memoryMb())));
         table = new SessionTable(most);
         longestMs = Math.min(
@@ -120,7 +120,7 @@
                 new ServerSettings(
                         links,
                         platform.connectTimeoutMs() > 0 ? platform.connectTimeoutMs() : 250,
-                        platform.connIdleMs() > 0 ? IDLE_PART * platform.connIdleMs() : Double.MAX_VALUE,
+                        platform.connectionIdleMs() > 0 ? IDLE_PART * platform.connectionIdleMs() : Double.MAX_VALUE,
                         quiet),
                 platform,
                 table,
@@ -221,7 +221,7 @@
 
     /** What has been counted, with the present sizes. */
     public Map<String, Long> counts() {
-        Map<String, Long> all = counters.all();
+        Map<String, Long> all = counters.snapshot();
         all.put("held.out", (long) table.count(State.ASKED) + table.count(State.OUT));
         all.put("held.standing", (long) table.count(State.STANDING));
         all.put("links.viewers", (long) viewers.links());
@@ -250,7 +250,7 @@
 
     private void attemptEnded(
             Session s, long server, Outcome outcome, double elapsedMs, boolean closed, Map<String, Double> load) {
-        counters.count("outcome." + outcome);
+        counters.increment("outcome." + outcome);
         host.raise(new AttemptEnded(s.name(), s.attempt(), server, outcome, elapsedMs, closed, load));
     }
 
@@ -267,7 +267,7 @@
     private final class FromViewers implements ViewerDesk.Listener {
         @Override
         public void asked(Session s, ViewerDesk.Request r) {
-            counters.count("asked");
+            counters.increment("asked");
             s.tell();
             host.raise(request(s.name(), r, r.giveUpMs()));
         }
@@ -276,17 +276,17 @@
         public void handedOver(long id, Origin origin, ViewerDesk.Request r, String server) {
             unlisted.keySet().removeIf(s -> s.state() == State.OVER);
             if (unlisted.size() >= MOST_UNLISTED) {
-                counters.count("handed-over.too-many-unlisted");
+                counters.increment("handed-over.too-many-unlisted");
                 return;
             }
-            counters.count("handed-over");
+            counters.increment("handed-over");
             long number = servers.number(server);
             Session s = table.takeOver(
                     id, origin, "", r.title(), number, loop.clock().millis());
             Takeover takeover = new Takeover(request(s.name(), r, Double.MAX_VALUE), number);
             Boolean endedByServer = endedUnheld.remove(id);
             if (endedByServer != null) {
-                counters.count("handed-over.ended-before");
+                counters.increment("handed-over.ended-before");
                 if (endedByServer) {
                     viewers.tell(s, Message.release(s.id(), Cause.NORMAL));
                 } else {
@@ -299,7 +299,7 @@
                 servers.attend(number);
             } else {
                 // the list is late: it stands, and is released if the list does not name its server in time
-                counters.count("handed-over.unlisted");
+                counters.increment("handed-over.unlisted");
                 unlisted.put(s, takeover);
             }
         }
@@ -314,7 +314,7 @@
             if (s.state() == State.OVER) {
                 return;
             }
-            counters.count("departed");
+            counters.increment("departed");
             if (s.told()) {
                 host.raise(new Departed(s.name()));
             }
@@ -325,7 +325,7 @@
 
         @Override
         public void left(Session s) {
-            counters.count("left");
+            counters.increment("left");
             cut(s);
         }
     }
@@ -334,7 +334,7 @@
     private final class FromServers implements ServerPool.Listener {
         @Override
         public void started(Session s, double elapsedMs, byte[] description) {
-            counters.count("started");
+            counters.increment("started");
             host.raise(new Started(s.name(), s.attempt(), s.server(), elapsedMs));
             if (s.state() == State.STANDING
                     && !viewers.answer(
@@ -368,7 +368,7 @@
 
         @Override
         public void note(Session s, NoteKind kind, double value) {
-            counters.count("note." + kind);
+            counters.increment("note." + kind);
             host.raise(new Note(s.name(), s.attempt(), s.server(), kind, value));
         }
 
@@ -379,7 +379,7 @@
     }
 
     /** What the controller does, carried out. */
-    private final class FromController implements ControllerHost.Carrier {
+    private final class FromController implements ControllerHost.ActionHandler {
         private Session held(String id) {
             return table.get(Long.parseUnsignedLong(id, 16));
         }
@@ -388,7 +388,7 @@
         public void attempt(String id, long server, double timeoutMs) {
             Session s = held(id);
             if (s != null && s.state() == State.ASKED) {
-                counters.count("attempts");
+                counters.increment("attempts");
                 servers.attempt(s, server, timeoutMs);
             }
         }
@@ -407,7 +407,7 @@
             if (s != null) {
                 s.rung(rung);
                 if (s.state() == State.STANDING) {
-                    counters.count("rungs");
+                    counters.increment("rungs");
                     servers.rung(s);
                 }
             }
@@ -417,7 +417,7 @@
         public void move(String id) {
             Session s = held(id);
             if (s != null && s.state() == State.STANDING) {
-                counters.count("moves");
+                counters.increment("moves");
                 viewers.tell(s, Message.of(MessageType.FAC, s.id()));
                 cut(s);
             }
@@ -427,7 +427,7 @@
         public void refuse(String id, double retryAfterMs) {
             Session s = held(id);
             if (s != null && s.state() == State.ASKED) {
-                counters.count("refused");
+                counters.increment("refused");
                 Message refusal = Message.release(s.id(), Cause.CONGESTION);
                 if (retryAfterMs > 0) {
                     refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) Math.ceil(retryAfterMs)));
@@ -441,7 +441,7 @@
         public void fail(String id) {
             Session s = held(id);
             if (s != null && s.state() == State.ASKED) {
-                counters.count("failed");
+                counters.increment("failed");
                 viewers.answer(s, Message.release(s.id(), Cause.TEMPORARY_FAILURE));
                 table.over(s);
             }
--- a/manager/src/main/java/calicovale/manager/bus/Addresses.java
+++ b/manager/src/main/java/calicovale/manager/bus/Addresses.java
@@ -1,6 +1,6 @@
 package calicovale.manager.bus;
 
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -14,7 +14,7 @@
     private Addresses() {}
 
     /** Reads {@code a.b.c.d:port}. */
-    public static InetSocketAddress read(String text) throws BadValueException {
+    public static InetSocketAddress read(String text) throws InvalidValueException {
         Matcher m = FORM.matcher(text);
         byte[] host = new byte[4];
         boolean fits = m.matches();
@@ -25,7 +25,7 @@
         }
         int port = fits ? Integer.parseInt(m.group(5)) : 0;
         if (!fits || port < 1 || port > 65535) {
-            throw new BadValueException("'" + text + "' is not an address, such as 10.0.0.4:3868");
+            throw new InvalidValueException("'" + text + "' is not an address, such as 10.0.0.4:3868");
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -1,6 +1,6 @@
 package calicovale.manager.bus;
 
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import calicovale.protocols.json.Documents;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -42,17 +42,17 @@
             double startedAtMs) {}
 
     /** Reads one from its line; null: the line holds the last number alone. */
-    public static BusEvent readLine(String line) throws BadValueException {
+    public static BusEvent readLine(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             return node.has("topology") ? read(node) : null;
         } catch (JsonProcessingException e) {
-            throw new BadValueException("an event that is no JSON: " + e.getOriginalMessage());
+            throw new InvalidValueException("an event that is no JSON: " + e.getOriginalMessage());
         }
     }
 
     /** The number that a line holds, whatever else it has. */
-    static long number(String line) throws BadValueException {
+    static long number(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
             JsonNode offset = node.isObject() ? node.path("offset") : node;
@@ -62,15 +62,15 @@
         } catch (JsonProcessingException e) {
             // told below
         }
-        throw new BadValueException("a line without a number");
+        throw new InvalidValueException("a line without a number");
     }
 
     /** Reads one. */
-    public static BusEvent read(JsonNode node) throws BadValueException {
+    public static BusEvent read(JsonNode node) throws InvalidValueException {
         JsonNode topology = node.path("topology");
         JsonNode list = topology.path("instances");
         if (!node.path("offset").canConvertToLong() || !list.isArray()) {
-            throw new BadValueException("an event without 'offset' or 'topology.instances'");
+            throw new InvalidValueException("an event without 'offset' or 'topology.instances'");
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonNode entry : list) {
@@ -83,20 +83,20 @@
                 List.copyOf(entries));
     }
 
-    private static Entry entry(JsonNode node) throws BadValueException {
+    private static Entry entry(JsonNode node) throws InvalidValueException {
         String id = node.path("instanceId").asText("");
         if (id.isEmpty()) {
-            throw new BadValueException("an instance without 'instanceId'");
+            throw new InvalidValueException("an instance without 'instanceId'");
         }
         Lifecycle lifecycle;
         try {
             lifecycle = Lifecycle.valueOf(node.path("lifecycle").asText("").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new BadValueException("instance " + id + ": 'lifecycle' is " + node.path("lifecycle"));
+            throw new InvalidValueException("instance " + id + ": 'lifecycle' is " + node.path("lifecycle"));
         }
         String at = node.path("hostPort").asText("");
         if (at.isEmpty() && lifecycle != Lifecycle.TERMINATED) {
-            throw new BadValueException("instance " + id + ": no 'hostPort'");
+            throw new InvalidValueException("instance " + id + ": no 'hostPort'");
         }
         return new Entry(
                 id,
--- a/manager/src/main/java/calicovale/manager/bus/EventBus.java
+++ b/manager/src/main/java/calicovale/manager/bus/EventBus.java
@@ -1,7 +1,7 @@
 package calicovale.manager.bus;
 
 import calicovale.host.Backoff;
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
 import calicovale.manager.LimitedLog;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.net.EventLoop;
@@ -138,7 +138,7 @@
     private void askAgain(String kind, Object why) {
         log.say(kind, why);
         drop();
-        again = loop.schedule(backoff.nextMs(), this::connect);
+        again = loop.schedule(backoff.nextDelayMs(), this::connect);
         lost.run();
     }
 
@@ -213,7 +213,7 @@
                 } else {
                     log.count("bus.twice");
                 }
-            } catch (BadValueException e) {
+            } catch (InvalidValueException e) {
                 askAgain("bus.bad-line", e.getMessage());
             }
         }
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -1,8 +1,8 @@
 package calicovale.manager.config;
 
-import calicovale.host.BadValueException;
+import calicovale.host.InvalidValueException;
+import calicovale.host.KeyedValues;
 import calicovale.host.PlatformSettings;
-import calicovale.host.Values;
 import calicovale.manager.bus.Addresses;
 import calicovale.manager.bus.BusEvent;
 import calicovale.protocols.json.Documents;
@@ -77,7 +77,7 @@
             }
         });
         flatten("", node.path("settings"), settings);
-        Values values = collecting("", own, faults);
+        KeyedValues values = collecting("", own, faults);
         try {
             long seed = 0;
             String hex = values.text("seed", "0");
@@ -96,30 +96,31 @@
                     address(values, "listen", faults),
                     address(values, "bus", faults),
                     seed,
-                    values.integer("limits.memory_mb"),
-                    values.integer("limits.sockets"),
+                    values.nonNegativeInt("limits.memory_mb"),
+                    values.nonNegativeInt("limits.sockets"),
                     known(node, faults),
                     node.path("known").path("offset").asLong(),
                     platform);
-        } catch (BadValueException e) {
+        } catch (InvalidValueException e) {
             throw new IllegalStateException("faults are collected here", e);
         }
     }
 
-    private static Values collecting(String place, Map<String, String> values, List<String> faults) {
-        return new Values(values) {
+    private static KeyedValues collecting(String place, Map<String, String> values, List<String> faults) {
+        return new KeyedValues(values) {
             @Override
-            protected void fault(String what) {
+            protected void reportFault(String what) {
                 faults.add(place + what);
             }
         };
     }
 
-    private static InetSocketAddress address(Values values, String key, List<String> faults) throws BadValueException {
+    private static InetSocketAddress address(KeyedValues values, String key, List<String> faults)
+            throws InvalidValueException {
         String text = values.text(key);
         try {
             return text.isEmpty() ? null : Addresses.read(text);
-        } catch (BadValueException e) {
+        } catch (InvalidValueException e) {
             faults.add("'" + key + "': " + e.getMessage());
             return null;
         }
@@ -130,7 +131,7 @@
         for (JsonNode event : node.path("known").path("batch")) {
             try {
                 events.add(BusEvent.read(event));
-            } catch (BadValueException e) {
+            } catch (InvalidValueException e) {
                 faults.add("known: " + e.getMessage());
             }
         }
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -3,8 +3,8 @@
 import calicovale.protocols.net.ConnectFailedException;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.signal.Message;
+import calicovale.protocols.signal.MessageFramingException;
 import calicovale.protocols.signal.MessageType;
-import calicovale.protocols.signal.SignalException;
 import calicovale.protocols.signal.SignalParser;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -55,7 +55,7 @@
 
     /** Takes a set-up back that was not written yet; false if it was. */
     boolean unsend(long session) {
-        waiting.removeIf(m -> m.session() == session);
+        waiting.removeIf(m -> m.sessionId() == session);
         return !stood;
     }
 
@@ -98,11 +98,11 @@
                 pool.decide(() -> take(message));
                 return true;
             });
-        } catch (SignalException e) {
+        } catch (MessageFramingException e) {
             useless = true;
             pool.decide(() -> spoilt(e.getMessage()));
         }
-        if (!parser.midMessage()) {
+        if (!parser.hasPartialMessage()) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0) {
             partialSinceMs = heardAtMs;
--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -420,7 +420,7 @@
         if (m.malformed()) {
             return "a message that cannot be read: " + m;
         }
-        Session s = table.get(m.session());
+        Session s = table.get(m.sessionId());
         boolean here = s != null && s.server() == link.server.number;
         switch (m.type()) {
             case MessageType.ACM, MessageType.RLC -> {
@@ -430,7 +430,7 @@
                 return here && s.state() == State.OUT ? answer(link, s, m) : late(link, m, here);
             }
             case MessageType.REL -> {
-                link.send(Message.of(MessageType.RLC, m.session()));
+                link.send(Message.of(MessageType.RLC, m.sessionId()));
                 if (here && s.state() == State.OUT) {
                     refused(s, m);
                 } else if (here && s.state() == State.STANDING) {
@@ -438,7 +438,7 @@
                 } else {
                     log.count("server.release-of-none");
                     if (s == null) {
-                        listener.releasedUnheld(m.session());
+                        listener.releasedUnheld(m.sessionId());
                     }
                 }
                 return null;
@@ -475,7 +475,7 @@
     private String late(ServerLink link, Message m, boolean here) {
         log.count("server.answer-of-none");
         if (!here) {
-            link.send(Message.release(m.session(), Cause.NORMAL));
+            link.send(Message.release(m.sessionId(), Cause.NORMAL));
         }
         return null;
     }
@@ -550,7 +550,7 @@
         boolean alive = server.anyOpen();
         if (failed == null) {
             log.count("server.link-closed");
-        } else if (failed.local()) {
+        } else if (failed.notAttempted()) {
             log.say("server.not-tried", failed.getMessage());
         } else if (failed.timedOut()) {
             log.count("server.unreachable");
@@ -563,7 +563,9 @@
         for (Attempt attempt : List.copyOf(link.attempts.values())) {
             end(
                     attempt,
-                    stood ? Outcome.RESET : failed != null && failed.local() ? Outcome.MOOT : Outcome.CONNECT_FAILED,
+                    stood
+                            ? Outcome.RESET
+                            : failed != null && failed.notAttempted() ? Outcome.MOOT : Outcome.CONNECT_FAILED,
                     Map.of());
         }
         if (!releases.isEmpty() && !server.gone && server.resends++ < RESENDS) {
--- a/manager/src/main/java/calicovale/manager/sessions/Session.java
+++ b/manager/src/main/java/calicovale/manager/sessions/Session.java
@@ -37,7 +37,7 @@
 
     Session(long id, Origin origin, String sessionClass, String title, byte[] description, double giveUpMs) {
         this.id = id;
-        this.name = Message.name(id);
+        this.name = Message.formatSessionId(id);
         this.origin = origin;
         this.sessionClass = sessionClass;
         this.title = title;
--- a/manager/src/main/java/calicovale/manager/viewers/SetUp.java
+++ b/manager/src/main/java/calicovale/manager/viewers/SetUp.java
@@ -40,7 +40,7 @@
         if (m.malformed()) {
             return bad(Cause.INVALID_CONTENTS, "parameters that do not fit");
         }
-        if (m.session() == 0) {
+        if (m.sessionId() == 0) {
             return bad(Cause.ELEMENT_MISSING, "no id");
         }
         String sessionClass = m.text(Parameter.CLASS);
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerDesk.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerDesk.java
@@ -108,7 +108,7 @@
      */
     public boolean quiet() {
         double now = nowMs();
-        return socket.caughtUp()
+        return socket.acceptQueueDrained()
                 && releases.isEmpty()
                 && links.stream()
                         .allMatch(link -> link.connection.pendingBytes() == 0
@@ -124,7 +124,7 @@
     public void finish() {
         socket.close();
         for (ViewerLink link : links) {
-            link.connection.finish();
+            link.connection.shutdownOutputWhenDrained();
         }
     }
 
@@ -167,10 +167,10 @@
             case MessageType.REL -> release(link, m);
             case MessageType.UPT -> {
                 useful(link);
-                link.send(Message.of(MessageType.UPA, m.session()).with(Parameter.CAUSE, new byte[] {Cause.PASSED}));
+                link.send(Message.of(MessageType.UPA, m.sessionId()).with(Parameter.CAUSE, new byte[] {Cause.PASSED}));
             }
             case MessageType.RLC, MessageType.ACM -> log.count("viewer.heard");
-            default -> error(link, m.session(), Cause.TYPE_UNKNOWN, "a message of type " + m.type());
+            default -> error(link, m.sessionId(), Cause.TYPE_UNKNOWN, "a message of type " + m.type());
         }
     }
 
@@ -188,10 +188,10 @@
     private void setUp(ViewerLink link, Message m) {
         SetUp setUp = SetUp.read(m, settings);
         if (setUp.fault() != 0) {
-            error(link, m.session(), setUp.fault(), setUp.why());
+            error(link, m.sessionId(), setUp.fault(), setUp.why());
             return;
         }
-        Session held = table.get(m.session());
+        Session held = table.get(m.sessionId());
         double now = nowMs();
         Request request = new Request(
                 setUp.classIndex(),
@@ -206,9 +206,9 @@
         if (setUp.at() != null) {
             useful(link);
             if (held == null && !table.full()) {
-                listener.handedOver(m.session(), link, request, setUp.at());
+                listener.handedOver(m.sessionId(), link, request, setUp.at());
             }
-            if (table.get(m.session()) != null) {
+            if (table.get(m.sessionId()) != null) {
                 carries(link);
             }
             return;
@@ -220,7 +220,7 @@
         useful(link);
         if (table.full() || link.owed.size() >= settings.mostOwed()) {
             log.say(table.full() ? "viewer.table-full" : "viewer.too-many-open", table.size() + " sessions are held");
-            Message refusal = Message.release(m.session(), Cause.CONGESTION);
+            Message refusal = Message.release(m.sessionId(), Cause.CONGESTION);
             if (settings.retryAfterMs() > 0) {
                 refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) settings.retryAfterMs()));
             }
@@ -228,7 +228,7 @@
             return;
         }
         Session s = table.ask(
-                m.session(),
+                m.sessionId(),
                 link,
                 settings.classes().get(setUp.classIndex()),
                 setUp.title(),
@@ -255,11 +255,11 @@
     }
 
     private void release(ViewerLink link, Message m) {
-        Session s = table.get(m.session());
-        link.send(Message.of(MessageType.RLC, m.session()));
+        Session s = table.get(m.sessionId());
+        link.send(Message.of(MessageType.RLC, m.sessionId()));
         if (s == null) {
             log.count("viewer.release-of-none");
-            listener.leftUnheld(m.session());
+            listener.leftUnheld(m.sessionId());
         } else if (s.state() == State.STANDING) {
             listener.left(s);
         } else if (s.origin() == link && !s.departed()) {
@@ -289,7 +289,7 @@
         links.remove(link);
         for (Session s : link.owed) {
             s.depart();
-            loop.defer(EventLoop.Phase.ENDS, () -> listener.departed(s));
+            loop.defer(EventLoop.Phase.TERMINATIONS, () -> listener.departed(s));
         }
         link.owed.clear();
     }
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
@@ -3,7 +3,7 @@
 import calicovale.manager.sessions.Session;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.signal.Message;
-import calicovale.protocols.signal.SignalException;
+import calicovale.protocols.signal.MessageFramingException;
 import calicovale.protocols.signal.SignalParser;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -54,10 +54,10 @@
                 desk.take(this, message);
                 return !c.isClosed();
             });
-        } catch (SignalException e) {
+        } catch (MessageFramingException e) {
             desk.unreadable(this, e.getMessage());
         }
-        if (!parser.midMessage()) {
+        if (!parser.hasPartialMessage()) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0) {
             partialSinceMs = usedAtMs;
--- a/manager/src/test/java/calicovale/manager/ManagerTest.java
+++ b/manager/src/test/java/calicovale/manager/ManagerTest.java
@@ -155,7 +155,7 @@
             Message over;
             do {
                 over = viewer.next();
-            } while (over.session() != 1);
+            } while (over.sessionId() != 1);
             assertEquals(Cause.NORMAL, over.cause());
         }
     }
@@ -179,7 +179,7 @@
                 assertEquals(MessageType.UPA, asks.next().type());
                 next.send(Rig.setUp(2));
                 rig.boxes.get(0).serve();
-                assertEquals(1, next.next(MessageType.REL).session());
+                assertEquals(1, next.next(MessageType.REL).sessionId());
             }
         }
     }
@@ -201,7 +201,7 @@
             asks.send(Message.of(MessageType.UPT, 7));
             assertEquals(MessageType.UPA, asks.next().type());
             set.peer().send(Message.release(1, Cause.NORMAL));
-            assertEquals(1, carries.next().session());
+            assertEquals(1, carries.next().sessionId());
         }
     }
 
@@ -333,7 +333,7 @@
             Box.Came came;
             do {
                 came = rig.boxes.get(0).next();
-            } while (came.message().session() != 5000);
+            } while (came.message().sessionId() != 5000);
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/OrdersTest.java
+++ b/manager/src/test/java/calicovale/manager/OrdersTest.java
@@ -102,7 +102,7 @@
             do {
                 again = rig.asked().next();
             } while (again.message().type() != MessageType.IAM);
-            assertEquals(1, again.message().session());
+            assertEquals(1, again.message().sessionId());
             again.peer().send(Message.of(MessageType.ANM, 1).with(Parameter.DESCRIPTION, Rig.GIVEN));
             assertEquals(MessageType.ANM, stays.next().type());
             assertEquals(3, count(rig, "attempts"));
@@ -161,7 +161,7 @@
             try (Peer next = rig.viewerWithin()) {
                 rig.clock.advance(10);
                 next.send(Rig.setUp(2));
-                assertEquals(2, rig.boxes.get(0).next().message().session(), "the first set-up was never written");
+                assertEquals(2, rig.boxes.get(0).next().message().sessionId(), "the first set-up was never written");
             }
         }
     }
@@ -273,7 +273,7 @@
                 rig.clock.advance(200);
                 Box.Came release = again.next();
                 assertEquals(MessageType.REL, release.message().type());
-                assertEquals(1, release.message().session());
+                assertEquals(1, release.message().sessionId());
             }
         }
     }
@@ -323,7 +323,7 @@
             rig.await("server.release-of-none", 1);
             viewer.send(handOver(1, "s-0"));
             Message over = viewer.next();
-            assertEquals(1, over.session());
+            assertEquals(1, over.sessionId());
             assertEquals(MessageType.REL, over.type());
             assertEquals(1, count(rig, "held.standing"));
         }
@@ -336,7 +336,7 @@
             viewer.send(Message.release(1, Cause.NORMAL), handOver(1, "s-0"), handOver(1, "s-0"));
             Box.Came release = rig.boxes.get(0).next();
             assertEquals(MessageType.REL, release.message().type());
-            assertEquals(1, release.message().session());
+            assertEquals(1, release.message().sessionId());
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/Rig.java
+++ b/manager/src/test/java/calicovale/manager/Rig.java
@@ -5,9 +5,9 @@
 import calicovale.protocols.net.Clock;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.signal.Message;
+import calicovale.protocols.signal.MessageFramingException;
 import calicovale.protocols.signal.MessageType;
 import calicovale.protocols.signal.Parameter;
-import calicovale.protocols.signal.SignalException;
 import calicovale.protocols.signal.SignalParser;
 import java.io.IOException;
 import java.io.InputStream;
@@ -306,7 +306,7 @@
                 }
                 try {
                     parser.feed(ByteBuffer.wrap(buffer, 0, n), read::add);
-                } catch (SignalException e) {
+                } catch (MessageFramingException e) {
                     throw new IOException(e);
                 }
             }
@@ -407,7 +407,8 @@
         /** Takes the next set-up and answers that it stands. */
         Came serve() throws InterruptedException, IOException {
             Came set = next();
-            set.peer().send(Message.of(MessageType.ANM, set.message().session()).with(Parameter.DESCRIPTION, GIVEN));
+            set.peer()
+                    .send(Message.of(MessageType.ANM, set.message().sessionId()).with(Parameter.DESCRIPTION, GIVEN));
             return set;
         }
 
--- a/manager/src/test/java/calicovale/manager/SizesTest.java
+++ b/manager/src/test/java/calicovale/manager/SizesTest.java
@@ -31,7 +31,7 @@
                     rig.until(() -> rig.process.counts().get("servers") == 1);
                     viewer.send(Rig.setUp(i));
                     Box.Came set = box.serve();
-                    assertEquals(i, viewer.next(MessageType.ANM).session());
+                    assertEquals(i, viewer.next(MessageType.ANM).sessionId());
                     // one is never told of, one ends unheld, one timer is called off, one session ends in order
                     viewer.send(
                             Rig.setUp(1_000_000 + i, "talk", "home:0;copies:12;top:2;viewer:00a1;at:s-nowhere-" + i));
@@ -41,7 +41,7 @@
                     Message over;
                     do {
                         over = viewer.next(MessageType.REL);
-                    } while (over.session() != i);
+                    } while (over.sessionId() != i);
                     before = Rig.entry("s-new-" + i, box.port(), "terminated", 0);
                 }
                 // the bus is silent meanwhile, so it is asked again
@@ -60,7 +60,7 @@
             assertEquals(0, counts.get("held.out"));
             assertTrue(counts.get("controller.servers") <= 4, counts.toString());
             assertEquals(ROUNDS, counts.get("handed-over.unlisted"));
-            int timers = rig.process.loop().call(() -> rig.process.loop().timersKept());
+            int timers = rig.process.loop().call(() -> rig.process.loop().queuedTimers());
             assertTrue(timers < 100, timers + " timers");
             int connections = rig.process.loop().call(() -> rig.process.loop().connectionCount());
             assertTrue(connections <= 1, connections + " connections");
--- a/protocols/src/main/java/calicovale/protocols/hls/Attributes.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Attributes.java
@@ -64,7 +64,7 @@
     }
 
     /** Sets a value that is written without quotes, and returns this list. */
-    public Attributes set(String name, String value) {
+    public Attributes setUnquoted(String name, String value) {
         values.put(name, value);
         return this;
     }
@@ -74,7 +74,7 @@
      *
      * @throws IllegalArgumentException if the value contains a quote or a line break
      */
-    public Attributes quoted(String name, String value) {
+    public Attributes setQuoted(String name, String value) {
         if (value.indexOf('"') >= 0 || value.indexOf('\n') >= 0 || value.indexOf('\r') >= 0) {
             throw new IllegalArgumentException("a quoted value must not contain quotes or line breaks");
         }
--- a/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
@@ -14,11 +14,11 @@
     /**
      * A line other than a URI.
      *
-     * @param tag whether the line is a tag; otherwise it is a comment or blank
+     * @param isTag whether the line is a tag; otherwise it is a comment or blank
      * @param name name of the tag, or the whole comment
      * @param value value of the tag, or null if it has none
      */
-    public record Line(boolean tag, String name, String value) {
+    public record Line(boolean isTag, String name, String value) {
         /** Creates a tag; {@code value} is null if it has none. */
         public static Line tag(String name, String value) {
             return new Line(true, name, value);
@@ -26,7 +26,7 @@
 
         @Override
         public String toString() {
-            return !tag ? name : value == null ? "#" + name : "#" + name + ":" + value;
+            return !isTag ? name : value == null ? "#" + name : "#" + name + ":" + value;
         }
     }
 
@@ -36,7 +36,7 @@
         /** Returns the value of a tag of this entry: null if the tag is missing, "" if it has no value. */
         public String value(String tag) {
             for (Line line : lines) {
-                if (line.tag() && line.name().equals(tag)) {
+                if (line.isTag() && line.name().equals(tag)) {
                     return line.value() == null ? "" : line.value();
                 }
             }
@@ -49,7 +49,7 @@
         }
 
         /** Returns the duration from EXTINF in seconds, or 0 if the tag is missing. */
-        public double duration() {
+        public double durationSeconds() {
             String value = value("EXTINF");
             if (value == null) {
                 return 0;
@@ -82,7 +82,7 @@
     public String value(String tag) {
         for (List<Line> part : List.of(head, tail)) {
             for (Line line : part) {
-                if (line.tag() && line.name().equals(tag)) {
+                if (line.isTag() && line.name().equals(tag)) {
                     return line.value() == null ? "" : line.value();
                 }
             }
@@ -97,12 +97,12 @@
     }
 
     /** Returns whether this is a multivariant playlist, whose entries are variants and not segments. */
-    public boolean multivariant() {
+    public boolean isMultivariant() {
         return entries.stream().anyMatch(e -> e.has("EXT-X-STREAM-INF"));
     }
 
     /** Returns whether the playlist has EXT-X-ENDLIST: no segment will be added. */
-    public boolean ended() {
+    public boolean isEnded() {
         return value("EXT-X-ENDLIST") != null;
     }
 
@@ -190,7 +190,7 @@
 
     /** Returns whether a line can't be part of the head, because it belongs to an entry or ends the playlist. */
     private static boolean endsHead(Line line) {
-        return line.tag()
+        return line.isTag()
                 && switch (line.name()) {
                     case "EXTINF",
                             "EXT-X-BYTERANGE",
--- a/protocols/src/main/java/calicovale/protocols/http/Cmcd.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Cmcd.java
@@ -20,7 +20,7 @@
      */
     public static Map<String, String> of(HttpHead head) {
         Map<String, String> result = new LinkedHashMap<>();
-        String query = head.query("CMCD");
+        String query = head.queryParameter("CMCD");
         if (query != null) {
             readPairs(query, result);
         }
--- a/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
+++ b/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
@@ -9,7 +9,7 @@
  */
 public final class CrossOrigin {
     /** Allows no origin: no header is added, and preflights are handled like any other request. */
-    public static final CrossOrigin NOBODY = new CrossOrigin(Set.of(), false, 0, List.of(), List.of(), List.of());
+    public static final CrossOrigin DISABLED = new CrossOrigin(Set.of(), false, 0, List.of(), List.of(), List.of());
     /** Wildcard for any origin; it must be the only origin in the settings. */
     public static final String ANY = "*";
 
@@ -60,7 +60,7 @@
         if (origins.contains(ANY)) {
             return ANY;
         }
-        List<String> originHeaders = head == null ? List.of() : head.headers().all("Origin");
+        List<String> originHeaders = head == null ? List.of() : head.headers().getAll("Origin");
         // several Origin fields are ambiguous; "null" is the origin of pages that hide theirs and is never in the list
         return originHeaders.size() == 1 && origins.contains(originHeaders.get(0)) ? originHeaders.get(0) : null;
     }
--- a/protocols/src/main/java/calicovale/protocols/http/EventStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/EventStream.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns a comment in wire format, which is sent as keep-alive. */
-    public static byte[] beat() {
+    public static byte[] keepAliveComment() {
         return ": \n\n".getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/http/Headers.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Headers.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns the values of all fields with a name, in order. */
-    public List<String> all(String name) {
+    public List<String> getAll(String name) {
         List<String> result = new ArrayList<>();
         for (int i = 0; i < namesAndValues.size(); i += 2) {
             if (namesAndValues.get(i).equalsIgnoreCase(name)) {
--- a/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
@@ -51,7 +51,7 @@
     }
 
     /** Receiver of a whole response. */
-    public interface WholeHandler {
+    public interface FullResponseHandler {
         /**
          * Called once; {@code failure} is null for a complete response, otherwise {@code head} and {@code body} are
          * null.
@@ -157,7 +157,7 @@
             Headers headers,
             byte[] body,
             double timeoutMs,
-            WholeHandler handler) {
+            FullResponseHandler handler) {
         return stream(address, connectionName, method, target, headers, body, timeoutMs, new ResponseHandler() {
             private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
             private HttpHead head;
@@ -181,7 +181,7 @@
             @Override
             public void onEnd() {
                 if (tooLong) {
-                    counters.refused++;
+                    counters.messagesRefused++;
                     handler.done(null, null, Failure.MALFORMED);
                 } else {
                     handler.done(head, whole.toByteArray(), null);
@@ -240,7 +240,7 @@
     }
 
     /** Closes all idle connections to an origin that is gone, so that none is used after a restart of its process. */
-    public void forget(InetSocketAddress address) {
+    public void closeIdleConnections(InetSocketAddress address) {
         OriginPool pool = pools.get(address);
         while (pool != null && !pool.idle.isEmpty()) {
             pool.idle.poll().connection.close();
@@ -249,7 +249,7 @@
 
     private final class PooledConnection implements Connection.Handler, HttpParser.Sink {
         private final OriginPool pool;
-        private final HttpParser parser = HttpParser.ofResponses(limits, this);
+        private final HttpParser parser = HttpParser.forResponses(limits, this);
         private Connection connection;
         private Call call;
         private ByteBuffer unsentRequest;
@@ -294,7 +294,7 @@
                 while (bytes.hasRemaining() && !source.isClosed()) {
                     if (call == null) {
                         // a response without a request; the connection can't be trusted any more
-                        counters.refused++;
+                        counters.messagesRefused++;
                         bytes.position(bytes.limit());
                         source.close();
                         return;
@@ -302,7 +302,7 @@
                     parser.parse(bytes);
                 }
             } catch (HttpException e) {
-                counters.refused++;
+                counters.messagesRefused++;
                 bytes.position(bytes.limit());
                 if (call != null) {
                     call.fail(Failure.MALFORMED, e.getMessage());
--- a/protocols/src/main/java/calicovale/protocols/http/HttpCounters.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpCounters.java
@@ -7,13 +7,13 @@
     /** Responses written whole by a server, or received whole by a client. */
     public long responses;
     /** Messages refused because they were malformed or exceeded a limit. */
-    public long refused;
+    public long messagesRefused;
     /** Requests whose client closed the connection before the response was complete. */
     public long abandonedRequests;
     /** Connections refused because the limit on connections was reached. */
     public long connectionsRefused;
     /** Connections closed because they were idle or too slow. */
-    public long timedOut;
+    public long connectionsTimedOut;
     /** CORS preflight requests answered. */
     public long preflights;
     /** Exchanges whose handler threw an exception; answered with 500 if no response had begun. */
--- a/protocols/src/main/java/calicovale/protocols/http/HttpHead.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpHead.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the first query parameter with a name, percent-decoded, or null; an empty string if it has no value. */
-    public String query(String name) {
+    public String queryParameter(String name) {
         int queryStart = target.indexOf('?');
         if (queryStart < 0) {
             return null;
@@ -36,7 +36,7 @@
             int equalsSign = part.indexOf('=');
             String key = equalsSign < 0 ? part : part.substring(0, equalsSign);
             if (key.equals(name)) {
-                return Percent.decode(equalsSign < 0 ? "" : part.substring(equalsSign + 1));
+                return PercentEncoding.decode(equalsSign < 0 ? "" : part.substring(equalsSign + 1));
             }
         }
         return null;
--- a/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
@@ -75,12 +75,12 @@
     }
 
     /** Creates a parser of requests. */
-    public static HttpParser ofRequests(HttpLimits limits, Sink sink) {
+    public static HttpParser forRequests(HttpLimits limits, Sink sink) {
         return new HttpParser(true, limits, sink);
     }
 
     /** Creates a parser of responses. It does not limit the size of bodies, because they are passed on in parts. */
-    public static HttpParser ofResponses(HttpLimits limits, Sink sink) {
+    public static HttpParser forResponses(HttpLimits limits, Sink sink) {
         return new HttpParser(false, limits, sink);
     }
 
@@ -354,8 +354,8 @@
 
     private boolean finishHead() throws HttpException {
         int malformedStatus = parsesRequests ? 400 : 502;
-        List<String> lengths = headers.all("Content-Length");
-        List<String> codings = headers.all("Transfer-Encoding");
+        List<String> lengths = headers.getAll("Content-Length");
+        List<String> codings = headers.getAll("Transfer-Encoding");
         if (lengths.size() > 1) {
             throw new HttpException(malformedStatus, "two Content-Lengths");
         }
@@ -363,7 +363,7 @@
             throw new HttpException(malformedStatus, "Content-Length beside Transfer-Encoding");
         }
         if (parsesRequests) {
-            List<String> hosts = headers.all("Host");
+            List<String> hosts = headers.getAll("Host");
             if (hosts.size() > 1 || hosts.isEmpty() && head.minorVersion() >= 1) {
                 throw new HttpException(400, "one Host is needed");
             }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
@@ -37,7 +37,7 @@
     private final Consumer<Exchange> handler;
     private final HttpCounters counters = new HttpCounters();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    private CrossOrigin crossOrigin = CrossOrigin.NOBODY;
+    private CrossOrigin crossOrigin = CrossOrigin.DISABLED;
     private EventLoop.Listener listener;
     private boolean draining;
     private long dateSecond = -1;
@@ -83,7 +83,7 @@
     }
 
     /** Returns the number of open connections. */
-    public int open() {
+    public int openConnections() {
         return clients.size();
     }
 
@@ -104,7 +104,7 @@
     /** A connection accepted from a client. */
     final class ClientConnection implements Connection.Handler, HttpParser.Sink {
         private final Connection connection;
-        private final HttpParser parser = HttpParser.ofRequests(limits, this);
+        private final HttpParser parser = HttpParser.forRequests(limits, this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         private HttpHead head;
         private Exchange currentExchange;
@@ -148,7 +148,7 @@
                     ? Double.MAX_VALUE
                     : parser.inHead() ? limits.headMs() : parser.inMessage() ? limits.bodyMs() : limits.idleMs();
             if (elapsedMs >= limitMs || draining && currentExchange == null && !parser.inMessage()) {
-                counters.timedOut++;
+                counters.connectionsTimedOut++;
                 if (parser.inMessage()) {
                     refuseAndClose(408, "the request did not come in time");
                 } else {
@@ -208,7 +208,12 @@
                 }
             } catch (HttpException e) {
                 bytes.position(bytes.limit());
-                LOG.info("{}: refused request from {}: {} {}", name, connection.remote(), e.status(), e.getMessage());
+                LOG.info(
+                        "{}: refused request from {}: {} {}",
+                        name,
+                        connection.remoteAddress(),
+                        e.status(),
+                        e.getMessage());
                 refuseAndClose(e.status(), e.getMessage());
             } finally {
                 parsing = false;
@@ -251,7 +256,7 @@
         }
 
         private void refuseAndClose(int status, String detail) {
-            counters.refused++;
+            counters.messagesRefused++;
             closeAfterResponse = true;
             String json = "{\"title\":" + Exchange.quote(HttpWriter.reasonPhrase(status)) + ",\"status\":" + status
                     + ",\"detail\":" + Exchange.quote(detail) + "}";
@@ -270,7 +275,7 @@
             if (connection.isClosed()) {
                 return;
             }
-            connection.finish();
+            connection.shutdownOutputWhenDrained();
             connection.handler(new Connection.Handler() {
                 @Override
                 public void onBytes(Connection c, ByteBuffer bytes) {
--- a/protocols/src/main/java/calicovale/protocols/http/Percent.java
+++ b/protocols/src/main/java/calicovale/protocols/http/PercentEncoding.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** Percent-encoding of URI parts (RFC 3986, 2.1). */
-public final class Percent {
+public final class PercentEncoding {
     private static final String UNRESERVED = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~";
 
-    private Percent() {}
+    private PercentEncoding() {}
 
     /** Decodes percent-encoded UTF-8. Malformed escapes are kept unchanged. */
     public static String decode(String text) {
--- a/protocols/src/main/java/calicovale/protocols/keys/Ed25519.java
+++ b/protocols/src/main/java/calicovale/protocols/keys/Ed25519.java
@@ -20,7 +20,7 @@
  */
 public final class Ed25519 {
     /** Size of a public key, in bytes. */
-    public static final int KEY_BYTES = 32;
+    public static final int PUBLIC_KEY_BYTES = 32;
     /** Size of a signature, in bytes. */
     public static final int SIGNATURE_BYTES = 64;
     /** The bytes before the 32 bytes of a public key in its X.509 encoding (RFC 8410, 4). */
@@ -32,21 +32,23 @@
     private Ed25519() {}
 
     /** A key pair in text form: the public key and the private key (PKCS #8), both in base64url. */
-    public record Pair(String publicKey, String privateKey) {
+    public record TextKeyPair(String publicKey, String privateKey) {
         /** Generates a pair from the system's secure random source. */
-        public static Pair make() throws GeneralSecurityException {
+        public static TextKeyPair generate() throws GeneralSecurityException {
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
-            return new Pair(text(raw(pair.getPublic())), text(pair.getPrivate().getEncoded()));
+            return new TextKeyPair(
+                    toBase64Url(rawPublicKey(pair.getPublic())),
+                    toBase64Url(pair.getPrivate().getEncoded()));
         }
     }
 
     /** Encodes bytes in base64url without padding. */
-    public static String text(byte[] bytes) {
+    public static String toBase64Url(byte[] bytes) {
         return BASE64_URL_ENCODER.encodeToString(bytes);
     }
 
     /** Returns the 32 bytes of a public key. */
-    public static byte[] raw(PublicKey key) {
+    public static byte[] rawPublicKey(PublicKey key) {
         byte[] encoded = key.getEncoded();
         return Arrays.copyOfRange(encoded, X509_PREFIX.length, encoded.length);
     }
@@ -91,7 +93,7 @@
     }
 
     /** Returns the id by which messages name a public key: the first 8 bytes of its SHA-256, big-endian. */
-    public static long id(byte[] raw) {
+    public static long keyId(byte[] raw) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(raw);
             long result = 0;
--- a/protocols/src/main/java/calicovale/protocols/net/ConnectFailedException.java
+++ b/protocols/src/main/java/calicovale/protocols/net/ConnectFailedException.java
@@ -31,7 +31,7 @@
      * Returns whether the attempt failed in this process before anything was sent, such as for lack of file
      * descriptors. Such a failure says nothing about the state of the peer.
      */
-    public boolean local() {
+    public boolean notAttempted() {
         return notAttempted;
     }
 
--- a/protocols/src/main/java/calicovale/protocols/net/Connection.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Connection.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns the peer's address, or null if it is no longer known. */
-    public InetSocketAddress remote() {
+    public InetSocketAddress remoteAddress() {
         if (channel == null) {
             return null;
         }
@@ -194,7 +194,7 @@
     }
 
     /** Closes the sending side after all queued bytes have been written (half-close). */
-    public void finish() {
+    public void shutdownOutputWhenDrained() {
         shutdownOutputWhenDrained = true;
         if (pending.isEmpty() && established) {
             shutdownOutput();
@@ -312,7 +312,7 @@
         if (count < 0) {
             reading = false;
             updateInterestOps();
-            loop.tap().ended(this);
+            loop.tap().inputEnded(this);
             handler.onEnd(this);
         } else if (count > 0) {
             buffer.flip();
@@ -372,6 +372,6 @@
 
     @Override
     public String toString() {
-        return name + " " + remote();
+        return name + " " + remoteAddress();
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
+++ b/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
@@ -32,7 +32,7 @@
  *
  * <p>A turn is one pass of the loop and has these phases. First, the queued messages run. Then the ready connections
  * are read one after the other, each until no more data is available or a limit is reached. Then new connections are
- * accepted. Then the deferred tasks run, first those of {@link Phase#ENDS}, then those of
+ * accepted. Then the deferred tasks run, first those of {@link Phase#TERMINATIONS}, then those of
  * {@link Phase#DECISIONS} with the expired timers in their order. Finally, connections with queued bytes that have
  * become writable are written to. Because reads come before timers, a response that reached the socket in time is not
  * overtaken by its own timeout after a stall of the process. Because the tasks for closed connections run before
@@ -64,7 +64,7 @@
     /** Phase in which a deferred task runs, after all ready connections of the turn have been read. */
     public enum Phase {
         /** Tasks for what has ended, because a peer has closed its connection or given up. */
-        ENDS,
+        TERMINATIONS,
         /** Tasks that may send something. */
         DECISIONS
     }
@@ -206,7 +206,7 @@
     }
 
     /** Returns the number of timers in the queue, including cancelled ones that were not removed yet. */
-    public int timersKept() {
+    public int queuedTimers() {
         return timers.size();
     }
 
@@ -214,7 +214,7 @@
      * Defers a task until all ready connections of this turn have been read. Must be called on the loop's thread.
      */
     public void defer(Phase phase, Runnable task) {
-        (phase == Phase.ENDS ? terminations : decisions).addLast(task);
+        (phase == Phase.TERMINATIONS ? terminations : decisions).addLast(task);
     }
 
     /** Sets the order in which connections that are ready in the same turn are read, for tests and rehearsals. */
@@ -242,12 +242,12 @@
     }
 
     /** Binds a UDP socket to a loopback address; port 0 selects a free port. Must be called on the loop's thread. */
-    public Datagrams datagrams(InetSocketAddress address, Datagrams.Handler handler) throws IOException {
+    public UdpSocket bindUdp(InetSocketAddress address, UdpSocket.Handler handler) throws IOException {
         DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
         try {
             channel.configureBlocking(false);
             channel.bind(address);
-            Datagrams datagrams = new Datagrams(this, channel, handler);
+            UdpSocket datagrams = new UdpSocket(this, channel, handler);
             datagrams.key = channel.register(selector, SelectionKey.OP_READ, datagrams);
             return datagrams;
         } catch (IOException e) {
@@ -394,7 +394,7 @@
         for (SelectionKey key : ready) {
             if (key.attachment() instanceof Connection c) {
                 readyConnections.add(c);
-            } else if (key.isValid() && key.attachment() instanceof Datagrams datagrams) {
+            } else if (key.isValid() && key.attachment() instanceof UdpSocket datagrams) {
                 runGuarded(() -> datagrams.handleReadable(readBuffer));
             }
         }
@@ -565,7 +565,7 @@
         }
 
         /** Returns whether the last turn accepted all connections that were waiting. */
-        public boolean caughtUp() {
+        public boolean acceptQueueDrained() {
             return acceptQueueDrained;
         }
 
--- a/protocols/src/main/java/calicovale/protocols/net/Tap.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Tap.java
@@ -21,7 +21,7 @@
     default void wrote(Connection connection, ByteBuffer bytes) {}
 
     /** Called when the peer has closed its sending side (half-close). */
-    default void ended(Connection connection) {}
+    default void inputEnded(Connection connection) {}
 
     /** Called when the connection has been closed locally, whichever side caused it. */
     default void closed(Connection connection) {}
--- a/protocols/src/main/java/calicovale/protocols/net/Datagrams.java
+++ b/protocols/src/main/java/calicovale/protocols/net/UdpSocket.java
@@ -11,7 +11,7 @@
  * A UDP socket of an event loop. Datagrams that the system does not accept at once are dropped and counted rather than
  * queued, because the network may drop datagrams anyway. All methods must be called on the loop's thread.
  */
-public final class Datagrams {
+public final class UdpSocket {
 
     /** Receiver of datagrams. */
     public interface Handler {
@@ -24,7 +24,7 @@
     private final Handler handler;
     SelectionKey key;
 
-    Datagrams(EventLoop loop, DatagramChannel channel, Handler handler) {
+    UdpSocket(EventLoop loop, DatagramChannel channel, Handler handler) {
         this.loop = loop;
         this.channel = channel;
         this.handler = handler;
--- a/protocols/src/main/java/calicovale/protocols/signal/Message.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/Message.java
@@ -111,7 +111,7 @@
     }
 
     /** Returns the id of the session. */
-    public long session() {
+    public long sessionId() {
         return sessionId;
     }
 
@@ -158,12 +158,13 @@
     }
 
     /** Returns a session id in its text form: 16 hex digits. */
-    public static String name(long sessionId) {
+    public static String formatSessionId(long sessionId) {
         return HexFormat.of().toHexDigits(sessionId);
     }
 
     @Override
     public String toString() {
-        return type + " " + name(sessionId) + (malformed ? " malformed" : " " + parameterCount + " parameters");
+        return type + " " + formatSessionId(sessionId)
+                + (malformed ? " malformed" : " " + parameterCount + " parameters");
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/SignalException.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/MessageFramingException.java
@@ -1,10 +1,10 @@
 package calicovale.protocols.signal;
 
 /** Thrown for bytes that are not a message; the rest of the stream cannot be parsed. */
-public final class SignalException extends Exception {
+public final class MessageFramingException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    SignalException(String message) {
+    MessageFramingException(String message) {
         super(message);
     }
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
@@ -30,16 +30,16 @@
      * Parses received bytes and passes each complete message to {@code handler}. All of {@code in} is consumed, unless
      * an exception is thrown. After an exception, or after the handler returned false, further bytes are discarded.
      *
-     * @throws SignalException if the length of a message is out of range
+     * @throws MessageFramingException if the length of a message is out of range
      */
-    public void feed(ByteBuffer in, MessageHandler handler) throws SignalException {
+    public void feed(ByteBuffer in, MessageHandler handler) throws MessageFramingException {
         while (in.hasRemaining() && !finished) {
             if (lengthBytesRead < 2) {
                 messageLength = messageLength << 8 | in.get() & 0xff;
                 if (++lengthBytesRead == 2
                         && (messageLength < Message.HEADER_BYTES || messageLength > Message.MAX_BYTES - 2)) {
                     finished = true;
-                    throw new SignalException(
+                    throw new MessageFramingException(
                             "message length " + messageLength + " is outside the accepted range of 9 to 16382 bytes");
                 }
                 continue;
@@ -74,7 +74,7 @@
     }
 
     /** Returns whether a message was received in part. */
-    public boolean midMessage() {
+    public boolean hasPartialMessage() {
         return lengthBytesRead > 0;
     }
 }
--- a/protocols/src/test/java/calicovale/protocols/hls/PlaylistTest.java
+++ b/protocols/src/test/java/calicovale/protocols/hls/PlaylistTest.java
@@ -38,16 +38,16 @@
         Playlist playlist = Playlist.parse(MEDIA);
         assertEquals(MEDIA, playlist.toString());
         assertEquals(7, playlist.number("EXT-X-MEDIA-SEQUENCE", 0));
-        assertEquals(3.96, playlist.entries().get(0).duration());
+        assertEquals(3.96, playlist.entries().get(0).durationSeconds());
         assertTrue(playlist.entries().get(0).has("EXT-X-VENDOR-THING"));
         assertTrue(playlist.entries().get(1).has("EXT-X-DISCONTINUITY"));
-        assertTrue(playlist.ended());
+        assertTrue(playlist.isEnded());
     }
 
     @Test
     void readsVariants() throws HlsException {
         Playlist playlist = Playlist.parse("#EXTM3U\r\n#EXT-X-STREAM-INF:BANDWIDTH=1,CODECS=\"a,b\"\r\nx.m3u8\r\n");
-        assertTrue(playlist.multivariant());
+        assertTrue(playlist.isMultivariant());
         assertEquals(
                 "a,b",
                 Attributes.parse(playlist.entries().get(0).value("EXT-X-STREAM-INF"), 1)
--- a/protocols/src/test/java/calicovale/protocols/http/CmcdTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/CmcdTest.java
@@ -11,7 +11,7 @@
 class CmcdTest {
 
     private static Map<String, String> query(String text) {
-        return Cmcd.of(new HttpHead("GET", "/x?CMCD=" + Percent.encode(text), 0, null, 1, new Headers()));
+        return Cmcd.of(new HttpHead("GET", "/x?CMCD=" + PercentEncoding.encode(text), 0, null, 1, new Headers()));
     }
 
     @Test
--- a/protocols/src/test/java/calicovale/protocols/http/CrossOriginTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/CrossOriginTest.java
@@ -115,7 +115,7 @@
                     request("OPTIONS", "/x", origin + "Access-Control-Request-Method: GET\r\n"));
             assertFalse(preflight.contains("Access-Control-Allow"), preflight);
         }
-        assertFalse(exchange(CrossOrigin.NOBODY, request("GET", "/x", "Origin: " + PAGE_ORIGIN + "\r\n"))
+        assertFalse(exchange(CrossOrigin.DISABLED, request("GET", "/x", "Origin: " + PAGE_ORIGIN + "\r\n"))
                 .contains("Vary"));
     }
 
--- a/protocols/src/test/java/calicovale/protocols/http/EventStreamTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/EventStreamTest.java
@@ -32,7 +32,7 @@
         for (int i = 0; i < data.size(); i++) {
             String twoLines = data.get(i) + "\n" + i;
             text.append(new String(EventStream.event("t" + i, twoLines), StandardCharsets.UTF_8))
-                    .append(new String(EventStream.beat(), StandardCharsets.UTF_8));
+                    .append(new String(EventStream.keepAliveComment(), StandardCharsets.UTF_8));
             expected.add("t" + i + "=" + twoLines);
         }
         assertEquals(expected, read(text.toString().getBytes(StandardCharsets.UTF_8), step));
--- a/protocols/src/test/java/calicovale/protocols/http/HttpParserTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/HttpParserTest.java
@@ -55,7 +55,7 @@
 
     private static List<String> parseAll(boolean requests, String text) throws HttpException {
         RecordingSink sink = new RecordingSink();
-        HttpParser parser = requests ? HttpParser.ofRequests(LIMITS, sink) : HttpParser.ofResponses(LIMITS, sink);
+        HttpParser parser = requests ? HttpParser.forRequests(LIMITS, sink) : HttpParser.forResponses(LIMITS, sink);
         feed(parser, text.getBytes(StandardCharsets.ISO_8859_1));
         parser.eof();
         return sink.events;
@@ -126,7 +126,7 @@
     @Test
     void parsesNothingAfterARefusal() throws HttpException {
         RecordingSink sink = new RecordingSink();
-        HttpParser parser = HttpParser.ofRequests(LIMITS, sink);
+        HttpParser parser = HttpParser.forRequests(LIMITS, sink);
         assertThrows(HttpException.class, () -> feed(parser, "GET /\r\n".getBytes(StandardCharsets.ISO_8859_1)));
         assertThrows(
                 HttpException.class,
@@ -137,7 +137,7 @@
     @Test
     void readsPipelinedRequestsOneByOne() throws HttpException {
         RecordingSink sink = new RecordingSink();
-        HttpParser parser = HttpParser.ofRequests(LIMITS, sink);
+        HttpParser parser = HttpParser.forRequests(LIMITS, sink);
         ByteBuffer in = ByteBuffer.wrap("GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1));
         assertTrue(parser.parse(in));
@@ -166,7 +166,7 @@
         assertEquals(
                 List.of("200 OK 1.0 []", "end until the end"), parseAll(false, "HTTP/1.0 200 OK\r\n\r\nuntil the end"));
         RecordingSink sink = new RecordingSink();
-        HttpParser parser = HttpParser.ofResponses(LIMITS, sink);
+        HttpParser parser = HttpParser.forResponses(LIMITS, sink);
         parser.expectBodilessResponse();
         feed(parser, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
         assertEquals("end ", sink.events.get(1));
@@ -177,9 +177,9 @@
             throws HttpException {
         byte[] bytes = String.join("", messages).getBytes(StandardCharsets.ISO_8859_1);
         RecordingSink wholeSink = new RecordingSink();
-        feed(HttpParser.ofRequests(HttpLimits.DEFAULT, wholeSink), bytes);
+        feed(HttpParser.forRequests(HttpLimits.DEFAULT, wholeSink), bytes);
         RecordingSink splitSink = new RecordingSink();
-        HttpParser parser = HttpParser.ofRequests(HttpLimits.DEFAULT, splitSink);
+        HttpParser parser = HttpParser.forRequests(HttpLimits.DEFAULT, splitSink);
         int start = 0;
         for (int i = 0; start < bytes.length; i++) {
             int size = cuts.isEmpty() ? 1 : 1 + Math.floorMod(cuts.get(i % cuts.size()), 7);
@@ -200,7 +200,7 @@
         }
         RecordingSink sink = new RecordingSink();
         ByteBuffer bytes = HttpWriter.request("POST", "/x", "h:1", headers, body.getBytes(StandardCharsets.ISO_8859_1));
-        HttpParser.ofRequests(HttpLimits.DEFAULT, sink).parse(bytes);
+        HttpParser.forRequests(HttpLimits.DEFAULT, sink).parse(bytes);
         Headers expected = new Headers().add("Host", "h:1");
         for (int i = 0; i < values.size(); i++) {
             expected.add("X-" + i, values.get(i).strip());
@@ -211,7 +211,7 @@
 
     @Property(tries = 1000, seed = "1")
     void arbitraryBytesAreParsedOrRefused(@ForAll byte[] bytes) {
-        HttpParser parser = HttpParser.ofRequests(LIMITS, new RecordingSink());
+        HttpParser parser = HttpParser.forRequests(LIMITS, new RecordingSink());
         try {
             feed(parser, bytes);
         } catch (HttpException e) {
--- a/protocols/src/test/java/calicovale/protocols/net/DescriptorExhaustionMain.java
+++ b/protocols/src/test/java/calicovale/protocols/net/DescriptorExhaustionMain.java
@@ -38,7 +38,7 @@
                     @Override
                     public void onClosed(Connection connection, IOException cause) {
                         outcome.complete(
-                                cause instanceof ConnectFailedException failed && failed.local()
+                                cause instanceof ConnectFailedException failed && failed.notAttempted()
                                         ? "not attempted"
                                         : "failed");
                     }
--- a/protocols/src/test/java/calicovale/protocols/net/EventLoopTest.java
+++ b/protocols/src/test/java/calicovale/protocols/net/EventLoopTest.java
@@ -38,10 +38,10 @@
                 loop.schedule(0, () -> order.add("second timer")).cancel();
                 loop.defer(EventLoop.Phase.DECISIONS, () -> {
                     order.add("decision");
-                    loop.defer(EventLoop.Phase.ENDS, () -> order.add("end deferred by a decision"));
+                    loop.defer(EventLoop.Phase.TERMINATIONS, () -> order.add("end deferred by a decision"));
                 });
                 loop.defer(EventLoop.Phase.DECISIONS, () -> order.add("next decision"));
-                loop.defer(EventLoop.Phase.ENDS, () -> order.add("end"));
+                loop.defer(EventLoop.Phase.TERMINATIONS, () -> order.add("end"));
                 loop.schedule(20, () -> done.complete(null));
             });
             done.join();
@@ -56,7 +56,7 @@
                 for (int i = 0; i < 100_000; i++) {
                     loop.schedule(3_600_000, () -> {}).cancel();
                 }
-                return loop.timersKept();
+                return loop.queuedTimers();
             });
             assertTrue(kept <= 128, kept + " timers are still queued");
         }
@@ -162,7 +162,7 @@
             });
             assertEquals(false, closedDuringCall);
             ConnectFailedException failed = (ConnectFailedException) closeCause.get(20, TimeUnit.SECONDS);
-            assertEquals(false, failed.local());
+            assertEquals(false, failed.notAttempted());
             assertEquals(false, failed.timedOut());
         }
     }
--- a/protocols/src/test/java/calicovale/protocols/signal/SignalParserTest.java
+++ b/protocols/src/test/java/calicovale/protocols/signal/SignalParserTest.java
@@ -22,7 +22,7 @@
     private final List<Message> received = new ArrayList<>();
     private final SignalParser parser = new SignalParser();
 
-    private void feed(String hex) throws SignalException {
+    private void feed(String hex) throws MessageFramingException {
         parser.feed(ByteBuffer.wrap(HexFormat.of().parseHex(hex.replace(" ", ""))), received::add);
     }
 
@@ -42,7 +42,7 @@
             @ForAll @Size(max = 6) List<@Size(max = 300) byte[]> values,
             @ForAll long session,
             @ForAll @IntRange(min = 1, max = 40) int chunkBytes)
-            throws SignalException {
+            throws MessageFramingException {
         Message message = Message.of(MessageType.IAM, session);
         for (int i = 0; i < values.size(); i++) {
             message.with(2 * i + 1, values.get(i));
@@ -60,8 +60,8 @@
             chunkParser.feed(chunk, read::add);
         }
         assertEquals(2, read.size());
-        assertFalse(chunkParser.midMessage());
-        assertEquals(session, read.get(1).session());
+        assertFalse(chunkParser.hasPartialMessage());
+        assertEquals(session, read.get(1).sessionId());
         for (int i = 0; i < values.size(); i++) {
             assertArrayEquals(values.get(i), read.get(1).value(2 * i + 1));
         }
@@ -69,10 +69,10 @@
 
     @Test
     void rejectsAnImpossibleLengthBeforeBufferingAnything() {
-        assertThrows(SignalException.class, () -> feed("0008 01"));
+        assertThrows(MessageFramingException.class, () -> feed("0008 01"));
         SignalParser otherParser = new SignalParser();
         ByteBuffer tooLong = ByteBuffer.wrap(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2});
-        assertThrows(SignalException.class, () -> otherParser.feed(tooLong, received::add));
+        assertThrows(MessageFramingException.class, () -> otherParser.feed(tooLong, received::add));
         ByteBuffer following = ByteBuffer.wrap(new byte[100]);
         org.junit.jupiter.api.Assertions.assertDoesNotThrow(() -> otherParser.feed(following, received::add));
         assertFalse(following.hasRemaining());
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void continuesAfterAMessageWithMalformedParameters() throws SignalException {
+    void continuesAfterAMessageWithMalformedParameters() throws MessageFramingException {
         feed("000e 01 0000000000000001 01 00ff 6161" + "0009 34 0000000000000002");
         assertTrue(received.get(0).malformed());
         assertNull(received.get(0).value(1));
@@ -91,14 +91,14 @@
     }
 
     @Test
-    void treatsInvalidUtf8AndTwoByteCausesAsMissing() throws SignalException {
+    void treatsInvalidUtf8AndTwoByteCausesAsMissing() throws MessageFramingException {
         feed("0012 0c 0000000000000001 010001 ff 1d0002 0101");
         assertNull(received.get(0).text(1));
         assertEquals(-1, received.get(0).cause());
     }
 
     @Test
-    void stopsReadingWhenTheHandlerReturnsFalse() throws SignalException {
+    void stopsReadingWhenTheHandlerReturnsFalse() throws MessageFramingException {
         SignalParser stoppedParser = new SignalParser();
         ByteBuffer twoMessages =
                 ByteBuffer.wrap(HexFormat.of().parseHex("000934000000000000000200093400000000000000" + "03"));
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
@@ -82,7 +82,7 @@
 
     private void beat(EventLoop loop, BodyStream out) {
         loop.schedule(500, () -> {
-            if (out.write(EventStream.beat())) {
+            if (out.write(EventStream.keepAliveComment())) {
                 beat(loop, out);
             }
         });
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/StitchBench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/StitchBench.java
@@ -236,7 +236,7 @@
             reload(front, media, first);
             // a box is asked for the piece at the first of its sessions: whoever was put off then is shown it now
             reload(front, media, histogram());
-            long shown = front.loop().call(() -> front.counters().all().getOrDefault("changes-shown", 0L));
+            long shown = front.loop().call(() -> front.counters().snapshot().getOrDefault("changes-shown", 0L));
             percentiles(kept + " before it was told", before);
             sink.tell("ms of a reload " + kept + " while it is planned, most", during.getMaxValue() / 1e6);
             percentiles(kept + " that begins it", first);
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -1,6 +1,6 @@
 package calicovale.rehearsal.judge;
 
-import calicovale.protocols.http.Percent;
+import calicovale.protocols.http.PercentEncoding;
 import calicovale.protocols.json.Documents;
 import calicovale.rehearsal.judge.PlaylistRules.Range;
 import calicovale.rehearsal.judge.PlaylistRules.Segment;
@@ -133,7 +133,7 @@
         int at = target.indexOf('?');
         for (String part : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
             if (part.startsWith(name + "=")) {
-                return Percent.decode(part.substring(name.length() + 1));
+                return PercentEncoding.decode(part.substring(name.length() + 1));
             }
         }
         return "";
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
@@ -97,7 +97,7 @@
         long from = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
         long told = playlist.number("EXT-X-TARGETDURATION", -1);
         endedBefore = ended;
-        ended = playlist.ended();
+        ended = playlist.isEnded();
         if (told < 1) {
             fault("EXT-X-TARGETDURATION is due");
         }
@@ -174,7 +174,7 @@
             number += broken ? 1 : 0;
             StringBuilder told = new StringBuilder();
             for (Playlist.Line line : entry.lines()) {
-                switch (line.tag() ? line.name() : "") {
+                switch (line.isTag() ? line.name() : "") {
                     case "EXT-X-MAP" -> map = line.value();
                     case "EXT-X-KEY" -> told.append(line).append('\n');
                     case "EXT-X-PROGRAM-DATE-TIME" -> {
@@ -208,8 +208,8 @@
             if (map == null && entry.uri().endsWith(".m4s")) {
                 fault("segment " + sequence + " has no EXT-X-MAP");
             }
-            result.add(new Segment(sequence, entry.uri(), entry.duration(), broken, number, map, keys, date));
-            date += 1000 * entry.duration();
+            result.add(new Segment(sequence, entry.uri(), entry.durationSeconds(), broken, number, map, keys, date));
+            date += 1000 * entry.durationSeconds();
             sequence++;
         }
         if (!dated.isEmpty() && result.stream().anyMatch(s -> Double.isNaN(s.dateMs()))) {
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
@@ -1,7 +1,7 @@
 package calicovale.rehearsal.judge;
 
 import calicovale.ControllerApi.Effect;
-import calicovale.protocols.http.Percent;
+import calicovale.protocols.http.PercentEncoding;
 import calicovale.protocols.json.Documents;
 import calicovale.rehearsal.tape.Entry;
 import calicovale.rehearsal.tape.Entry.Kind;
@@ -122,7 +122,7 @@
         int at = target.indexOf('?');
         for (String part : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
             if (part.startsWith(name + "=")) {
-                return Percent.decode(part.substring(name.length() + 1));
+                return PercentEncoding.decode(part.substring(name.length() + 1));
             }
         }
         return null;
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
@@ -567,7 +567,7 @@
             try {
                 manager.loop()
                         .call(() -> {
-                            Map<String, Long> all = manager.counters().all();
+                            Map<String, Long> all = manager.counters().snapshot();
                             if (manager.peers() != null) {
                                 all.putAll(manager.peers().counters());
                             }
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void ended(Connection c) {
+    public void inputEnded(Connection c) {
         if (ofMembers(c)) {
             return;
         }
@@ -104,8 +104,8 @@
         Wire(Connection c) {
             own = end != null ? end : c.name();
             peer = c.name();
-            requests = HttpParser.ofRequests(LIMITS, new Half(true));
-            responses = HttpParser.ofResponses(LIMITS, new Half(false));
+            requests = HttpParser.forRequests(LIMITS, new Half(true));
+            responses = HttpParser.forResponses(LIMITS, new Half(false));
         }
 
         void add(Entry.Kind kind, String method, String target, int status, String body, long bytes, int exchange) {
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -59,7 +59,7 @@
         try (Stage stage = new Stage(state)) {
             HttpResponse<String> first = stage.ask("contractor-course", "v1");
             assertEquals(200, first.statusCode());
-            assertTrue(Playlist.parse(first.body()).multivariant());
+            assertTrue(Playlist.parse(first.body()).isMultivariant());
             HttpResponse<String> media = stage.get(stage.at(Stage.media(first)));
             assertEquals(200, media.statusCode());
             Playlist playlist = Playlist.parse(media.body());
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -521,7 +521,7 @@
             Playlist piece = Playlist.parse(
                     stage.get(stage.at(asset.substring(0, asset.indexOf('"')))).body());
             assertEquals(3, piece.entries().size());
-            assertTrue(piece.ended());
+            assertTrue(piece.isEnded());
             assertEquals(
                     200, stage.get(URI.create(piece.entries().get(2).uri())).statusCode());
             until(stage, plain, "others have it stitched", StitchTest::storm);
@@ -531,7 +531,7 @@
 
     @Test
     void onlyWhatAListedKeySignedIsTaken() throws Exception {
-        Ed25519.Pair pair = Ed25519.Pair.make();
+        Ed25519.TextKeyPair pair = Ed25519.TextKeyPair.generate();
         try (Stage stage = stage("/service/changeKeys", "{\"ops\": \"" + pair.publicKey() + "\"}")) {
             String document = now("storm-1", "");
             HttpResponse<String> unsigned = tell(stage, "POST", "/v1/changes", document);
--- a/standin/src/main/java/calicovale/standin/BoxDirectory.java
+++ b/standin/src/main/java/calicovale/standin/BoxDirectory.java
@@ -100,7 +100,7 @@
     private void beat(HttpServer of) {
         loop.schedule(beatMs, () -> {
             if (server == of) {
-                new ArrayList<>(streams).forEach(out -> out.write(EventStream.beat()));
+                new ArrayList<>(streams).forEach(out -> out.write(EventStream.keepAliveComment()));
                 beat(of);
             }
         });
@@ -118,7 +118,7 @@
                 BodyStream out = x.stream(200, new Headers().add("Content-Type", "text/event-stream"));
                 out.write(EventStream.event("full", json(visible.values())));
                 streams.add(out);
-                x.onGone(() -> streams.remove(out));
+                x.onPeerClosed(() -> streams.remove(out));
             }
             default -> x.problem(404, "Not Found", "no such resource");
         }
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -247,7 +247,7 @@
                 // a box that did not notice its peer's going does what it was asked all the same, late
                 boolean deaf = faults.deaf;
                 hung.add(() -> {
-                    if (deaf || !x.gone()) {
+                    if (deaf || !x.peerClosed()) {
                         route(x, deaf);
                     }
                 });
@@ -353,7 +353,7 @@
                     now() + settings.setUpMs() * faults.slow + n.path("leaseMs").asDouble(1000);
             held.askedAt = now();
             model.add(held);
-            x.onGone(() -> {
+            x.onPeerClosed(() -> {
                 if (!ghost && !faults.deaf && !gone()) {
                     model.remove(held);
                 }
@@ -366,7 +366,7 @@
             if (gone() || model.get(held.key) != held) {
                 return;
             }
-            if (x.gone()) {
+            if (x.peerClosed()) {
                 // nobody hears that it plays: its lease ends it
                 LOG.info("box {}: set-up {} came to play unheard", settings.id(), held.key);
                 return;
@@ -421,7 +421,7 @@
         }
 
         private void events(Exchange x) {
-            String manager = x.head().query("manager");
+            String manager = x.head().queryParameter("manager");
             if (manager == null) {
                 x.problem(400, "Bad Request", "manager is expected");
                 return;
@@ -440,7 +440,7 @@
                 before.end();
             }
             out.write(EventStream.event("hello", hello.toString()));
-            x.onGone(() -> {
+            x.onPeerClosed(() -> {
                 if (streams.remove(manager, out)) {
                     orphan(manager);
                 }
@@ -522,7 +522,7 @@
                 boolean last = range.whole() && !piece && lectures.last(title, file);
                 Transfer t = new Transfer(held, path, out, part, last, held.ladderKb[rung]);
                 transfers.add(t);
-                x.onGone(() -> {
+                x.onPeerClosed(() -> {
                     if (transfers.remove(t)) {
                         held.sending--;
                         held.askedAt = now();
@@ -612,7 +612,7 @@
 
         private void beat() {
             if (!faults.mute && !faults.hang) {
-                new ArrayList<>(streams.values()).forEach(out -> out.write(EventStream.beat()));
+                new ArrayList<>(streams.values()).forEach(out -> out.write(EventStream.keepAliveComment()));
             }
         }
 
--- a/stitch/src/main/java/calicovale/stitch/ChangeKeys.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeKeys.java
@@ -90,7 +90,7 @@
     public static String sign(String document, String keyName, String privateKey) throws IOException {
         ObjectNode n = (ObjectNode) Documents.MAPPER.readTree(document);
         byte[] signature = Ed25519.sign(Ed25519.privateKey(privateKey), signed(n));
-        n.putObject("signature").put("key", keyName).put("value", Ed25519.text(signature));
+        n.putObject("signature").put("key", keyName).put("value", Ed25519.toBase64Url(signature));
         return canonical(n);
     }
 }
