--- a/front/src/main/java/calicovale/front/player/PieceSetUps.java
+++ b/front/src/main/java/calicovale/front/player/PieceSetUps.java
@@ -12,27 +12,27 @@
 import java.util.Collection;
 import java.util.Map;
 
-/** Owns the set-ups of pieces beside sessions, placed by the controller like any session; no player asks for them. */
-final class PieceSetUps implements Programme.Sessions {
+/** Sets up pieces beside sessions: the controller places them like sessions, but no player requests them. */
+final class PieceSetUps implements ProgrammeChanges.SessionOperations {
     private final EventLoop loop;
     private final FrontSettings settings;
     private final Counters counters;
-    private final SessionTable table;
-    private final SetUps setUps;
+    private final SessionRegistry registry;
+    private final SessionPlacer placer;
     private final ControllerHost host;
 
     PieceSetUps(
             EventLoop loop,
             FrontSettings settings,
             Counters counters,
-            SessionTable table,
-            SetUps setUps,
+            SessionRegistry registry,
+            SessionPlacer placer,
             ControllerHost host) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
-        this.table = table;
-        this.setUps = setUps;
+        this.registry = registry;
+        this.placer = placer;
         this.host = host;
     }
 
@@ -41,58 +41,58 @@
     }
 
     @Override
-    public Collection<Viewing> all() {
-        return table.byToken.values();
+    public Collection<Session> allSessions() {
+        return registry.byToken.values();
     }
 
     @Override
-    public Viewing place(Viewing beside, String title, Holders holders, Runnable changed) {
-        if (table.full() != null) {
+    public Session setUpPiece(Session lectureSession, String title, Holders holders, Runnable stateListener) {
+        if (registry.limitReached() != null) {
             counters.increment("piece-set-ups-held");
             return null;
         }
-        Viewing v = new Viewing(
-                table.newToken(),
-                beside.sessionClass,
-                beside.tenant,
-                beside.viewer,
+        Session session = new Session(
+                registry.newToken(),
+                lectureSession.sessionClass,
+                lectureSession.tenant,
+                lectureSession.viewer,
                 title,
-                beside.top,
-                beside.waitMs,
+                lectureSession.topRung,
+                lectureSession.waitMs,
                 new SessionPlaylist(settings.playlist(), nowMs(), host.nowMs()));
-        v.ofPiece = true;
-        v.beside = beside;
-        v.given = true;
-        v.holders = holders;
-        table.byToken.put(v.token, v);
-        // not from within a reload: the controller's actions may concern the session whose playlist is being written
+        session.forPiece = true;
+        session.lectureSession = lectureSession;
+        session.playlistDelivered = true;
+        session.holders = holders;
+        registry.byToken.put(session.token, session);
+        // deferred, because the controller's actions may affect the session whose playlist is being extended
         loop.schedule(0, () -> {
-            v.changed = changed;
-            setUps.place(v, null, false, false, false);
+            session.stateListener = stateListener;
+            placer.place(session, null, false, false, false);
         });
-        return v;
+        return session;
     }
 
     @Override
-    public void release(Viewing piece) {
+    public void releasePiece(Session piece) {
         loop.schedule(0, () -> {
-            if (piece.state == Viewing.State.PLAYING) {
-                piece.box.release(piece.key());
-                setUps.leave(piece, Outcome.OK, Map.of());
-            } else if (piece.state == Viewing.State.PLACING) {
-                setUps.depart(piece);
+            if (piece.state == Session.State.PLAYING) {
+                piece.box.release(piece.attemptKey());
+                placer.leaveBox(piece, Outcome.OK, Map.of());
+            } else if (piece.state == Session.State.PLACING) {
+                placer.depart(piece);
             }
         });
     }
 
     @Override
-    public void takes(Viewing v, int rung) {
-        String key = v.key();
+    public void reportDeliveryRung(Session session, int rung) {
+        String attemptKey = session.attemptKey();
         loop.schedule(0, () -> {
-            if (v.state == Viewing.State.PLAYING && v.key().equals(key)) {
+            if (session.state == Session.State.PLAYING && session.attemptKey().equals(attemptKey)) {
                 counters.increment("piece-rates-told");
-                v.box.rung(key, rung, ++v.rungChange);
-                host.raise(new Note(v.id, v.attempt, v.box.id(), NoteKind.RUNG, rung));
+                session.box.rung(attemptKey, rung, ++session.rungChangeNumber);
+                host.raise(new Note(session.requestId, session.attempt, session.box.id(), NoteKind.RUNG, rung));
             }
         });
     }
--- a/front/src/main/java/calicovale/front/player/SessionManager.java
+++ b/front/src/main/java/calicovale/front/player/SessionManager.java
@@ -22,260 +22,273 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns the way of a player's exchange to the part that answers it, and those parts: sessions held ({@link SessionTable}), their
- * set-ups ({@link SetUps}), their playlists ({@link Reloads}), programme changes ({@link Programme}), the ledger ({@link
- * SessionKeeper}) and the boxes ({@link BoxNews}). It decides nothing on placement and quality.
+ * Routes players' exchanges to the objects that answer them, and constructs those objects: the sessions ({@link
+ * SessionRegistry}), their set-ups ({@link SessionPlacer}), their playlists ({@link PlaylistRequests}), programme
+ * changes ({@link ProgrammeChanges}), sessions on disk ({@link SessionPersistence}) and events of boxes ({@link
+ * BoxEventHandler}). Placement and quality are decided by the controller, not here.
  */
 public final class SessionManager {
-    /** Characters of a viewer's name: it stands in every step of the ledger. */
-    private static final int MOST_VIEWER_CHARS = 200;
+    /** Upper bound of a viewer's name, in characters; limited because every ledger record of a session contains it. */
+    private static final int MAX_VIEWER_CHARS = 200;
 
     private final EventLoop loop;
     private final FrontSettings settings;
     private final Counters counters;
     private final ControllerHost host;
-    private final SessionTable table;
-    private final PlayerAnswers answers;
-    private final SetUps setUps;
-    private final Reloads reloads;
-    private final Programme programme;
-    private final BoxNews boxes;
+    private final SessionRegistry registry;
+    private final PlayerResponses responses;
+    private final SessionPlacer placer;
+    private final PlaylistRequests playlistRequests;
+    private final ProgrammeChanges programmeChanges;
+    private final BoxEventHandler boxEvents;
     private Supplier<Map<String, Long>> wireCounts = Map::of;
 
-    /** {@code incarnation} names this process among all that had its number. */
+    /**
+     * Creates the manager's session handling and takes over what the ledger recovered.
+     *
+     * @param incarnation distinguishes this process from earlier ones of the same manager number
+     */
     public SessionManager(
             EventLoop loop,
             FrontSettings settings,
-            CommonClock common,
+            CommonClock commonClock,
             RandomGenerator random,
             HttpClient client,
-            ChangeBook changes,
+            ChangeBook changeBook,
             LedgerDesk ledger,
             Counters counters,
             String incarnation) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
-        SourceCache sources = new SourceCache(
+        SourcePlaylistCache sourceCache = new SourcePlaylistCache(
                 settings.bounds().sources(),
                 settings.controller().media().rungKb().size(),
                 counters);
-        table = new SessionTable(loop, settings, random);
-        answers = new PlayerAnswers(settings, counters);
-        boxes = new BoxNews(loop, settings, random, client, counters, table, incarnation);
-        setUps = new SetUps(loop, settings, counters, table, answers, boxes::box, incarnation);
+        registry = new SessionRegistry(loop, settings, random);
+        responses = new PlayerResponses(settings, counters);
+        boxEvents = new BoxEventHandler(loop, settings, random, client, counters, registry, incarnation);
+        placer = new SessionPlacer(loop, settings, counters, registry, responses, boxEvents::box, incarnation);
         host = new ControllerHost(
-                () -> common.at(loop.clock().nanos() / 1e6),
+                () -> commonClock.at(loop.clock().nanos() / 1e6),
                 loop.clock()::nanos,
                 loop::schedule,
                 settings.controller(),
                 settings.seed(),
-                setUps);
-        SessionKeeper keeper = new SessionKeeper(loop, settings, ledger, host::nowMs, counters);
-        programme = new Programme(
+                placer);
+        SessionPersistence persistence = new SessionPersistence(loop, settings, ledger, host::nowMs, counters);
+        programmeChanges = new ProgrammeChanges(
                 loop,
                 settings,
-                changes,
-                sources,
+                changeBook,
+                sourceCache,
                 ledger,
                 host::nowMs,
                 counters,
-                new PieceSetUps(loop, settings, counters, table, setUps, host));
-        reloads = new Reloads(loop, settings, counters, table, answers, sources, keeper, programme, setUps);
-        setUps.with(host, programme, reloads);
-        boxes.with(host, programme, setUps);
-        table.onForgotten(v -> {
-            programme.over(v);
-            if (v.given && !v.ofPiece) {
-                keeper.over(v);
+                new PieceSetUps(loop, settings, counters, registry, placer, host));
+        playlistRequests = new PlaylistRequests(
+                loop, settings, counters, registry, responses, sourceCache, persistence, programmeChanges, placer);
+        placer.setCollaborators(host, programmeChanges, playlistRequests);
+        boxEvents.setCollaborators(host, programmeChanges, placer);
+        registry.setRemovalListener(session -> {
+            programmeChanges.onSessionRemoved(session);
+            if (session.playlistDelivered && !session.forPiece) {
+                persistence.remove(session);
             }
         });
-        ledger.foundShowings().forEach(s -> changes.remember(s.change(), s.name()));
+        ledger.foundShowings().forEach(s -> changeBook.remember(s.change(), s.name()));
     }
 
-    /** The controller's host, for measurements. */
+    /** Returns the controller's host, for measurements. */
     public ControllerHost host() {
         return host;
     }
 
-    /** What the status page shows of the wire beside the sessions' counts. */
+    /** Sets the source of connection counters that {@code /v1/status} lists after the sessions' counters. */
     public void wireCounts(Supplier<Map<String, Long>> counts) {
         wireCounts = counts;
     }
 
-    /** Sessions held, in any state. */
+    /** Returns the number of sessions held, in any state. */
     public int sessions() {
-        return table.byToken.size();
+        return registry.byToken.size();
     }
 
     private double nowMs() {
         return loop.clock().nanos() / 1e6;
     }
 
-    /** Takes one exchange of a player. */
-    public void handle(Exchange x) {
-        String path = x.head().path();
-        String method = x.head().method();
-        boolean reads = method.equals("GET") || method.equals("HEAD");
-        String title = between(path, "/v1/lectures/", "/index.m3u8");
-        String token = between(path, "/s/", "/media.m3u8");
+    /** Answers one exchange of a player, now or once its session is placed. */
+    public void handle(Exchange exchange) {
+        String path = exchange.head().path();
+        String method = exchange.head().method();
+        boolean readOnly = method.equals("GET") || method.equals("HEAD");
+        String title = pathSegmentBetween(path, "/v1/lectures/", "/index.m3u8");
+        String token = pathSegmentBetween(path, "/s/", "/media.m3u8");
         if (title != null) {
             if (method.equals("GET")) {
-                first(x, title);
+                startSession(exchange, title);
             } else {
-                x.problem(405, new Headers().add("Allow", "GET"), "Method Not Allowed", null, "");
+                exchange.problem(405, new Headers().add("Allow", "GET"), "Method Not Allowed", null, "");
             }
         } else if (token != null) {
-            if (reads) {
-                reloads.reload(x, token);
+            if (readOnly) {
+                playlistRequests.handleReload(exchange, token);
             } else {
-                x.problem(405, new Headers().add("Allow", "GET, HEAD"), "Method Not Allowed", null, "");
+                exchange.problem(405, new Headers().add("Allow", "GET, HEAD"), "Method Not Allowed", null, "");
             }
-        } else if (path.matches("/s/[0-9a-f]+/pieces/[A-Za-z0-9._-]+\\.m3u8") && reads) {
-            reloads.piece(
-                    x,
+        } else if (path.matches("/s/[0-9a-f]+/pieces/[A-Za-z0-9._-]+\\.m3u8") && readOnly) {
+            playlistRequests.handlePiecePlaylist(
+                    exchange,
                     path.substring(3, path.indexOf('/', 3)),
                     path.substring(path.lastIndexOf('/') + 1, path.length() - 5));
-        } else if (path.equals("/v1/status") && reads) {
-            status(x);
+        } else if (path.equals("/v1/status") && readOnly) {
+            status(exchange);
         } else {
             counters.increment("not-found");
-            x.problem(404, "Not Found", "no such resource");
+            exchange.problem(404, "Not Found", "no such resource");
         }
     }
 
-    /** The one path segment between a prefix and a suffix, or null. */
-    private static String between(String path, String prefix, String suffix) {
-        int from = prefix.length();
-        int to = path.length() - suffix.length();
-        return to > from && path.startsWith(prefix) && path.endsWith(suffix) && path.indexOf('/', from) == to
-                ? path.substring(from, to)
+    /** Returns the single path segment between a prefix and a suffix, or null if the path has another form. */
+    private static String pathSegmentBetween(String path, String prefix, String suffix) {
+        int start = prefix.length();
+        int end = path.length() - suffix.length();
+        return end > start && path.startsWith(prefix) && path.endsWith(suffix) && path.indexOf('/', start) == end
+                ? path.substring(start, end)
                 : null;
     }
 
-    private void first(Exchange x, String title) {
-        HttpHead head = x.head();
+    /** Checks the parameters of a request for a lecture, creates its session and has it placed. */
+    private void startSession(Exchange exchange, String title) {
+        HttpHead head = exchange.head();
         String className = head.queryParameter("class");
-        int c = className == null ? -1 : settings.classNames().indexOf(className);
-        String named = head.queryParameter("viewer");
-        String viewer = named != null ? named : Cmcd.of(head).getOrDefault("sid", "");
-        boolean tooLong = viewer.length() > MOST_VIEWER_CHARS;
-        if (c < 0 || tooLong || !title.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,99}")) {
+        int classIndex = className == null ? -1 : settings.classNames().indexOf(className);
+        String viewerParameter = head.queryParameter("viewer");
+        String viewer =
+                viewerParameter != null ? viewerParameter : Cmcd.of(head).getOrDefault("sid", "");
+        boolean viewerTooLong = viewer.length() > MAX_VIEWER_CHARS;
+        if (classIndex < 0 || viewerTooLong || !title.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,99}")) {
             counters.increment("bad-requests");
-            x.problem(
+            exchange.problem(
                     400,
                     "Bad Request",
-                    c < 0
+                    classIndex < 0
                             ? "class: one of " + settings.classNames() + " is expected"
-                            : tooLong
-                                    ? "viewer: at most " + MOST_VIEWER_CHARS + " characters are expected"
+                            : viewerTooLong
+                                    ? "viewer: at most " + MAX_VIEWER_CHARS + " characters are expected"
                                     : "title: letters, digits, dots, dashes are expected");
             return;
         }
-        var k = settings.controller().classes().get(c);
-        int top;
-        double wait;
+        var sessionClass = settings.controller().classes().get(classIndex);
+        int topRung;
+        double waitMs;
         try {
             String topText = head.queryParameter("top");
-            top = topText == null ? k.highestRung() : Integer.parseInt(topText);
+            topRung = topText == null ? sessionClass.highestRung() : Integer.parseInt(topText);
             String waitText = head.queryParameter("wait");
-            wait = waitText == null ? k.deadlineMs() : Math.min(k.deadlineMs(), Integer.parseInt(waitText));
+            waitMs = waitText == null
+                    ? sessionClass.deadlineMs()
+                    : Math.min(sessionClass.deadlineMs(), Integer.parseInt(waitText));
         } catch (NumberFormatException e) {
             counters.increment("bad-requests");
-            x.problem(400, "Bad Request", "top and wait: whole numbers are expected");
+            exchange.problem(400, "Bad Request", "top and wait: whole numbers are expected");
             return;
         }
-        if (top < k.lowestRung()) {
+        if (topRung < sessionClass.lowestRung()) {
             counters.increment("bad-requests");
-            x.problem(400, "Bad Request", "top: at least " + k.lowestRung() + " is expected for this class");
+            exchange.problem(
+                    400, "Bad Request", "top: at least " + sessionClass.lowestRung() + " is expected for this class");
             return;
         }
         String tenant = head.queryParameter("tenant");
-        int t = tenant == null ? 0 : settings.tenantNames().indexOf(tenant);
-        if (t < 0) {
+        int tenantIndex = tenant == null ? 0 : settings.tenantNames().indexOf(tenant);
+        if (tenantIndex < 0) {
             counters.increment("bad-requests");
-            x.problem(400, "Bad Request", "tenant: unknown");
+            exchange.problem(400, "Bad Request", "tenant: unknown");
             return;
         }
-        String full = table.full();
-        if (full != null) {
-            counters.increment(full);
-            answers.turnAway(x, null, settings.controller().limits().retryAfterMs());
+        String limitCounter = registry.limitReached();
+        if (limitCounter != null) {
+            counters.increment(limitCounter);
+            responses.refuse(exchange, null, settings.controller().limits().retryAfterMs());
             return;
         }
-        Viewing v = new Viewing(
-                table.newToken(),
-                c,
-                t,
+        Session session = new Session(
+                registry.newToken(),
+                classIndex,
+                tenantIndex,
                 viewer,
                 title,
-                top,
-                wait,
+                topRung,
+                waitMs,
                 new SessionPlaylist(settings.playlist(), nowMs(), host.nowMs()));
-        v.returning = head.queryParameter("returning") != null;
-        v.interstitials = switch (settings.interstitials()) {
+        session.returning = head.queryParameter("returning") != null;
+        session.supportsInterstitials = switch (settings.interstitials()) {
             case NEVER -> false;
             case ASKED -> head.queryParameter("interstitials") != null;
             case ALWAYS -> true;
         };
-        programme.cookies(v, head.headers().getAll("Cookie"));
-        table.byToken.put(v.token, v);
+        programmeChanges.readCookies(session, head.headers().getAll("Cookie"));
+        registry.byToken.put(session.token, session);
         counters.increment("requests-taken");
-        setUps.place(v, x, head.queryParameter("retry") != null, false, v.returning);
+        placer.place(session, exchange, head.queryParameter("retry") != null, false, session.returning);
     }
 
-    private void status(Exchange x) {
-        ObjectNode n = Documents.MAPPER.createObjectNode();
-        n.put("sessions", table.byToken.size()).put("pending", table.pending);
-        ObjectNode counts = n.putObject("counters");
+    private void status(Exchange exchange) {
+        ObjectNode root = Documents.MAPPER.createObjectNode();
+        root.put("sessions", registry.byToken.size()).put("pending", registry.pendingRequests);
+        ObjectNode counts = root.putObject("counters");
         counters.snapshot().forEach(counts::put);
         wireCounts.get().forEach(counts::put);
-        x.respond(200, "application/json", n.toString());
+        exchange.respond(200, "application/json", root.toString());
     }
 
-    /** A change was told or withdrawn. */
+    /** Handles a programme change that was added or withdrawn. */
     public void changesChanged() {
-        programme.changed();
+        programmeChanges.onChangesUpdated();
     }
 
-    /** The version of the book for which every session has been looked at, and the ms that the last such pass took. */
+    /**
+     * Returns the change book's version that the last complete pass over all sessions covers, and its duration in ms.
+     */
     public double[] changesPlanned() {
-        return new double[] {programme.planned(), programme.passMs()};
+        return new double[] {programmeChanges.completedPassVersion(), programmeChanges.lastPassMs()};
     }
 
-    /** How a change fared here, as JSON: sessions that were shown it, wait for it, had it left out, or cut. */
-    public ObjectNode changeTally(String id) {
-        Programme.Tally t = programme.tally(id);
+    /** Returns, as JSON, how many sessions were shown a change, wait for it, left it out, or had it cut short. */
+    public ObjectNode changeTally(String changeId) {
+        ProgrammeChanges.ChangeCounts counts = programmeChanges.changeCounts(changeId);
         return Documents.MAPPER
                 .createObjectNode()
-                .put("shown", t.shown)
-                .put("waited", t.waited)
-                .put("leftOut", t.leftOut)
-                .put("cut", t.cut);
+                .put("shown", counts.shown)
+                .put("waited", counts.waited)
+                .put("leftOut", counts.leftOut)
+                .put("cut", counts.cut);
     }
 
-    /** Moves a playing session as the controller's action does, by the id of its request: for rehearsals. */
-    public void move(String id) {
-        setUps.move(id);
+    /** Moves a playing session to another box as the controller's action does, by its request id; for rehearsals. */
+    public void move(String requestId) {
+        placer.move(requestId);
     }
 
-    /** Sets the rung of a session as the controller's action does: for rehearsals. */
-    public void rung(String id, int rung) {
-        setUps.rung(id, rung);
+    /** Sets the rung of a session as the controller's action does, by its request id; for rehearsals. */
+    public void rung(String requestId, int rung) {
+        placer.rung(requestId, rung);
     }
 
-    /** Takes news of the list. */
+    /** Applies a new list of boxes from the directory, with their addresses by box number. */
     public void onList(ServerList list, Map<Long, InetSocketAddress> addresses) {
-        boxes.onList(list, addresses);
+        boxEvents.onList(list, addresses);
     }
 
-    /** Takes no new requests; {@code done} runs once every answer owed has been given. */
+    /** Refuses new requests from now on; {@code done} runs once all pending requests are answered. */
     public void drain(Runnable done) {
-        table.drain(done);
+        registry.drain(done);
     }
 
-    /** Lets all sessions go at their boxes: they end with their manager. */
+    /** Releases all playing sessions at their boxes, because they end with their manager. */
     public void releaseAll() {
-        table.playingAt.forEach((box, there) -> there.forEach(v -> box.release(v.key())));
+        registry.playingByBox.forEach((box, there) -> there.forEach(session -> box.release(session.attemptKey())));
     }
 }
--- /dev/null
+++ b/front/src/main/java/calicovale/front/player/SessionPersistence.java
@@ -0,0 +1,191 @@
+package calicovale.front.player;
+
+import calicovale.front.ledger.LedgerDesk;
+import calicovale.front.playlist.SessionPlaylist;
+import calicovale.front.playlist.Source;
+import calicovale.front.settings.FrontSettings;
+import calicovale.host.Counters;
+import calicovale.protocols.net.EventLoop;
+import calicovale.stitch.SessionLedger.Entry;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.DoubleSupplier;
+
+/**
+ * Records sessions in the ledger and restores them after a restart. Media and discontinuity sequence numbers are
+ * reserved on disk before a playlist may use them, some in advance so that few reloads wait for the disk. A restored
+ * session continues above all numbers that may have been sent.
+ */
+final class SessionPersistence {
+    /**
+     * Number of segments for which sequence numbers are reserved at once. A new reservation starts when less than half
+     * is left, so a session takes about one ledger record per half of this.
+     */
+    private static final int RESERVED_SEGMENTS = 32;
+
+    private final EventLoop loop;
+    private final FrontSettings settings;
+    private final LedgerDesk ledger;
+    private final DoubleSupplier commonTimeMs;
+    private final Counters counters;
+    private final Map<String, Entry> unclaimedEntries = new HashMap<>();
+    private final double previousAliveMs;
+
+    /** Takes over the sessions that the ledger recovered; those that are not reloaded in time are dropped. */
+    SessionPersistence(
+            EventLoop loop, FrontSettings settings, LedgerDesk ledger, DoubleSupplier commonTimeMs, Counters counters) {
+        this.loop = loop;
+        this.settings = settings;
+        this.ledger = ledger;
+        this.commonTimeMs = commonTimeMs;
+        this.counters = counters;
+        previousAliveMs = ledger.foundAliveMs();
+        ledger.foundEntries().forEach(e -> unclaimedEntries.put(e.token(), e));
+        if (!unclaimedEntries.isEmpty()) {
+            loop.execute(() -> loop.schedule(settings.times().foundKept(), this::dropUnclaimedEntries));
+        }
+    }
+
+    private void dropUnclaimedEntries() {
+        List<String> tokens = new ArrayList<>(unclaimedEntries.keySet());
+        tokens.forEach(ledger::over);
+        unclaimedEntries.clear();
+        if (!tokens.isEmpty()) {
+            counters.increment("sessions-not-back");
+        }
+    }
+
+    private double nowMs() {
+        return loop.clock().nanos() / 1e6;
+    }
+
+    /**
+     * Returns whether a session's playlist may be sent as it is; if not, a reservation that covers it is being written.
+     */
+    boolean isCovered(Session session) {
+        if (!ledger.on() || session.lecture == null) {
+            return true;
+        }
+        SessionPlaylist playlist = session.playlist;
+        boolean covered = playlist.nextSequence() <= session.reservation.mediaSequenceLimit
+                && playlist.number() <= session.reservation.discontinuitySequenceLimit
+                && playlist.endDateMs()
+                        <= latestDateMs(
+                                session.reservation.dateMs, session.reservation.recordedAtMs, playlist.targetS());
+        boolean sufficient = covered
+                && playlist.nextSequence() + RESERVED_SEGMENTS / 2 <= session.reservation.mediaSequenceLimit
+                && playlist.number() + 2 <= session.reservation.discontinuitySequenceLimit;
+        if (!sufficient && !session.reservation.writePending) {
+            reserve(session);
+        }
+        return covered;
+    }
+
+    /** Writes a new reservation, which takes effect once it is on disk. */
+    private void reserve(Session session) {
+        SessionPlaylist playlist = session.playlist;
+        Session.Reservation next = new Session.Reservation();
+        next.mediaSequenceLimit = playlist.nextSequence() + RESERVED_SEGMENTS;
+        next.discontinuitySequenceLimit = playlist.number() + RESERVED_SEGMENTS / 4;
+        next.dateMs = playlist.endDateMs();
+        next.recordedAtMs = commonTimeMs.getAsDouble();
+        session.reservation.writePending = true;
+        ledger.keep(ledgerEntry(session, next));
+        ledger.whenKept(() -> {
+            next.writePending = false;
+            session.reservation = next;
+        });
+    }
+
+    private Entry ledgerEntry(Session session, Session.Reservation reservation) {
+        String tenant =
+                settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(session.tenant);
+        return new Entry(
+                session.token,
+                settings.classNames().get(session.sessionClass),
+                tenant,
+                session.viewer,
+                session.title,
+                session.topRung,
+                session.waitMs,
+                reservation.mediaSequenceLimit,
+                reservation.discontinuitySequenceLimit,
+                session.playlist.segmentAt(session.lecture, nowMs()),
+                session.playlist.targetS(),
+                reservation.dateMs,
+                reservation.recordedAtMs);
+    }
+
+    /**
+     * Returns the latest program date-time that a playlist may have reached by now, in ms: the recorded date moved on
+     * by the time since, plus one window.
+     */
+    private double latestDateMs(double dateMs, double recordedAtMs, long targetS) {
+        return dateMs
+                + Math.max(0, commonTimeMs.getAsDouble() - recordedAtMs)
+                + 1000.0 * (settings.playlist().ahead() + 2) * targetS;
+    }
+
+    /** Calls {@code body} once all records passed to the ledger so far are on disk, or after a timeout without them. */
+    void whenDurable(Runnable body) {
+        boolean[] done = new boolean[1];
+        Runnable once = () -> {
+            if (!done[0]) {
+                done[0] = true;
+                body.run();
+            }
+        };
+        ledger.whenKept(once);
+        loop.schedule(settings.times().stitchWait(), () -> {
+            if (!done[0]) {
+                counters.increment("sessions-log-behind");
+                once.run();
+            }
+        });
+    }
+
+    /** Records that a session has ended and must not be restored. */
+    void remove(Session session) {
+        ledger.over(session.token);
+    }
+
+    /** Restores a session of the previous process; null if it is unknown or its class or tenant no longer exists. */
+    Session restore(String token) {
+        Entry entry = unclaimedEntries.remove(token);
+        int classIndex = entry == null ? -1 : settings.classNames().indexOf(entry.sessionClass());
+        int tenantIndex = entry == null || entry.tenant().isEmpty()
+                ? 0
+                : settings.tenantNames().indexOf(entry.tenant());
+        if (classIndex < 0 || tenantIndex < 0) {
+            return null;
+        }
+        SessionPlaylist playlist = new SessionPlaylist(
+                settings.playlist(),
+                nowMs(),
+                commonTimeMs.getAsDouble(),
+                new SessionPlaylist.Progress(
+                        entry.sequence(),
+                        entry.number(),
+                        entry.segment(),
+                        entry.targetS(),
+                        latestDateMs(entry.dateMs(), entry.atMs(), entry.targetS())));
+        Session session = new Session(
+                token, classIndex, tenantIndex, entry.viewer(), entry.title(), entry.top(), entry.waitMs(), playlist);
+        session.playlistDelivered = true;
+        session.returning = true;
+        session.state = Session.State.LOST;
+        session.elapsedSinceRecordMs = Math.max(0, previousAliveMs - entry.atMs());
+        counters.increment("sessions-back");
+        return session;
+    }
+
+    /** Moves a restored session's playlist, once, to where the lecture was when the previous process ended. */
+    static void resumeLecture(Session session, Source lecture) {
+        if (session.elapsedSinceRecordMs >= 0) {
+            session.playlist.goOn(lecture, session.elapsedSinceRecordMs);
+            session.elapsedSinceRecordMs = -1;
+        }
+    }
+}
--- a/front/src/main/java/calicovale/front/player/ShownCookie.java
+++ b/front/src/main/java/calicovale/front/player/ShownChangesCookie.java
@@ -17,27 +17,31 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Owns the cookie (RFC 6265) by which a viewer itself carries to another manager what it was shown, since managers share
- * nothing: signed (HMAC-SHA-256) with a key that only the settings share, and good for that viewer alone. One that is
- * forged, foreign or malformed counts as none.
+ * Writes and reads the cookie (RFC 6265) that tells another manager which programme changes a viewer was shown, because
+ * managers share no state. It is signed (HMAC-SHA-256) with a key from the settings and valid for one viewer only. A
+ * cookie that is forged, of another viewer or malformed is ignored.
  */
-final class ShownCookie {
+final class ShownChangesCookie {
     private static final String NAME = "calicovale-shown";
-    /** Bytes of the largest cookie taken: what browsers keep at least (RFC 6265, 6.1). */
-    private static final int MOST_CHARS = 4096;
-    /** Showings that a cookie carries: the last ones, about 3 kB of the longest names. */
-    private static final int MOST_SHOWINGS = 12;
+    /**
+     * Upper bound of the value of an accepted cookie, in characters; browsers keep at least 4096 bytes (RFC 6265, 6.1).
+     */
+    private static final int MAX_COOKIE_CHARS = 4096;
+    /** Upper bound of showings in a cookie, the last ones; 12 with the longest names take about 3 kB. */
+    private static final int MAX_SHOWINGS = 12;
 
+    /** Lifetime of the cookie, in seconds. */
     private static final int MAX_AGE_S = 86_400;
 
     private final SecretKeySpec key;
 
-    /** {@code key} at least 16 bytes. */
-    ShownCookie(byte[] key) {
+    /** Creates the cookie's writer and reader; {@code key} has at least 16 bytes. */
+    ShownChangesCookie(byte[] key) {
         this.key = new SecretKeySpec(key, "HmacSHA256");
     }
 
-    private String mac(String text) {
+    /** Returns the signature of a text, in base64url without padding. */
+    private String sign(String text) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(key);
@@ -49,50 +53,52 @@
         }
     }
 
-    /** The value of Set-Cookie for what a viewer was shown. */
-    String set(String viewer, Collection<Showing> showings) {
-        ObjectNode n = Documents.MAPPER.createObjectNode().put("v", viewer);
-        ArrayNode list = n.putArray("s");
+    /** Returns the value of the Set-Cookie header for the showings of a viewer. */
+    String toSetCookie(String viewer, Collection<Showing> showings) {
+        ObjectNode root = Documents.MAPPER.createObjectNode().put("v", viewer);
+        ArrayNode list = root.putArray("s");
         showings.stream()
-                .skip(Math.max(0, showings.size() - MOST_SHOWINGS))
+                .skip(Math.max(0, showings.size() - MAX_SHOWINGS))
                 .forEach(s -> list.addArray().add(s.change()).add(s.name()));
         String text = Base64.getUrlEncoder()
                 .withoutPadding()
-                .encodeToString(n.toString().getBytes(StandardCharsets.UTF_8));
-        return NAME + "=" + text + "." + mac(text) + "; Path=/; Max-Age=" + MAX_AGE_S + "; HttpOnly; SameSite=Lax";
+                .encodeToString(root.toString().getBytes(StandardCharsets.UTF_8));
+        return NAME + "=" + text + "." + sign(text) + "; Path=/; Max-Age=" + MAX_AGE_S + "; HttpOnly; SameSite=Lax";
     }
 
-    /** What a viewer's cookies say that it was shown; null: a cookie of this name is no good. */
+    /**
+     * Returns the showings in a viewer's cookies, empty without a cookie of this name; null if that cookie is invalid.
+     */
     List<Showing> read(String viewer, List<String> cookieHeaders) {
         for (String header : cookieHeaders) {
             for (String part : header.split(";")) {
                 String pair = part.trim();
                 if (pair.startsWith(NAME + "=")) {
-                    return value(viewer, pair.substring(NAME.length() + 1));
+                    return parseValue(viewer, pair.substring(NAME.length() + 1));
                 }
             }
         }
         return List.of();
     }
 
-    private List<Showing> value(String viewer, String value) {
+    private List<Showing> parseValue(String viewer, String value) {
         int dot = value.indexOf('.');
-        if (dot < 0 || value.length() > MOST_CHARS) {
+        if (dot < 0 || value.length() > MAX_COOKIE_CHARS) {
             return null;
         }
         String text = value.substring(0, dot);
         if (!MessageDigest.isEqual(
-                mac(text).getBytes(StandardCharsets.US_ASCII),
+                sign(text).getBytes(StandardCharsets.US_ASCII),
                 value.substring(dot + 1).getBytes(StandardCharsets.ISO_8859_1))) {
             return null;
         }
         try {
-            JsonNode n = Documents.MAPPER.readTree(Base64.getUrlDecoder().decode(text));
-            if (!n.path("v").asText().equals(viewer)) {
+            JsonNode root = Documents.MAPPER.readTree(Base64.getUrlDecoder().decode(text));
+            if (!root.path("v").asText().equals(viewer)) {
                 return null;
             }
             List<Showing> result = new ArrayList<>();
-            n.path("s")
+            root.path("s")
                     .forEach(s ->
                             result.add(new Showing(s.path(0).asText(), s.path(1).asText())));
             return result;
--- a/front/src/main/java/calicovale/front/player/package-info.java
+++ b/front/src/main/java/calicovale/front/player/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns the talk with players: requests, answers and session playlists over HTTP. It must not choose a box or rung.
+ * Serves players over HTTP: session requests, answers and session playlists. It must not choose a box or rung, which is
+ * left to the controller.
  */
 package calicovale.front.player;
--- a/front/src/test/java/calicovale/front/player/ShownCookieTest.java
+++ b/front/src/test/java/calicovale/front/player/ShownChangesCookieTest.java
@@ -9,47 +9,48 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ShownCookieTest {
-    private final ShownCookie cookie = new ShownCookie(new byte[16]);
+class ShownChangesCookieTest {
+    private final ShownChangesCookie cookie = new ShownChangesCookie(new byte[16]);
 
-    private static String pair(String set) {
-        return set.substring(0, set.indexOf(';'));
+    /** Returns the name and value of a Set-Cookie header, without its attributes. */
+    private static String pair(String setCookie) {
+        return setCookie.substring(0, setCookie.indexOf(';'));
     }
 
     @Test
-    void whatWasSetIsReadBackByThatViewerAlone() {
+    void onlyTheSameViewerAndKeyReadTheShowings() {
         List<Showing> showings = List.of(new Showing("storm", "v ann"), new Showing("rebate", "r t1 ann"));
-        String pair = pair(cookie.set("ann", showings));
+        String pair = pair(cookie.toSetCookie("ann", showings));
         assertEquals(showings, cookie.read("ann", List.of("a=b; " + pair + "; c=d")));
         assertEquals(List.of(), cookie.read("ann", List.of("a=b")));
         assertNull(cookie.read("bob", List.of(pair)));
         assertNull(
-                new ShownCookie("another key of 20 b.".getBytes(java.nio.charset.StandardCharsets.US_ASCII))
+                new ShownChangesCookie("another key of 20 b.".getBytes(java.nio.charset.StandardCharsets.US_ASCII))
                         .read("ann", List.of(pair)),
-                "another installation's key");
+                "signed with another key");
     }
 
     @Test
-    void oneThatIsAlteredAnywhereIsNone() {
-        String pair = pair(cookie.set("ann", List.of(new Showing("storm", "v ann"))));
+    void alteredOrMalformedCookiesAreRejected() {
+        String pair = pair(cookie.toSetCookie("ann", List.of(new Showing("storm", "v ann"))));
         for (int i = "calicovale-shown=".length(); i < pair.length(); i++) {
             char other = pair.charAt(i) == 'A' ? 'Q' : 'A';
             assertNull(
                     cookie.read("ann", List.of(pair.substring(0, i) + other + pair.substring(i + 1))),
                     "altered at " + i);
         }
-        for (String none : List.of("", ".", "x", "x.y", "a".repeat(5000))) {
-            assertNull(cookie.read("ann", List.of("calicovale-shown=" + none)), none);
+        for (String malformed : List.of("", ".", "x", "x.y", "a".repeat(5000))) {
+            assertNull(cookie.read("ann", List.of("calicovale-shown=" + malformed)), malformed);
         }
     }
 
     @Test
-    void itStaysWithinWhatBrowsersKeep() {
+    void theCookieKeepsTheLastShowingsWithinTheSizeThatBrowsersStore() {
         List<Showing> many = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             many.add(new Showing("c".repeat(97) + (100 + i), "v ann"));
         }
-        String set = cookie.set("ann", many);
+        String set = cookie.toSetCookie("ann", many);
         assertTrue(pair(set).length() <= 4096, pair(set).length() + " characters");
         assertEquals(many.subList(38, 50), cookie.read("ann", List.of(pair(set))));
     }
