--- a/front/src/main/java/calicovale/front/player/PlaylistRequests.java
+++ b/front/src/main/java/calicovale/front/player/PlaylistRequests.java
@@ -84,7 +84,7 @@
             case PLAYING -> sendPlaylist(session, exchange, true);
             case PLACING -> placer.addWaitingExchange(session, exchange);
             case ENDED, LOST -> {
-                if (session.playlist.complete()) {
+                if (session.playlist.isComplete()) {
                     sendPlaylist(session, exchange, false);
                 } else if (registry.draining
                         || registry.pendingRequests >= settings.bounds().pending()) {
@@ -174,7 +174,7 @@
     /** Sends the playlist of a piece that a session's player plays as an interstitial. */
     void handlePiecePlaylist(Exchange exchange, String token, String changeId) {
         Session session = registry.byToken.get(token);
-        Piece piece = session == null ? null : session.playlist.planned(changeId);
+        Piece piece = session == null ? null : session.playlist.plannedPiece(changeId);
         if (piece == null) {
             counters.increment("not-found");
             exchange.problem(404, "Not Found", "no such piece in a session here");
--- a/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
+++ b/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
@@ -259,7 +259,9 @@
 
     /** Returns the stitcher that selects the pieces put between the segments of a session's lecture. */
     Piece.Stitcher stitcher(Session session) {
-        if (changeBook.isEmpty() && session.programmeState.recordedChange == null && !session.playlist.planned()) {
+        if (changeBook.isEmpty()
+                && session.programmeState.recordedChange == null
+                && !session.playlist.hasPlannedPieces()) {
             return Piece.Stitcher.NONE;
         }
         return new Piece.Stitcher() {
@@ -405,7 +407,7 @@
     /** Returns whether a piece can be put into a session's playlist without altering tags that were already sent. */
     private boolean isCompatible(Session session, Piece piece) {
         // the target duration must not change (RFC 8216, 6.2.1), and an EXT-X-MAP can't be revoked (4.3.2.5)
-        return piece.interstitial()
+        return piece.isInterstitial()
                 || piece.source().targetS() <= session.playlist.targetS()
                         && piece.source().hasMap() == session.lecture.hasMap();
     }
@@ -433,7 +435,9 @@
         }
         Source source = sourceCache.get(change.title(), rendition.rung());
         int resumeSegment = change.replaceS() > 0
-                ? Math.max(segment + 1, session.lecture.boundaryAt(session.lecture.startS(segment) + change.replaceS()))
+                ? Math.max(
+                        segment + 1,
+                        session.lecture.nearestBoundary(session.lecture.startS(segment) + change.replaceS()))
                 : segment;
         String assetUri =
                 session.supportsInterstitials ? "/s/" + session.token + "/pieces/" + change.id() + ".m3u8" : null;
@@ -475,7 +479,7 @@
         return new Piece(
                 current.id(),
                 current.rung(),
-                current.base(),
+                current.baseUri(),
                 current.source(),
                 piece.from(),
                 piece.to(),
@@ -557,12 +561,12 @@
         } else if (pieceSetUp.state != Session.State.PLACING) {
             boolean listed = pieceSetUp.startedAtMs > 0
                     && session.state == Session.State.PLAYING
-                    && session.playlist.shows(changeId);
+                    && session.playlist.listsPiece(changeId);
             session.programmeState.pieceSetUps.remove(changeId);
             if (listed) {
                 // its box was lost or ended it: the rest of the piece is dropped and the lecture continues
                 counters.increment("pieces-lost");
-                session.playlist.leaveOut(session.lecture, changeId, nowMs());
+                session.playlist.dropPiece(session.lecture, changeId, nowMs());
             }
         }
     }
@@ -574,13 +578,13 @@
             for (Map.Entry<String, Session> entry : new ArrayList<>(state.pieceSetUps.entrySet())) {
                 boolean stillDue = state.candidates.stream().anyMatch(c -> c.id().equals(entry.getKey()))
                         || entry.getKey().equals(state.recordedChange);
-                if (!stillDue && !session.playlist.shows(entry.getKey())) {
+                if (!stillDue && !session.playlist.listsPiece(entry.getKey())) {
                     state.pieceSetUps.remove(entry.getKey());
                     sessionOperations.releasePiece(entry.getValue());
                 }
             }
         }
-        Piece lastPiece = session.playlist.last();
+        Piece lastPiece = session.playlist.lastPiece();
         int deliveryRung = lastPiece == null || state.pieceSetUps.containsKey(lastPiece.id())
                 ? session.rung
                 : ladderRungFor(session, lastPiece);
--- a/front/src/main/java/calicovale/front/player/SessionPersistence.java
+++ b/front/src/main/java/calicovale/front/player/SessionPersistence.java
@@ -184,7 +184,7 @@
     /** Moves a restored session's playlist, once, to where the lecture was when the previous process ended. */
     static void resumeLecture(Session session, Source lecture) {
         if (session.elapsedSinceRecordMs >= 0) {
-            session.playlist.goOn(lecture, session.elapsedSinceRecordMs);
+            session.playlist.skipElapsed(lecture, session.elapsedSinceRecordMs);
             session.elapsedSinceRecordMs = -1;
         }
     }
--- a/front/src/main/java/calicovale/front/playlist/Piece.java
+++ b/front/src/main/java/calicovale/front/playlist/Piece.java
@@ -4,142 +4,160 @@
 import java.util.Locale;
 
 /**
- * A piece that a session's playlist puts at a boundary of its lecture.
+ * A piece that is stitched into a session's playlist at a boundary of its lecture.
  *
- * @param id of the change that it belongs to
- * @param rung of its rendition
- * @param base where its segments are
+ * @param id id of its programme change
+ * @param rung rung of its rendition
+ * @param baseUri URI below which its segments are
  * @param source its segments
- * @param from the lecture's segment before which it stands
- * @param to the lecture's segment that follows it: {@code from} where it is inserted, a later one where it replaces a stretch
- * @param asset null: its segments are put into the playlist; else the URI of its own playlist, which the player plays as an
- *        interstitial
+ * @param from the lecture's segment before which it is put
+ * @param to the lecture's segment that follows it: equal to {@code from} if the piece is inserted, later if it replaces
+ *     segments of the lecture
+ * @param asset URI of its own playlist, which the player plays as an HLS interstitial; null if its segments are put
+ *     into the session's playlist
  */
-public record Piece(String id, int rung, String base, Source source, int from, int to, String asset) {
-    /** The answer of a {@link Stitcher} that can't be given yet. */
+public record Piece(String id, int rung, String baseUri, Source source, int from, int to, String asset) {
+    /** Returned by a {@link Stitcher} that can't decide yet; compared by identity. */
     public static final Piece WAIT = new Piece("", 0, "", null, 0, 0, null);
 
-    private static final long DAY_MS = 86_400_000;
+    private static final long MS_PER_DAY = 86_400_000;
 
-    /** Says what is put before a segment of the lecture. */
+    /** Selects the pieces that are put between the segments of a lecture. */
     public interface Stitcher {
-        /** Nothing is put in. */
+        /** Puts in no piece. */
         Stitcher NONE = (segment, boundaryS, boundaryMs) -> null;
 
         /**
-         * The piece to put before a segment that begins at a place and will play at a time; null: none; {@link Piece#WAIT}:
-         * ask again, nothing is added until then.
+         * Returns the piece to put before a segment; null if there is none. After {@link Piece#WAIT} nothing is added,
+         * and the caller has to extend the playlist again later.
+         *
+         * @param boundaryS start of the segment in the lecture, in seconds
+         * @param boundaryMs monotonic time at which the boundary will play, in ms
          */
         Piece before(int segment, double boundaryS, double boundaryMs);
 
-        /** A piece that was put in and not played to its end, from where it is to be had now; null: it is left out. */
+        /**
+         * Returns a piece that was put in but not played to its end, at the box that has it now; null to leave it out,
+         * or {@link Piece#WAIT}.
+         */
         default Piece again(Piece piece) {
             return null;
         }
 
-        /** The rendition with which a piece goes on: itself, or one with the same segments at another rung. */
+        /**
+         * Returns the rendition with which a piece continues: the same, or one at another rung with as many segments.
+         */
         default Piece onward(Piece piece) {
             return piece;
         }
     }
 
-    /** Whether the player plays it beside the playlist. */
-    public boolean interstitial() {
+    /** Returns whether the player plays it as an interstitial, from a playlist of its own. */
+    public boolean isInterstitial() {
         return asset != null;
     }
 
-    /** Its length in ms. */
+    /** Returns its length in ms. */
     public double lengthMs() {
         return 1000 * source.lengthS();
     }
 
-    /** How much later the lecture goes on because of an interstitial. */
-    double heldMs(Source lecture) {
+    /** Returns by how much an interstitial delays the lecture, in ms; negative if it replaces a longer part. */
+    double lectureDelayMs(Source lecture) {
         return lengthMs() - 1000 * (lecture.startS(to) - lecture.startS(from));
     }
 
     /**
-     * The EXT-X-DATERANGE line that marks it.
+     * Returns the EXT-X-DATERANGE line that marks its segments in the session's playlist.
      *
-     * @param number tells apart two times that it is begun
-     * @param fromS seconds of the piece that were shown before, at a box that was lost
-     * @param listedS its length as it was listed, told once it is over: a loss may cut it; negative: it is not over
+     * @param dateMs program date-time of its start, in ms
+     * @param sequence media sequence number of its first segment; makes the range's ID unique if the piece begins again
+     * @param skippedS length of its part that was listed before, at a box that was lost, in seconds
+     * @param listedS length that was listed, in seconds, which a loss may have cut short; negative while it is not
+     *     complete
      */
-    String dateRange(double dateMs, long number, double fromS, double listedS) {
-        Attributes range = range("org.calicovale.change", dateMs, number)
-                .setUnquoted("PLANNED-DURATION", seconds(source.lengthS() - fromS));
-        return line(listedS < 0 ? range : range.setUnquoted("DURATION", seconds(listedS)));
+    String dateRangeTag(double dateMs, long sequence, double skippedS, double listedS) {
+        Attributes attributes = dateRangeAttributes("org.calicovale.change", dateMs, sequence)
+                .setUnquoted("PLANNED-DURATION", seconds(source.lengthS() - skippedS));
+        return dateRangeLine(listedS < 0 ? attributes : attributes.setUnquoted("DURATION", seconds(listedS)));
     }
 
-    /** The EXT-X-DATERANGE line by which a player plays it as an interstitial, in place of so many seconds. */
-    String interstitial(double dateMs, long number, double replacedS) {
-        return line(range("com.apple.hls.interstitial", dateMs, number)
+    /**
+     * Returns the EXT-X-DATERANGE line that has a player play it as an interstitial.
+     *
+     * @param replacedS length of the lecture that it replaces, in seconds
+     */
+    String interstitialTag(double dateMs, long sequence, double replacedS) {
+        return dateRangeLine(dateRangeAttributes("com.apple.hls.interstitial", dateMs, sequence)
                 .setUnquoted("DURATION", seconds(source.lengthS()))
                 .setQuoted("X-ASSET-URI", asset)
                 .setUnquoted("X-RESUME-OFFSET", seconds(replacedS))
                 .setQuoted("X-RESTRICT", "SKIP,JUMP"));
     }
 
-    private Attributes range(String kind, double dateMs, long number) {
+    private Attributes dateRangeAttributes(String rangeClass, double dateMs, long sequence) {
         return new Attributes()
-                .setQuoted("ID", id + "-" + number)
-                .setQuoted("CLASS", kind)
-                .setQuoted("START-DATE", date(dateMs));
+                .setQuoted("ID", id + "-" + sequence)
+                .setQuoted("CLASS", rangeClass)
+                .setQuoted("START-DATE", formatDate(dateMs));
     }
 
-    private static String line(Attributes range) {
-        return "#EXT-X-DATERANGE:" + range + "\n";
+    private static String dateRangeLine(Attributes attributes) {
+        return "#EXT-X-DATERANGE:" + attributes + "\n";
     }
 
-    /** The piece's own playlist, whole, for a player that plays it as an interstitial. */
+    /** Returns the piece's own playlist, for a player that plays it as an interstitial. */
     public String render() {
         StringBuilder out = new StringBuilder(
                         "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:")
                 .append(source.targetS())
                 .append("\n#EXT-X-PLAYLIST-TYPE:VOD\n");
-        Source.State state = new Source.State();
+        Source.TagState state = new Source.TagState();
         for (int i = 0; i < source.count(); i++) {
-            if (source.broken(i)) {
+            if (source.hasDiscontinuity(i)) {
                 out.append("#EXT-X-DISCONTINUITY\n");
                 state.discontinuity();
             }
-            source.write(out, i, base, state);
+            source.write(out, i, baseUri, state);
         }
         return out.append("#EXT-X-ENDLIST\n").toString();
     }
 
-    private static String date(double ms) {
+    private static String formatDate(double dateMs) {
         StringBuilder out = new StringBuilder(24);
-        date(out, ms);
+        appendDate(out, dateMs);
         return out.toString();
     }
 
-    /** Appends a date (RFC 3339, UTC, whole ms). Written here since every reload has one: Hinnant's civil_from_days. */
-    static void date(StringBuilder out, double ms) {
-        long all = Math.round(ms);
-        long days = Math.floorDiv(all, DAY_MS) + 719_468;
-        long rest = Math.floorMod(all, DAY_MS);
+    /**
+     * Appends a date (RFC 3339, UTC, whole ms). Implemented here (Hinnant's civil_from_days) because every reload
+     * formats at least one.
+     */
+    static void appendDate(StringBuilder out, double dateMs) {
+        long wholeMs = Math.round(dateMs);
+        long days = Math.floorDiv(wholeMs, MS_PER_DAY) + 719_468;
+        long msOfDay = Math.floorMod(wholeMs, MS_PER_DAY);
         long era = Math.floorDiv(days, 146_097L);
-        long ofEra = days - era * 146_097;
-        long yearOfEra = (ofEra - ofEra / 1460 + ofEra / 36_524 - ofEra / 146_096) / 365;
-        long dayOfYear = ofEra - (365 * yearOfEra + yearOfEra / 4 - yearOfEra / 100);
-        long shifted = (5 * dayOfYear + 2) / 153;
-        long month = shifted < 10 ? shifted + 3 : shifted - 9;
+        long dayOfEra = days - era * 146_097;
+        long yearOfEra = (dayOfEra - dayOfEra / 1460 + dayOfEra / 36_524 - dayOfEra / 146_096) / 365;
+        long dayOfYear = dayOfEra - (365 * yearOfEra + yearOfEra / 4 - yearOfEra / 100);
+        long monthFromMarch = (5 * dayOfYear + 2) / 153;
+        long month = monthFromMarch < 10 ? monthFromMarch + 3 : monthFromMarch - 9;
         out.append(yearOfEra + era * 400 + (month <= 2 ? 1 : 0)).append('-');
-        two(out, month).append('-');
-        two(out, dayOfYear - (153 * shifted + 2) / 5 + 1).append('T');
-        two(out, rest / 3_600_000).append(':');
-        two(out, rest / 60_000 % 60).append(':');
-        two(out, rest / 1000 % 60).append('.');
-        out.append((char) ('0' + rest % 1000 / 100));
-        two(out, rest % 100).append('Z');
+        appendTwoDigits(out, month).append('-');
+        appendTwoDigits(out, dayOfYear - (153 * monthFromMarch + 2) / 5 + 1).append('T');
+        appendTwoDigits(out, msOfDay / 3_600_000).append(':');
+        appendTwoDigits(out, msOfDay / 60_000 % 60).append(':');
+        appendTwoDigits(out, msOfDay / 1000 % 60).append('.');
+        out.append((char) ('0' + msOfDay % 1000 / 100));
+        appendTwoDigits(out, msOfDay % 100).append('Z');
     }
 
-    private static StringBuilder two(StringBuilder out, long value) {
+    private static StringBuilder appendTwoDigits(StringBuilder out, long value) {
         return out.append((char) ('0' + value / 10)).append((char) ('0' + value % 10));
     }
 
-    private static String seconds(double s) {
-        return String.format(Locale.ROOT, "%.3f", s);
+    private static String seconds(double value) {
+        return String.format(Locale.ROOT, "%.3f", value);
     }
 }
--- a/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
+++ b/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
@@ -5,259 +5,282 @@
 import java.util.Objects;
 
 /**
- * Owns what one session's media playlist has shown and shows: runs of segments, each of one rung from one box, of the lecture
- * or of a piece put into it. It is a sliding window (RFC 8216, 6.2.2): segments are added at the end by the lecture's own time
- * and taken off at the front, and one that was given is never altered. A change of rung, box or programme begins a run, which
- * the players see as a discontinuity.
+ * Media playlist of one session: a sliding window (RFC 8216, 6.2.2) over runs of segments, where each run has one rung
+ * and one box and belongs to the lecture or to a piece stitched into it. Segments are added at the end as the lecture
+ * plays and removed at the front; a listed segment is never altered. A change of rung, box or programme begins a new
+ * run, which players see as a discontinuity.
  *
- * <p>The pieces of a session are its plan: they map the lecture's time to the programme's and stay with their boundary, so
- * that one which was listed and then lost with its box is shown when the lecture comes to that boundary again.
+ * <p>The pieces put into a session are its plan. They relate the lecture's time to the programme's time and keep their
+ * boundary, so that a piece that was listed and then lost with its box is listed again when the lecture reaches that
+ * boundary again.
  */
 public final class SessionPlaylist {
 
     /**
-     * The shape of the window.
+     * Dimensions of the window.
      *
-     * @param ahead segments shown beyond the one that plays
-     * @param behind segments kept before it
-     * @param targetS least EXT-X-TARGETDURATION: it may not change later, so it has to be that of the longest piece too
+     * @param ahead number of segments listed after the one that plays
+     * @param behind number of segments kept before it
+     * @param minTargetS lower bound of EXT-X-TARGETDURATION, in seconds; has to cover the longest piece's target
+     *     duration, because the tag must not change later
      */
-    public record Shape(int ahead, int behind, int targetS) {}
+    public record Shape(int ahead, int behind, int minTargetS) {}
 
     /**
-     * A stretch of one rung from one box.
+     * Consecutive segments of one rung from one box.
      *
-     * @param source its segments
-     * @param piece null in the lecture
-     * @param placed in the lecture how many pieces of the plan lie behind it; else the piece's own place in the plan
-     * @param number discontinuities of the playlist up to its first segment
-     * @param startMs when its first segment plays
-     * @param dateMs the programme's date then
+     * @param firstSequence media sequence number of its first segment
+     * @param firstSegment index of its first segment in the source
+     * @param source the lecture or piece that its segments belong to
+     * @param piece the piece; null for the lecture
+     * @param planIndex for a piece its index in the plan; for the lecture the number of planned pieces before it
+     * @param discontinuitySequence number of discontinuities in the playlist up to and including its first segment
+     * @param startMs monotonic time at which its first segment plays, in ms
+     * @param dateMs program date-time of its first segment, in ms
      */
     private record Run(
             long firstSequence,
             int firstSegment,
             int rung,
-            String base,
+            String baseUri,
             Source source,
             Piece piece,
-            int placed,
-            int number,
+            int planIndex,
+            int discontinuitySequence,
             double startMs,
             double dateMs) {}
 
-    /** An interstitial, and the segment with which it is told. */
-    private record Mark(long sequence, String text) {}
+    /**
+     * EXT-X-DATERANGE line of an interstitial, and the media sequence number of the segment before which it is written.
+     */
+    private record InterstitialTag(long sequence, String tag) {}
 
     /**
-     * What must be known to go on with a session's playlist after a restart without a step back.
+     * State from which a session's playlist continues after a restart, so that no number or date goes back.
      *
-     * @param sequence media sequence numbers below it may have been given
-     * @param number discontinuity sequence numbers up to it may have been given
-     * @param segment the lecture's segment to go on with
-     * @param targetS EXT-X-TARGETDURATION as it was given; 0: none was
-     * @param dateMs no date after it was given
+     * @param nextSequence exclusive upper bound of the media sequence numbers that may have been sent
+     * @param discontinuitySequence inclusive upper bound of the discontinuity sequence numbers that may have been sent
+     * @param lectureSegment the lecture's segment to continue with
+     * @param targetS EXT-X-TARGETDURATION as it was sent, in seconds; 0 if none was
+     * @param dateMs upper bound of the program date-times that may have been sent, in ms
      */
-    public record Progress(long sequence, int number, int segment, long targetS, double dateMs) {}
+    public record Progress(
+            long nextSequence, int discontinuitySequence, int lectureSegment, long targetS, double dateMs) {}
 
     private final Shape shape;
-    /** The programme's date, less the monotonic time at which it plays. */
+    /** Difference between the program date-time and the monotonic time at which it plays, in ms. */
     private double dateOffsetMs;
 
     private final List<Run> runs = new ArrayList<>(2);
-    private final List<Mark> marks = new ArrayList<>(0);
-    private final List<Piece> plan = new ArrayList<>(0);
-    private int nextPlaced;
-    /** The lecture as it was extended last; null before that. */
+    private final List<InterstitialTag> interstitialTags = new ArrayList<>(0);
+    private final List<Piece> plannedPieces = new ArrayList<>(0);
+    /** Index in the plan of the current piece, or of the next one that the lecture reaches. */
+    private int nextPlanIndex;
+    /** The lecture's playlist at the last extension; null before the first. */
     private Source lecture;
 
     private long nextSequence;
-    private int number;
+    private int discontinuitySequence;
+    /** Whether the playlist continues after a restart, so that its first run is a discontinuity too. */
     private boolean restored;
+    /** The lecture's segment that is added next. */
     private int nextSegment;
-    private Piece piece;
-    private int pieceSegment;
-    private int goesOnAt;
-    /** The highest sequence number that a box told to have delivered since the last break; -1: none told. */
-    private long served = -1;
-    /** After a break the last run is over, whatever follows it: how long it was may have been told. */
-    private boolean sealed;
-
+    /** The piece whose segments are being added; null while the lecture's are. */
+    private Piece currentPiece;
+    /** The current piece's segment that is added next. */
+    private int nextPieceSegment;
+    /** Segment at which the next piece begins, because the ones before were listed until its box was lost. */
+    private int resumePieceSegment;
+    /** Highest media sequence number that a box reported as delivered since the last interruption; -1 if none. */
+    private long lastServedSequence = -1;
+    /** Whether an interruption closed the last run; it is not continued, because its duration may have been sent. */
+    private boolean lastRunClosed;
+    /** Monotonic time at which the last listed segment ends, in ms. */
     private double endMs;
+
     private long targetS;
 
-    /** A playlist whose lecture begins to play at {@code startMs}, which is {@code dateMs} on the common clock. */
+    /**
+     * Creates a playlist whose lecture begins at the monotonic time {@code startMs}, the common time {@code dateMs}.
+     */
     public SessionPlaylist(Shape shape, double startMs, double dateMs) {
         this.shape = shape;
         this.endMs = startMs;
         this.dateOffsetMs = dateMs - startMs;
     }
 
-    /** A playlist that goes on after a restart. */
-    public SessionPlaylist(Shape shape, double startMs, double dateMs, Progress from) {
-        this(shape, startMs, Math.max(dateMs, from.dateMs()));
-        nextSequence = from.sequence();
-        number = from.number();
-        nextSegment = from.segment();
-        targetS = from.targetS();
+    /** Creates a playlist that continues after a restart. */
+    public SessionPlaylist(Shape shape, double startMs, double dateMs, Progress progress) {
+        this(shape, startMs, Math.max(dateMs, progress.dateMs()));
+        nextSequence = progress.nextSequence();
+        discontinuitySequence = progress.discontinuitySequence();
+        nextSegment = progress.lectureSegment();
+        targetS = progress.targetS();
         restored = true;
     }
 
-    /** Number of runs kept: those that the window shows, however long the session plays. */
+    /** Returns the number of runs kept, which are those in the window. */
     public int runs() {
         return runs.size();
     }
 
-    /** The media sequence number that the next segment gets. */
+    /** Returns the media sequence number of the next segment. */
     public long nextSequence() {
         return nextSequence;
     }
 
-    /** The discontinuity sequence number of the newest segment. */
+    /** Returns the discontinuity sequence number of the newest segment. */
     public int number() {
-        return number;
+        return discontinuitySequence;
     }
 
-    /** EXT-X-TARGETDURATION; 0 until the first segment is added. */
+    /** Returns the EXT-X-TARGETDURATION in seconds; 0 until the first segment is added. */
     public long targetS() {
         return targetS;
     }
 
-    /** The programme's date at the end of what is shown. */
+    /** Returns the program date-time at the end of the last listed segment, in ms. */
     public double endDateMs() {
         return endMs + dateOffsetMs;
     }
 
-    /** The lecture's segment that is added next. */
+    /** Returns the lecture's segment that is added next. */
     public int nextSegment() {
         return nextSegment;
     }
 
-    /** Whether any piece was put in. */
-    public boolean planned() {
-        return !plan.isEmpty();
+    /** Returns whether any piece was put in. */
+    public boolean hasPlannedPieces() {
+        return !plannedPieces.isEmpty();
     }
 
-    /** A change's piece as it was put in; null: it was not. */
-    public Piece planned(String change) {
-        for (Piece p : plan) {
-            if (p.id().equals(change)) {
-                return p;
+    /** Returns a change's piece as it was put in; null if it was not. */
+    public Piece plannedPiece(String changeId) {
+        for (Piece piece : plannedPieces) {
+            if (piece.id().equals(changeId)) {
+                return piece;
             }
         }
         return null;
     }
 
-    /** The piece of the newest segments; null: they are the lecture's. */
-    public Piece last() {
+    /** Returns the piece of the newest segment; null if it is the lecture's. */
+    public Piece lastPiece() {
         return runs.isEmpty() ? null : runs.get(runs.size() - 1).piece();
     }
 
-    /** Whether segments of a change's piece are in the window, or due to be added. */
-    public boolean shows(String change) {
+    /** Returns whether segments of a change's piece are in the window or are being added. */
+    public boolean listsPiece(String changeId) {
         for (Run run : runs) {
-            if (run.piece() != null && run.piece().id().equals(change)) {
+            if (run.piece() != null && run.piece().id().equals(changeId)) {
                 return true;
             }
         }
-        return piece != null && piece.id().equals(change);
+        return currentPiece != null && currentPiece.id().equals(changeId);
     }
 
-    /** A playlist that goes on after a restart: the lecture went on for so long after the segment noted. */
-    public void goOn(Source source, double elapsedMs) {
-        int from = Math.min(nextSegment, source.count() - 1);
-        nextSegment = source.at(source.startS(from) + elapsedMs / 1000);
+    /**
+     * Moves a restored playlist forward by the time for which the lecture went on after the recorded segment, in ms.
+     */
+    public void skipElapsed(Source source, double elapsedMs) {
+        int firstSegment = Math.min(nextSegment, source.count() - 1);
+        nextSegment = source.segmentAt(source.startS(firstSegment) + elapsedMs / 1000);
     }
 
-    /** Monotonic time at which what is shown ends. */
+    /** Returns the monotonic time at which the last listed segment ends, in ms. */
     public double endMs() {
         return endMs;
     }
 
-    /** The piece whose segments were added last and is not at its end; null: the lecture's were. */
-    public Piece playing() {
-        return piece;
+    /** Returns the piece whose segments are being added; null while the lecture's are. */
+    public Piece unfinishedPiece() {
+        return currentPiece;
     }
 
-    /** Whether the last segment has been shown. */
-    public boolean complete() {
-        return lecture != null && nextSegment >= lecture.count() && piece == null;
+    /** Returns whether the lecture's last segment has been listed. */
+    public boolean isComplete() {
+        return lecture != null && nextSegment >= lecture.count() && currentPiece == null;
     }
 
-    private static double length(Source source, int segment) {
+    private static double segmentMs(Source source, int segment) {
         return 1000 * (source.startS(segment + 1) - source.startS(segment));
     }
 
-    /** The segment of a run that plays at a time: its last, if that is over. */
-    private int segmentOf(int index, Source source, double ms) {
-        Run run = runs.get(index);
+    /** Returns the segment of a run that plays at a time; the index after its last one if the run has ended. */
+    private int segmentInRunAt(int runIndex, Source source, double timeMs) {
+        Run run = runs.get(runIndex);
         int segment = run.firstSegment();
-        int end = run.firstSegment() + (int) (endOf(index) - run.firstSequence());
-        int held = run.placed();
-        double at = run.startMs();
-        while (segment < end && at + length(source, segment) <= ms) {
-            at += length(source, segment++);
-            // the player holds the lecture while it plays an interstitial
+        int end = run.firstSegment() + (int) (runEndSequence(runIndex) - run.firstSequence());
+        int planIndex = run.planIndex();
+        double startMs = run.startMs();
+        while (segment < end && startMs + segmentMs(source, segment) <= timeMs) {
+            startMs += segmentMs(source, segment++);
+            // the player pauses the lecture during an interstitial
             while (run.piece() == null
-                    && held < plan.size()
-                    && plan.get(held).interstitial()
-                    && plan.get(held).from() <= segment) {
-                at += plan.get(held).from() == segment ? plan.get(held).heldMs(source) : 0;
-                held++;
+                    && planIndex < plannedPieces.size()
+                    && plannedPieces.get(planIndex).isInterstitial()
+                    && plannedPieces.get(planIndex).from() <= segment) {
+                startMs += plannedPieces.get(planIndex).from() == segment
+                        ? plannedPieces.get(planIndex).lectureDelayMs(source)
+                        : 0;
+                planIndex++;
             }
         }
         return segment;
     }
 
-    /** The lecture's segment that plays at a time; within a piece the one before which it stands. */
-    public int segmentAt(Source source, double ms) {
-        int index = runAt(ms);
-        if (index < 0) {
+    /** Returns the lecture's segment that plays at a monotonic time; during a piece the one before which it is put. */
+    public int segmentAt(Source source, double timeMs) {
+        int runIndex = runIndexAt(timeMs);
+        if (runIndex < 0) {
             return nextSegment;
         }
-        Run run = runs.get(index);
-        return run.piece() != null ? run.piece().from() : Math.min(segmentOf(index, source, ms), nextSegment);
+        Run run = runs.get(runIndex);
+        return run.piece() != null
+                ? run.piece().from()
+                : Math.min(segmentInRunAt(runIndex, source, timeMs), nextSegment);
     }
 
-    private int runAt(double ms) {
+    /** Returns the index of the run that plays at a monotonic time; -1 if there is no run. */
+    private int runIndexAt(double timeMs) {
         int index = runs.size() - 1;
-        while (index > 0 && runs.get(index).startMs() > ms) {
+        while (index > 0 && runs.get(index).startMs() > timeMs) {
             index--;
         }
         return index;
     }
 
     /**
-     * Goes on at another box after a break that began at {@code lostMs}. Where boxes told which segments were delivered the
-     * next one is shown, else those from the place reached by the clock are shown again, since those shown last may never
-     * have come from the box that is lost; so are pieces from there on.
+     * Continues at another box after an interruption that began at {@code lostMs}. If boxes reported delivered
+     * segments, the playlist continues after the last of them. Otherwise it lists again all segments and pieces from
+     * the place that was playing at {@code lostMs}, because the lost box may not have delivered those listed last.
      */
     public void resume(Source source, double lostMs, double nowMs) {
         if (!runs.isEmpty()) {
-            goOnAt(source, served >= 0 ? served + 1 : sequenceAt(source, lostMs), nowMs);
+            relistFrom(source, lastServedSequence >= 0 ? lastServedSequence + 1 : sequenceAt(source, lostMs), nowMs);
         }
     }
 
-    /** The segments of a change's piece can't be had any more: what was listed from there on is listed anew without it. */
-    public void leaveOut(Source source, String change, double nowMs) {
+    /** Lists everything from a change's piece on again without it, because its segments are no longer available. */
+    public void dropPiece(Source source, String changeId, double nowMs) {
         for (int i = 0; i < runs.size(); i++) {
             Run run = runs.get(i);
-            if (run.piece() != null && run.piece().id().equals(change)) {
-                goOnAt(source, Math.max(run.firstSequence(), served + 1), nowMs);
+            if (run.piece() != null && run.piece().id().equals(changeId)) {
+                relistFrom(source, Math.max(run.firstSequence(), lastServedSequence + 1), nowMs);
                 return;
             }
         }
     }
 
-    /** A box delivered a segment whole; {@code uri} as the playlist has it. */
+    /** Handles a segment that a box has delivered completely; {@code uri} is its URI in the playlist. */
     public void served(String uri) {
         for (int i = runs.size() - 1; i >= 0; i--) {
             Run run = runs.get(i);
-            if (uri.startsWith(run.base())) {
-                Source of = run.source();
-                for (long sequence = run.firstSequence(); sequence < endOf(i); sequence++) {
-                    if (uri.endsWith(of.uri(run.firstSegment() + (int) (sequence - run.firstSequence())))) {
-                        served = Math.max(served, sequence);
+            if (uri.startsWith(run.baseUri())) {
+                Source segments = run.source();
+                for (long sequence = run.firstSequence(); sequence < runEndSequence(i); sequence++) {
+                    if (uri.endsWith(segments.uri(run.firstSegment() + (int) (sequence - run.firstSequence())))) {
+                        lastServedSequence = Math.max(lastServedSequence, sequence);
                         return;
                     }
                 }
@@ -265,196 +288,219 @@
         }
     }
 
-    private long sequenceAt(Source source, double ms) {
-        int index = runAt(ms);
-        Run run = runs.get(index);
-        int segment = segmentOf(index, run.piece() != null ? run.piece().source() : source, ms);
+    /** Returns the media sequence number of the segment that plays at a monotonic time. */
+    private long sequenceAt(Source source, double timeMs) {
+        int runIndex = runIndexAt(timeMs);
+        Run run = runs.get(runIndex);
+        int segment = segmentInRunAt(runIndex, run.piece() != null ? run.piece().source() : source, timeMs);
         return run.firstSequence() + segment - run.firstSegment();
     }
 
-    /** What was listed from a sequence number on is listed anew, with what comes from another box. */
-    private void goOnAt(Source source, long sequence, double nowMs) {
-        double at = nowMs;
-        int index = runs.size() - 1;
-        while (index > 0 && runs.get(index).firstSequence() > sequence) {
-            index--;
+    /** Sets the position back so that what was listed from a media sequence number on is listed again. */
+    private void relistFrom(Source source, long sequence, double nowMs) {
+        double resumeMs = nowMs;
+        int runIndex = runs.size() - 1;
+        while (runIndex > 0 && runs.get(runIndex).firstSequence() > sequence) {
+            runIndex--;
         }
-        Run run = runs.get(index);
-        if (sequence >= nextSequence || sealed) {
-            // all that was listed was delivered, or nothing was listed since the last break: it goes on where it is
-            at = Math.max(nowMs, endMs);
-            goesOnAt = piece == null ? goesOnAt : pieceSegment;
+        Run run = runs.get(runIndex);
+        if (sequence >= nextSequence || lastRunClosed) {
+            // all listed segments were delivered, or none was listed since the last interruption: the position stays
+            resumeMs = Math.max(nowMs, endMs);
+            resumePieceSegment = currentPiece == null ? resumePieceSegment : nextPieceSegment;
         } else if (run.piece() != null) {
-            goesOnAt = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
-            at = Math.max(
+            resumePieceSegment = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
+            resumeMs = Math.max(
                     nowMs,
                     run.startMs()
                             + 1000
-                                    * (run.piece().source().startS(goesOnAt)
+                                    * (run.piece().source().startS(resumePieceSegment)
                                             - run.piece().source().startS(run.firstSegment())));
-            nextPlaced = run.placed();
+            nextPlanIndex = run.planIndex();
             nextSegment = run.piece().from();
         } else {
-            goesOnAt = 0;
+            resumePieceSegment = 0;
             nextSegment = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
-            at = Math.max(
+            resumeMs = Math.max(
                     nowMs, run.startMs() + 1000 * (source.startS(nextSegment) - source.startS(run.firstSegment())));
-            nextPlaced = run.placed();
-            while (nextPlaced < plan.size()
-                    && plan.get(nextPlaced).interstitial()
-                    && plan.get(nextPlaced).from() > run.firstSegment()
-                    && plan.get(nextPlaced).from() <= nextSegment) {
-                nextPlaced++;
+            nextPlanIndex = run.planIndex();
+            while (nextPlanIndex < plannedPieces.size()
+                    && plannedPieces.get(nextPlanIndex).isInterstitial()
+                    && plannedPieces.get(nextPlanIndex).from() > run.firstSegment()
+                    && plannedPieces.get(nextPlanIndex).from() <= nextSegment) {
+                nextPlanIndex++;
             }
         }
-        piece = null;
-        sealed = true;
-        // the date goes on where it was told to end: it may never run back
-        double date = Math.max(endDateMs(), at + dateOffsetMs);
-        endMs = at;
-        dateOffsetMs = date - at;
-        served = -1;
+        currentPiece = null;
+        lastRunClosed = true;
+        // the program date-time continues from the date that was sent last, because it must not go back
+        double dateMs = Math.max(endDateMs(), resumeMs + dateOffsetMs);
+        endMs = resumeMs;
+        dateOffsetMs = dateMs - resumeMs;
+        lastServedSequence = -1;
     }
 
-    /** Adds the segments that are due, at the rung in force. */
-    public void extend(Source source, int rung, String base, double nowMs) {
-        extend(source, rung, base, nowMs, Piece.Stitcher.NONE);
+    /** Adds the segments that are due, at a rung, without pieces. */
+    public void extend(Source source, int rung, String baseUri, double nowMs) {
+        extend(source, rung, baseUri, nowMs, Piece.Stitcher.NONE);
     }
 
     /**
-     * Adds the segments that are due, at the rung in force, with the pieces that are put between them.
+     * Adds the segments that are due, at a rung, and the pieces between them.
      *
-     * @return false if the stitcher's answer is waited for
+     * @return false if the stitcher can't decide yet
      */
-    public boolean extend(Source source, int rung, String base, double nowMs, Piece.Stitcher stitcher) {
+    public boolean extend(Source source, int rung, String baseUri, double nowMs, Piece.Stitcher stitcher) {
         lecture = source;
         if (targetS == 0) {
-            targetS = Math.max(shape.targetS(), source.targetS());
+            targetS = Math.max(shape.minTargetS(), source.targetS());
         }
-        while (piece != null || nextSegment < source.count()) {
-            double length = piece != null ? length(piece.source(), pieceSegment) : length(source, nextSegment);
-            if (endMs > nowMs + shape.ahead() * length + 1e-6) {
+        while (currentPiece != null || nextSegment < source.count()) {
+            double lengthMs = currentPiece != null
+                    ? segmentMs(currentPiece.source(), nextPieceSegment)
+                    : segmentMs(source, nextSegment);
+            if (endMs > nowMs + shape.ahead() * lengthMs + 1e-6) {
                 return true;
             }
-            if (piece == null) {
-                while (nextPlaced < plan.size() && plan.get(nextPlaced).from() < nextSegment) {
-                    // a stretch that was replaced since took its boundary away
-                    nextPlaced++;
+            if (currentPiece == null) {
+                while (nextPlanIndex < plannedPieces.size()
+                        && plannedPieces.get(nextPlanIndex).from() < nextSegment) {
+                    // its boundary lies in a part of the lecture that another piece has replaced since
+                    nextPlanIndex++;
                 }
-                boolean planned =
-                        nextPlaced < plan.size() && plan.get(nextPlaced).from() == nextSegment;
+                boolean planned = nextPlanIndex < plannedPieces.size()
+                        && plannedPieces.get(nextPlanIndex).from() == nextSegment;
                 Piece next = planned
-                        ? stitcher.again(plan.get(nextPlaced))
+                        ? stitcher.again(plannedPieces.get(nextPlanIndex))
                         : stitcher.before(nextSegment, source.startS(nextSegment), endMs);
                 if (next == Piece.WAIT) {
                     return false;
                 }
                 if (next != null || planned) {
-                    begin(source, next, planned);
+                    beginPiece(source, next, planned);
                     continue;
                 }
-                add(source, nextSegment, rung, base, null);
+                addSegment(source, nextSegment, rung, baseUri, null);
                 nextSegment++;
             } else {
-                piece = stitcher.onward(piece);
-                plan.set(nextPlaced, piece);
-                add(piece.source(), pieceSegment++, piece.rung(), piece.base(), piece);
-                if (pieceSegment >= piece.source().count()) {
-                    pass(piece.to());
+                currentPiece = stitcher.onward(currentPiece);
+                plannedPieces.set(nextPlanIndex, currentPiece);
+                addSegment(
+                        currentPiece.source(),
+                        nextPieceSegment++,
+                        currentPiece.rung(),
+                        currentPiece.baseUri(),
+                        currentPiece);
+                if (nextPieceSegment >= currentPiece.source().count()) {
+                    finishPiece(currentPiece.to());
                 }
             }
         }
         return true;
     }
 
-    private void begin(Source source, Piece next, boolean planned) {
-        if (next == null) {
-            // it was withdrawn, or is not to be had where the session plays now
-            nextPlaced++;
-            goesOnAt = 0;
+    /** Begins a piece at the current boundary; {@code piece} is null if a planned one is not available any more. */
+    private void beginPiece(Source source, Piece piece, boolean planned) {
+        if (piece == null) {
+            // it was withdrawn, or no box that this session can use has it
+            nextPlanIndex++;
+            resumePieceSegment = 0;
             return;
         }
         if (planned) {
-            plan.set(nextPlaced, next);
+            plannedPieces.set(nextPlanIndex, piece);
         } else {
-            plan.add(nextPlaced, next);
+            plannedPieces.add(nextPlanIndex, piece);
         }
-        if (next.interstitial()) {
-            marks.add(new Mark(
+        if (piece.isInterstitial()) {
+            interstitialTags.add(new InterstitialTag(
                     nextSequence,
-                    next.interstitial(
-                            endDateMs(), nextSequence, source.startS(next.to()) - source.startS(next.from()))));
-            // the player holds the lecture meanwhile: what follows plays later, at the same date
-            endMs += next.heldMs(source);
-            dateOffsetMs -= next.heldMs(source);
-            nextPlaced++;
+                    piece.interstitialTag(
+                            endDateMs(), nextSequence, source.startS(piece.to()) - source.startS(piece.from()))));
+            // the player pauses the lecture meanwhile, so what follows plays later at the same program date-time
+            endMs += piece.lectureDelayMs(source);
+            dateOffsetMs -= piece.lectureDelayMs(source);
+            nextPlanIndex++;
             return;
         }
-        piece = next;
-        pieceSegment = Math.min(goesOnAt, next.source().count() - 1);
-        goesOnAt = 0;
-    }
-
-    private void pass(int to) {
-        piece = null;
-        nextPlaced++;
-        nextSegment = to;
-    }
-
-    private void add(Source of, int segment, int rung, String base, Piece part) {
-        Run last = runs.isEmpty() ? null : runs.get(runs.size() - 1);
-        boolean joins = last != null
-                && !sealed
-                && last.rung() == rung
-                && last.base().equals(base)
-                && Objects.equals(last.piece(), part)
-                && last.firstSegment() + (nextSequence - last.firstSequence()) == segment
-                && !of.broken(segment);
-        if (!joins) {
-            number += last != null || restored ? 1 : 0;
-            runs.add(new Run(nextSequence, segment, rung, base, of, part, nextPlaced, number, endMs, endDateMs()));
+        currentPiece = piece;
+        nextPieceSegment = Math.min(resumePieceSegment, piece.source().count() - 1);
+        resumePieceSegment = 0;
+    }
+
+    private void finishPiece(int resumeSegment) {
+        currentPiece = null;
+        nextPlanIndex++;
+        nextSegment = resumeSegment;
+    }
+
+    /** Adds one segment at the end and drops what has left the window. */
+    private void addSegment(Source segmentSource, int segment, int rung, String baseUri, Piece piece) {
+        Run lastRun = runs.isEmpty() ? null : runs.get(runs.size() - 1);
+        boolean continuesRun = lastRun != null
+                && !lastRunClosed
+                && lastRun.rung() == rung
+                && lastRun.baseUri().equals(baseUri)
+                && Objects.equals(lastRun.piece(), piece)
+                && lastRun.firstSegment() + (nextSequence - lastRun.firstSequence()) == segment
+                && !segmentSource.hasDiscontinuity(segment);
+        if (!continuesRun) {
+            discontinuitySequence += lastRun != null || restored ? 1 : 0;
+            runs.add(new Run(
+                    nextSequence,
+                    segment,
+                    rung,
+                    baseUri,
+                    segmentSource,
+                    piece,
+                    nextPlanIndex,
+                    discontinuitySequence,
+                    endMs,
+                    endDateMs()));
         }
-        sealed = false;
+        lastRunClosed = false;
         nextSequence++;
-        endMs += length(of, segment);
-        while (endOf(0) <= firstShown()) {
+        endMs += segmentMs(segmentSource, segment);
+        while (runEndSequence(0) <= firstListedSequence()) {
             runs.remove(0);
         }
-        while (!marks.isEmpty() && marks.get(0).sequence() < firstShown()) {
-            marks.remove(0);
+        while (!interstitialTags.isEmpty() && interstitialTags.get(0).sequence() < firstListedSequence()) {
+            interstitialTags.remove(0);
         }
     }
 
-    private long endOf(int run) {
-        return run + 1 < runs.size() ? runs.get(run + 1).firstSequence() : nextSequence;
+    /** Returns the media sequence number after the last segment of a run. */
+    private long runEndSequence(int runIndex) {
+        return runIndex + 1 < runs.size() ? runs.get(runIndex + 1).firstSequence() : nextSequence;
     }
 
-    private long firstShown() {
+    /** Returns the media sequence number of the window's first segment. */
+    private long firstListedSequence() {
         long first = Math.max(0, nextSequence - shape.ahead() - 1 - shape.behind());
         return runs.isEmpty() ? first : Math.max(first, runs.get(0).firstSequence());
     }
 
-    /** The playlist's text. */
+    /** Returns the playlist's text; at least one segment must have been added. */
     public String render() {
         StringBuilder out = new StringBuilder(1024);
         render(out);
         return out.toString();
     }
 
-    /** Appends the playlist's text. */
+    /** Appends the playlist's text; at least one segment must have been added. */
     public void render(StringBuilder out) {
-        long first = firstShown();
+        long first = firstListedSequence();
         long sequence = first;
-        int mark = 0;
-        Source.State state = new Source.State();
-        Run begins = runs.get(0);
-        // the tag before the window's first segment counts it itself
-        boolean marked = begins.number() > 0 && begins.firstSequence() == first;
+        int tagIndex = 0;
+        Source.TagState state = new Source.TagState();
+        Run firstRun = runs.get(0);
+        // EXT-X-DISCONTINUITY before the first segment counts by itself, so the sequence number excludes it
+        boolean startsWithDiscontinuity = firstRun.discontinuitySequence() > 0 && firstRun.firstSequence() == first;
         out.append("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:")
                 .append(targetS)
                 .append("\n#EXT-X-MEDIA-SEQUENCE:")
                 .append(first);
-        int discontinuities = begins.number() - (marked ? 1 : 0);
+        int discontinuities = firstRun.discontinuitySequence() - (startsWithDiscontinuity ? 1 : 0);
         if (discontinuities > 0) {
             out.append("\n#EXT-X-DISCONTINUITY-SEQUENCE:").append(discontinuities);
         }
@@ -462,36 +508,40 @@
             out.append("\n#EXT-X-START:TIME-OFFSET=0,PRECISE=YES");
         }
         out.append('\n');
-        for (int i = 0; i < runs.size(); i++) {
-            Run run = runs.get(i);
+        for (int runIndex = 0; runIndex < runs.size(); runIndex++) {
+            Run run = runs.get(runIndex);
             Source source = run.source();
-            long end = endOf(i);
-            for (; sequence < end; sequence++) {
-                int n = run.firstSegment() + (int) (sequence - run.firstSequence());
-                if (run.number() > 0 && sequence == run.firstSequence()) {
+            long runEnd = runEndSequence(runIndex);
+            for (; sequence < runEnd; sequence++) {
+                int segment = run.firstSegment() + (int) (sequence - run.firstSequence());
+                if (run.discontinuitySequence() > 0 && sequence == run.firstSequence()) {
                     out.append("#EXT-X-DISCONTINUITY\n");
                     state.discontinuity();
                 }
                 if (sequence == first || sequence == run.firstSequence()) {
-                    double at = run.dateMs() + 1000 * (source.startS(n) - source.startS(run.firstSegment()));
+                    double dateMs = run.dateMs() + 1000 * (source.startS(segment) - source.startS(run.firstSegment()));
                     out.append("#EXT-X-PROGRAM-DATE-TIME:");
-                    Piece.date(out, at);
+                    Piece.appendDate(out, dateMs);
                     out.append('\n');
                     if (run.piece() != null) {
-                        double from = source.startS(run.firstSegment());
-                        double listed = source.startS(run.firstSegment() + (int) (end - run.firstSequence())) - from;
-                        boolean over =
-                                i + 1 < runs.size() || sealed || !run.piece().equals(piece);
-                        out.append(run.piece().dateRange(run.dateMs(), run.firstSequence(), from, over ? listed : -1));
+                        double startS = source.startS(run.firstSegment());
+                        double listedS =
+                                source.startS(run.firstSegment() + (int) (runEnd - run.firstSequence())) - startS;
+                        boolean finished = runIndex + 1 < runs.size()
+                                || lastRunClosed
+                                || !run.piece().equals(currentPiece);
+                        out.append(run.piece()
+                                .dateRangeTag(run.dateMs(), run.firstSequence(), startS, finished ? listedS : -1));
                     }
                 }
-                while (mark < marks.size() && marks.get(mark).sequence() <= sequence) {
-                    out.append(marks.get(mark++).text());
+                while (tagIndex < interstitialTags.size()
+                        && interstitialTags.get(tagIndex).sequence() <= sequence) {
+                    out.append(interstitialTags.get(tagIndex++).tag());
                 }
-                source.write(out, n, run.base(), state);
+                source.write(out, segment, run.baseUri(), state);
             }
         }
-        if (complete()) {
+        if (isComplete()) {
             out.append("#EXT-X-ENDLIST\n");
         }
     }
--- a/front/src/main/java/calicovale/front/playlist/Source.java
+++ b/front/src/main/java/calicovale/front/playlist/Source.java
@@ -8,13 +8,13 @@
 import java.util.Locale;
 
 /**
- * Owns one lecture or piece at one rung as a media box publishes it: its segments, where each begins, and for each the state
- * (RFC 8216, 4.3.2) that the lines before it left in force: keys, initialization section and byte range, so that a window
- * may begin at any of them.
+ * Media playlist of one lecture or piece at one rung, as a media box publishes it. Each segment has its start and the
+ * state (RFC 8216, 4.3.2) that the lines before it leave in force (keys, initialization section and byte range), so
+ * that a window may begin at any segment.
  */
 public final class Source {
-    /** Tags that a session's playlist writes itself, or that are made explicit for each segment. */
-    private static final List<String> REWRITTEN = List.of(
+    /** Tags that a session's playlist writes itself, or that are written explicitly for each segment. */
+    private static final List<String> REWRITTEN_TAGS = List.of(
             "EXT-X-MAP",
             "EXT-X-KEY",
             "EXT-X-BYTERANGE",
@@ -24,23 +24,31 @@
             "EXTINF");
 
     /**
-     * What is written of one segment: the lines that are its own, keys and map with URIs as the box wrote them; {@code below}:
-     * its URI only needs the base before it.
+     * One segment; URIs of the segment, its keys and its map are as in the box's playlist.
+     *
+     * @param lines its other tags, each with a line feed
+     * @param relative whether its URI is relative to the base URI, so that it only needs to be appended
+     * @param map attributes of its EXT-X-MAP; null if it has none
+     * @param discontinuity whether a discontinuity precedes it
      */
     private record Segment(
-            String lines, String uri, boolean below, List<Attributes> keys, Attributes map, boolean broken) {}
+            String lines, String uri, boolean relative, List<Attributes> keys, Attributes map, boolean discontinuity) {}
 
     private final List<Segment> segments;
-    private final double[] starts;
+    private final double[] startsS;
     private final long targetS;
 
-    private Source(List<Segment> segments, double[] starts, long targetS) {
+    private Source(List<Segment> segments, double[] startsS, long targetS) {
         this.segments = segments;
-        this.starts = starts;
+        this.startsS = startsS;
         this.targetS = targetS;
     }
 
-    /** Reads a box's media playlist. */
+    /**
+     * Parses a box's media playlist.
+     *
+     * @throws HlsException if it is malformed, a multivariant playlist, or has no segments
+     */
     public static Source parse(String text) throws HlsException {
         Playlist playlist = Playlist.parse(text);
         if (playlist.isMultivariant() || playlist.entries().isEmpty()) {
@@ -48,25 +56,25 @@
         }
         int count = playlist.entries().size();
         List<Segment> segments = new ArrayList<>(count);
-        double[] starts = new double[count + 1];
-        long first = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
-        double longest = 0;
+        double[] startsS = new double[count + 1];
+        long firstSequence = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
+        double longestS = 0;
         List<Attributes> keys = List.of();
         Attributes map = null;
-        String rangeOf = null;
+        String rangeUri = null;
         long rangeEnd = 0;
         for (int i = 0; i < count; i++) {
             Playlist.Entry entry = playlist.entries().get(i);
-            List<Attributes> told = new ArrayList<>();
+            List<Attributes> newKeys = new ArrayList<>();
             StringBuilder lines = new StringBuilder();
-            boolean broken = false;
+            boolean discontinuity = false;
             for (Playlist.Line line : entry.lines()) {
                 switch (line.isTag() ? line.name() : "") {
-                    case "EXT-X-KEY" -> told.add(Attributes.parse(line.value(), 1));
+                    case "EXT-X-KEY" -> newKeys.add(Attributes.parse(line.value(), 1));
                     case "EXT-X-MAP" -> map = Attributes.parse(line.value(), 1);
-                    case "EXT-X-DISCONTINUITY" -> broken = i > 0;
+                    case "EXT-X-DISCONTINUITY" -> discontinuity = i > 0;
                     default -> {
-                        if (!line.isTag() || !REWRITTEN.contains(line.name())) {
+                        if (!line.isTag() || !REWRITTEN_TAGS.contains(line.name())) {
                             lines.append(line).append('\n');
                         }
                     }
@@ -74,169 +82,185 @@
             }
             String range = entry.value("EXT-X-BYTERANGE");
             if (range != null) {
-                long[] at = range(range, entry.uri().equals(rangeOf) ? rangeEnd : -1);
+                long[] lengthAndOffset = parseByteRange(range, entry.uri().equals(rangeUri) ? rangeEnd : -1);
                 lines.append("#EXT-X-BYTERANGE:")
-                        .append(at[0])
+                        .append(lengthAndOffset[0])
                         .append('@')
-                        .append(at[1])
+                        .append(lengthAndOffset[1])
                         .append('\n');
-                rangeOf = entry.uri();
-                rangeEnd = at[0] + at[1];
+                rangeUri = entry.uri();
+                rangeEnd = lengthAndOffset[0] + lengthAndOffset[1];
             } else {
-                rangeOf = null;
+                rangeUri = null;
             }
             lines.append("#EXTINF:").append(entry.value("EXTINF")).append('\n');
-            keys = told.isEmpty() ? keys : "NONE".equals(told.get(0).get("METHOD")) ? List.of() : List.copyOf(told);
+            keys = newKeys.isEmpty()
+                    ? keys
+                    : "NONE".equals(newKeys.get(0).get("METHOD")) ? List.of() : List.copyOf(newKeys);
             segments.add(new Segment(
                     lines.toString(),
                     entry.uri(),
                     entry.uri().indexOf(':') < 0 && !entry.uri().startsWith("/"),
-                    explicit(keys, first + i),
+                    withExplicitIv(keys, firstSequence + i),
                     map,
-                    broken));
-            starts[i + 1] = starts[i] + entry.durationSeconds();
-            longest = Math.max(longest, entry.durationSeconds());
+                    discontinuity));
+            startsS[i + 1] = startsS[i] + entry.durationSeconds();
+            longestS = Math.max(longestS, entry.durationSeconds());
         }
         return new Source(
                 List.copyOf(segments),
-                starts,
-                Math.max(1, Math.max(Math.round(longest), playlist.number("EXT-X-TARGETDURATION", 1))));
+                startsS,
+                Math.max(1, Math.max(Math.round(longestS), playlist.number("EXT-X-TARGETDURATION", 1))));
     }
 
-    /** A range with its offset stated: without one it goes on where the segment before ended, which a window may not show. */
-    private static long[] range(String value, long goesOn) throws HlsException {
+    /**
+     * Returns the length and the offset of a byte range. Without an offset the range continues where the previous
+     * segment's ends; the offset is made explicit because a window may not list that segment.
+     *
+     * @param impliedOffset end of the previous segment's range; negative if that is not a range of the same resource
+     */
+    private static long[] parseByteRange(String value, long impliedOffset) throws HlsException {
         String[] parts = value.split("@", -1);
         if (parts.length > 2
                 || !parts[0].matches("\\d{1,15}")
                 || parts.length == 2 && !parts[1].matches("\\d{1,15}")
-                || parts.length == 1 && goesOn < 0) {
-            throw new HlsException(1, "EXT-X-BYTERANGE needs a length, and an offset where it does not go on");
+                || parts.length == 1 && impliedOffset < 0) {
+            throw new HlsException(
+                    1, "EXT-X-BYTERANGE: a length is expected, and an offset unless it continues the previous range");
         }
-        return new long[] {Long.parseLong(parts[0]), parts.length == 2 ? Long.parseLong(parts[1]) : goesOn};
+        return new long[] {Long.parseLong(parts[0]), parts.length == 2 ? Long.parseLong(parts[1]) : impliedOffset};
     }
 
     /**
-     * Keys with their initialization vector stated: where a box leaves it out it is the segment's media sequence number
-     * (RFC 8216, 5.2), which in a session's playlist is another.
+     * Returns keys with explicit initialization vectors. A missing IV means the segment's media sequence number (RFC
+     * 8216, 5.2), which differs in a session's playlist.
      */
-    private static List<Attributes> explicit(List<Attributes> keys, long sequence) {
+    private static List<Attributes> withExplicitIv(List<Attributes> keys, long sequence) {
         List<Attributes> result = new ArrayList<>(keys.size());
         for (Attributes key : keys) {
-            boolean implied = "AES-128".equals(key.get("METHOD")) && key.get("IV") == null;
-            result.add(implied ? key.copy().setUnquoted("IV", String.format(Locale.ROOT, "0x%032X", sequence)) : key);
+            boolean ivImplied = "AES-128".equals(key.get("METHOD")) && key.get("IV") == null;
+            result.add(ivImplied ? key.copy().setUnquoted("IV", String.format(Locale.ROOT, "0x%032X", sequence)) : key);
         }
         return result;
     }
 
-    /** Number of segments. */
+    /** Returns the number of segments. */
     public int count() {
         return segments.size();
     }
 
-    /** The URI of segment {@code i} as the box wrote it. */
-    String uri(int i) {
-        return segments.get(i).uri();
+    /** Returns a segment's URI as in the box's playlist. */
+    String uri(int index) {
+        return segments.get(index).uri();
     }
 
-    /** Whether the box's own playlist has a discontinuity before segment {@code i}. */
-    public boolean broken(int i) {
-        return segments.get(i).broken();
+    /** Returns whether the box's playlist has a discontinuity before a segment. */
+    public boolean hasDiscontinuity(int index) {
+        return segments.get(index).discontinuity();
     }
 
-    /** Whether segments need an initialization section. */
+    /** Returns whether the first segment has an initialization section. */
     public boolean hasMap() {
         return segments.get(0).map() != null;
     }
 
-    /** What of keys and map is in force in a text that is being written. */
-    static final class State {
+    /** Keys and initialization section in force at the end of a playlist that is being written. */
+    static final class TagState {
+        /** EXT-X-KEY lines in force; empty without encryption. */
         private String keys = "";
+        /** Value of the EXT-X-MAP in force; null if none. */
         private String map;
-        /** The map and base from which {@code map} was made: most segments share them. */
-        private Attributes mapOf;
+        /** Attributes from which {@code map} was made with {@code baseUri}; cached because most segments share them. */
+        private Attributes mapAttributes;
 
-        private String base;
+        private String baseUri;
 
-        /** A discontinuity: the initialization section is stated anew. */
+        /** Handles a discontinuity, after which the initialization section is written again. */
         void discontinuity() {
             map = null;
-            mapOf = null;
+            mapAttributes = null;
         }
     }
 
-    /** Writes segment {@code i} with its URIs below {@code base}, and of keys and map what is not in force. */
-    void write(StringBuilder out, int i, String base, State state) {
-        Segment s = segments.get(i);
-        if (!s.keys().isEmpty() || !state.keys.isEmpty()) {
+    /**
+     * Appends a segment with its URIs resolved against {@code baseUri}, and its keys and map if they are not in force.
+     */
+    void write(StringBuilder out, int index, String baseUri, TagState state) {
+        Segment segment = segments.get(index);
+        if (!segment.keys().isEmpty() || !state.keys.isEmpty()) {
             StringBuilder keys = new StringBuilder();
-            for (Attributes key : s.keys()) {
-                keys.append("#EXT-X-KEY:").append(below(key, base)).append('\n');
+            for (Attributes key : segment.keys()) {
+                keys.append("#EXT-X-KEY:").append(withAbsoluteUri(key, baseUri)).append('\n');
             }
-            String now = keys.toString();
-            if (!now.equals(state.keys)) {
-                out.append(now.isEmpty() ? "#EXT-X-KEY:METHOD=NONE\n" : now);
-                state.keys = now;
+            String keyTags = keys.toString();
+            if (!keyTags.equals(state.keys)) {
+                out.append(keyTags.isEmpty() ? "#EXT-X-KEY:METHOD=NONE\n" : keyTags);
+                state.keys = keyTags;
             }
         }
-        if (s.map() != null && (s.map() != state.mapOf || !base.equals(state.base))) {
-            String map = below(s.map(), base).toString();
+        if (segment.map() != null && (segment.map() != state.mapAttributes || !baseUri.equals(state.baseUri))) {
+            String map = withAbsoluteUri(segment.map(), baseUri).toString();
             if (!map.equals(state.map)) {
                 out.append("#EXT-X-MAP:").append(map).append('\n');
                 state.map = map;
             }
-            state.mapOf = s.map();
-            state.base = base;
+            state.mapAttributes = segment.map();
+            state.baseUri = baseUri;
         }
-        out.append(s.lines());
-        if (s.below()) {
-            out.append(base).append(s.uri()).append('\n');
+        out.append(segment.lines());
+        if (segment.relative()) {
+            out.append(baseUri).append(segment.uri()).append('\n');
         } else {
-            out.append(resolve(base, s.uri())).append('\n');
+            out.append(resolve(baseUri, segment.uri())).append('\n');
         }
     }
 
-    private static Attributes below(Attributes of, String base) {
-        String uri = of.get("URI");
-        return uri == null ? of : of.copy().setQuoted("URI", resolve(base, uri));
+    /** Returns attributes with their URI resolved against the base URI. */
+    private static Attributes withAbsoluteUri(Attributes attributes, String baseUri) {
+        String uri = attributes.get("URI");
+        return uri == null ? attributes : attributes.copy().setQuoted("URI", resolve(baseUri, uri));
     }
 
-    /** A URI reference (RFC 3986, 5.2) of the kinds that boxes write: absolute, from the root, or below the base. */
-    static String resolve(String base, String uri) {
+    /**
+     * Resolves a URI reference (RFC 3986, 5.2) of the kinds that boxes use: an absolute URI, an absolute path, or a
+     * path relative to the base URI, which ends in a slash.
+     */
+    static String resolve(String baseUri, String uri) {
         int colon = uri.indexOf(':');
         if (colon > 0 && uri.substring(0, colon).matches("[A-Za-z][A-Za-z0-9+.-]*")) {
             return uri;
         }
         if (uri.startsWith("/")) {
-            int root = base.indexOf('/', base.indexOf("//") + 2);
-            return (root < 0 ? base : base.substring(0, root)) + uri;
+            int pathStart = baseUri.indexOf('/', baseUri.indexOf("//") + 2);
+            return (pathStart < 0 ? baseUri : baseUri.substring(0, pathStart)) + uri;
         }
-        return base + uri;
+        return baseUri + uri;
     }
 
-    /** Seconds from the lecture's start to segment {@code i}; {@code i} may be {@link #count()}. */
-    public double startS(int i) {
-        return starts[i];
+    /** Returns the start of a segment in seconds; for {@link #count()} the end of the last one. */
+    public double startS(int index) {
+        return startsS[index];
     }
 
-    /** Length in seconds. */
+    /** Returns the length in seconds. */
     public double lengthS() {
-        return starts[starts.length - 1];
+        return startsS[startsS.length - 1];
     }
 
-    /** The segment that plays at a place in the lecture. */
-    public int at(double seconds) {
-        int i = java.util.Arrays.binarySearch(starts, seconds);
-        return Math.max(0, Math.min(count() - 1, i >= 0 ? i : -i - 2));
+    /** Returns the segment that contains a position in seconds; the first or last one if it is outside. */
+    public int segmentAt(double seconds) {
+        int index = java.util.Arrays.binarySearch(startsS, seconds);
+        return Math.max(0, Math.min(count() - 1, index >= 0 ? index : -index - 2));
     }
 
-    /** The boundary nearest to a place in the lecture: 0 to {@link #count()}. */
-    public int boundaryAt(double seconds) {
-        int before = at(seconds);
-        boolean nearer = seconds - starts[before] <= starts[before + 1] - seconds;
-        return nearer ? before : before + 1;
+    /** Returns the boundary nearest to a position in seconds, from 0 to {@link #count()}. */
+    public int nearestBoundary(double seconds) {
+        int before = segmentAt(seconds);
+        boolean beforeIsNearer = seconds - startsS[before] <= startsS[before + 1] - seconds;
+        return beforeIsNearer ? before : before + 1;
     }
 
-    /** EXT-X-TARGETDURATION. */
+    /** Returns the target duration in seconds: EXT-X-TARGETDURATION, or the longest segment if that is longer. */
     public long targetS() {
         return targetS;
     }
--- a/front/src/main/java/calicovale/front/playlist/package-info.java
+++ b/front/src/main/java/calicovale/front/playlist/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns what a session's playlist shows: which segments, of which rung, from where. It has no I/O.
+ * Builds sessions' media playlists: which segments they list, at which rung and from which box. Does no I/O.
  */
 package calicovale.front.playlist;
