--- a/front/src/main/java/calicovale/front/player/PlaylistRequests.java
+++ b/front/src/main/java/calicovale/front/player/PlaylistRequests.java
@@ -15,7 +15,7 @@
 /**
  * Answers players' requests for playlists. A reload is answered with the session's playlist extended to the current
  * time, after the lecture's playlist is fetched, the pieces due are resolved, and the ledger's record of the session is
- * on disk. A session without a box is placed anew first.
+ * on disk. A session without a box is placed again first.
  */
 final class PlaylistRequests {
     private static final Logger LOG = LoggerFactory.getLogger(PlaylistRequests.class);
--- a/front/src/main/java/calicovale/front/player/SessionPersistence.java
+++ b/front/src/main/java/calicovale/front/player/SessionPersistence.java
@@ -30,7 +30,9 @@
     private final LedgerDesk ledger;
     private final DoubleSupplier commonTimeMs;
     private final Counters counters;
+    /** Recovered sessions that no player has reloaded yet, by token. */
     private final Map<String, Entry> unclaimedEntries = new HashMap<>();
+    /** Last common time at which the previous process is known to have run, in ms. */
     private final double previousAliveMs;
 
     /** Takes over the sessions that the ledger recovered; those that are not reloaded in time are dropped. */
@@ -48,6 +50,7 @@
         }
     }
 
+    /** Records recovered sessions that no player has reloaded as ended. */
     private void dropUnclaimedEntries() {
         List<String> tokens = new ArrayList<>(unclaimedEntries.keySet());
         tokens.forEach(ledger::over);
--- a/front/src/main/java/calicovale/front/player/SourcePlaylistCache.java
+++ b/front/src/main/java/calicovale/front/player/SourcePlaylistCache.java
@@ -27,7 +27,9 @@
     /** By title, least recently used first; each array has one element per rung, null where nothing is cached. */
     private final LinkedHashMap<String, Source[]> sourcesByTitle = new LinkedHashMap<>(16, 0.75f, true);
 
+    /** Callbacks of running fetches, by rung and title. */
     private final Map<String, List<Runnable>> waitingByFetch = new HashMap<>();
+
     private int sourceCount;
 
     SourcePlaylistCache(int maxSources, int rungCount, Counters counters) {
