--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -1,9 +1,9 @@
 package calicovale.front;
 
-import calicovale.front.directory.DirectoryLink;
+import calicovale.front.directory.DirectoryClient;
 import calicovale.front.ledger.LedgerDesk;
-import calicovale.front.operators.ChangeDesk;
-import calicovale.front.peers.PeerNews;
+import calicovale.front.operators.ChangeService;
+import calicovale.front.peers.PeerGossip;
 import calicovale.front.player.SessionManager;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.time.CommonClock;
@@ -30,27 +30,34 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Owns one session manager from start to end: its loop, and the parts that run on it. */
+/**
+ * One session manager's process: creates the event loop and the components that run on it, starts the servers, and
+ * shuts everything down.
+ */
 public final class FrontProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FrontProcess.class);
     private final EventLoop loop;
     private final FrontSettings settings;
     private final SessionManager manager;
-    private final HttpServer server;
+    private final HttpServer playerServer;
     private final Counters counters = new Counters();
-    private final CommonClock common;
-    private final ChangeBook book;
-    private final LedgerDesk ledger;
-    private final PeerNews peers;
-    private ChangeDesk desk;
-    private volatile InetSocketAddress gossipAt;
-    private volatile InetSocketAddress operatorsAt;
+    private final CommonClock commonClock;
+    private final ChangeBook changeBook;
+    private final LedgerDesk ledgerWriter;
+    private final PeerGossip peers;
+    private ChangeService changeService;
+    private volatile InetSocketAddress gossipAddress;
+    private volatile InetSocketAddress operatorsAddress;
     private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
 
     /**
-     * Starts a manager on a loop of its own; {@code tap} sees all its sockets.
+     * Starts a manager on its own event loop. The servers listen once the common clock has been read or reading it has
+     * failed; {@link #address()} waits for that.
      *
-     * @throws InvalidDocumentException if a file that the settings name can't be used
+     * @param clock source of wall clock and monotonic time
+     * @param tap observer of the traffic on all sockets of the loop
+     * @throws InvalidDocumentException if a file named in the settings is not valid
+     * @throws UncheckedIOException if the session ledger or the log of programme changes cannot be opened
      */
     public FrontProcess(FrontSettings settings, Clock clock, RandomGenerator random, Tap tap)
             throws InvalidDocumentException {
@@ -59,10 +66,10 @@
         loop = new EventLoop(name, clock, settings.loop(), tap);
         String incarnation =
                 Long.toString((long) clock.millis(), 36) + Integer.toString(random.nextInt(36 * 36 * 36), 36);
-        common = new CommonClock(clock.nanos() / 1e6, clock.millis());
+        commonClock = new CommonClock(clock.nanos() / 1e6, clock.millis());
         HttpLimits limits = settings.http();
-        // players send no bodies
-        HttpLimits players = new HttpLimits(
+        // players send no request bodies, so their bodyBytes limit is 0
+        HttpLimits playerLimits = new HttpLimits(
                 limits.lineBytes(),
                 limits.headerCount(),
                 limits.headerBytes(),
@@ -73,26 +80,28 @@
                 limits.idleMs(),
                 limits.connections());
         HttpClient client = new HttpClient(
-                loop, limits, settings.bounds().perBox(), settings.times().connect());
-        book = new ChangeBook(settings.bounds().changes(), settings.bounds().shown());
-        ledger = ledger();
-        manager = new SessionManager(loop, settings, common, random, client, book, ledger, counters, incarnation);
+                loop, limits, settings.bounds().perBox(), settings.times().connectMs());
+        changeBook =
+                new ChangeBook(settings.bounds().changes(), settings.bounds().shown());
+        ledgerWriter = openLedger();
+        manager = new SessionManager(
+                loop, settings, commonClock, random, client, changeBook, ledgerWriter, counters, incarnation);
         try {
-            peers = settings.gossip() == null ? null : new PeerNews(loop, settings, random, manager.host());
+            peers = settings.gossip() == null ? null : new PeerGossip(loop, settings, random, manager.host());
         } catch (InvalidDocumentException e) {
             loop.close();
-            ledger.close();
+            ledgerWriter.close();
             throw e;
         }
-        server = new HttpServer(loop, name, players, manager::handle).crossOrigin(settings.crossOrigin());
+        playerServer = new HttpServer(loop, name, playerLimits, manager::handle).crossOrigin(settings.crossOrigin());
         manager.wireCounts(() -> {
             Map<String, Long> counts = new LinkedHashMap<>();
-            counts.put("player-connections", (long) server.openConnections());
-            counts.put("player-connections-refused", server.counters().connectionsRefused);
-            counts.put("player-messages-refused", server.counters().messagesRefused);
-            counts.put("player-connections-timed-out", server.counters().connectionsTimedOut);
-            counts.put("player-preflights", server.counters().preflights);
-            counts.put("player-handler-errors", server.counters().handlerErrors);
+            counts.put("player-connections", (long) playerServer.openConnections());
+            counts.put("player-connections-refused", playerServer.counters().connectionsRefused);
+            counts.put("player-messages-refused", playerServer.counters().messagesRefused);
+            counts.put("player-connections-timed-out", playerServer.counters().connectionsTimedOut);
+            counts.put("player-preflights", playerServer.counters().preflights);
+            counts.put("player-handler-errors", playerServer.counters().handlerErrors);
             counts.put("box-messages-malformed", client.counters().messagesRefused);
             counts.put("box-pool-overflows", client.counters().poolOverflows);
             counts.put("pending-bytes-overflows", loop.counters().pendingOverflows);
@@ -107,7 +116,7 @@
             }
             return counts;
         });
-        DirectoryLink directory = new DirectoryLink(
+        DirectoryClient directory = new DirectoryClient(
                 loop,
                 client,
                 settings.directory(),
@@ -115,153 +124,171 @@
                 settings.bounds().boxes(),
                 settings.times(),
                 new Backoff(settings.times().backoff(), settings.times().backoffMost(), random),
-                common,
+                commonClock,
                 counters,
                 manager::onList);
-        HttpServer desk = operators(limits);
-        loop.execute(() -> directory.start(() -> listen(desk)));
+        HttpServer operatorsServer = createOperatorsServer(limits);
+        loop.execute(() -> directory.start(() -> startServers(operatorsServer)));
         loop.start();
     }
 
-    private LedgerDesk ledger() {
+    private LedgerDesk openLedger() {
         try {
             return new LedgerDesk(
                     loop,
                     settings.sessionsFolder(),
-                    () -> book.changes().stream().map(Change::id).collect(Collectors.toUnmodifiableSet()),
-                    () -> common.at(loop.clock().nanos() / 1e6),
-                    settings.times().alive(),
+                    () -> changeBook.changes().stream().map(Change::id).collect(Collectors.toUnmodifiableSet()),
+                    () -> commonClock.at(loop.clock().nanos() / 1e6),
+                    settings.times().aliveMs(),
                     counters);
         } catch (IOException e) {
             loop.close();
-            throw new UncheckedIOException("the sessions' ledger can't be used: " + e.getMessage(), e);
+            throw new UncheckedIOException(
+                    "cannot open the session ledger in /sessionsFolder of the settings: " + e.getMessage(), e);
         }
     }
 
-    private HttpServer operators(HttpLimits limits) {
+    /** Returns the server for operators, or null without /operators. */
+    private HttpServer createOperatorsServer(HttpLimits limits) {
         if (settings.operators() == null) {
             return null;
         }
         try {
-            desk = new ChangeDesk(
+            changeService = new ChangeService(
                     loop,
-                    book,
+                    changeBook,
                     manager.host()::nowMs,
                     settings,
                     manager::changesChanged,
                     manager::changeTally,
                     counters);
-            return new HttpServer(loop, "operators", limits, this::operator);
+            return new HttpServer(loop, "operators", limits, this::handleOperatorExchange);
         } catch (IOException e) {
             loop.close();
-            throw new UncheckedIOException("the log of changes can't be used: " + e.getMessage(), e);
+            throw new UncheckedIOException(
+                    "cannot open the log of programme changes in /changesFolder of the settings: " + e.getMessage(), e);
         }
     }
 
-    private void operator(Exchange x) {
-        if (!x.head().path().equals("/v1/members")) {
-            desk.handle(x);
+    /** Handles one HTTP exchange of an operator: the view of the group, or programme changes. */
+    private void handleOperatorExchange(Exchange exchange) {
+        if (!exchange.head().path().equals("/v1/members")) {
+            changeService.handle(exchange);
         } else if (peers == null) {
-            x.problem(404, "Not Found", "this manager's settings let it talk to no other: no /gossip");
+            exchange.problem(404, "Not Found", "this manager's settings let it talk to no other: no /gossip");
         } else {
-            x.respond(200, "application/json", peers.view().toString());
+            exchange.respond(200, "application/json", peers.view().toString());
         }
     }
 
-    private void listen(HttpServer desk) {
+    /** Joins the group and starts the servers. */
+    private void startServers(HttpServer operatorsServer) {
         try {
             if (peers != null) {
-                gossipAt = peers.start();
+                gossipAddress = peers.start();
             }
-            if (desk != null) {
-                operatorsAt = desk.listen(settings.operators());
+            if (operatorsServer != null) {
+                operatorsAddress = operatorsServer.listen(settings.operators());
             }
-            InetSocketAddress address = server.listen(settings.listen());
+            InetSocketAddress address = playerServer.listen(settings.listen());
             LOG.info(
-                    "manager {} listens on {}, common clock {}",
+                    "manager {} is listening on {}; the common clock was {}",
                     settings.controller().self(),
                     address,
-                    common.synced() ? "read" : "not read");
+                    commonClock.isSynced() ? "read" : "not read");
             listening.complete(address);
         } catch (IOException e) {
             listening.completeExceptionally(new UncheckedIOException(e));
         }
     }
 
-    /** Waits until players are served; the address bound. */
+    /**
+     * Waits until the server for players listens and returns the address that it is bound to.
+     *
+     * @throws java.util.concurrent.CompletionException if one of the servers or the gossip member cannot listen
+     */
     public InetSocketAddress address() {
         return listening.join();
     }
 
-    /** Where operators are served; null where they are not. Known once players are served. */
+    /**
+     * Waits until the server for players listens and returns the address of the operators' server, or null if the
+     * settings have no /operators.
+     */
     public InetSocketAddress operatorsAddress() {
         address();
-        return operatorsAt;
+        return operatorsAddress;
     }
 
-    /** Where other managers reach this one; null where settings have it talk to none. Known once players are served. */
+    /**
+     * Waits until the server for players listens and returns the address of the gossip member, or null if the settings
+     * have no /gossip.
+     */
     public InetSocketAddress gossipAddress() {
         address();
-        return gossipAt;
+        return gossipAddress;
     }
 
-    /** The place in the group, or null; to be touched on the loop only. */
-    public PeerNews peers() {
+    /** Returns this manager's gossip with its peers, or null without /gossip. Only for use on the loop's thread. */
+    public PeerGossip peers() {
         return peers;
     }
 
-    /** The loop, for faults and measurements. */
+    /** Returns the event loop, for fault injection and measurements. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** The sessions; to be touched on the loop only. */
+    /** Returns the manager of the sessions. Only for use on the loop's thread. */
     public SessionManager manager() {
         return manager;
     }
 
-    /** The counters; to be touched on the loop only. */
+    /** Returns the counters. Only for use on the loop's thread. */
     public Counters counters() {
         return counters;
     }
 
-    /** The common clock; to be touched on the loop only. */
+    /** Returns the common clock. Only for use on the loop's thread. */
     public CommonClock commonClock() {
-        return common;
+        return commonClock;
     }
 
-    /** Stops accepting, answers all that is owed, lets sessions go and ends; waits for it. */
+    /**
+     * Drains and closes this manager, and waits until that is done: leaves the group, stops accepting connections,
+     * answers the pending requests and releases the sessions at the boxes. Closes after /times/drainMs at the latest.
+     */
     public void drain() {
-        CompletableFuture<Void> done = new CompletableFuture<>();
+        CompletableFuture<Void> drained = new CompletableFuture<>();
         loop.execute(() -> {
-            LOG.info("draining");
+            LOG.info("draining before shutdown");
             if (peers != null) {
                 peers.leave();
             }
-            server.stopListening();
-            loop.schedule(settings.times().drain(), () -> done.complete(null));
+            playerServer.stopListening();
+            loop.schedule(settings.times().drainMs(), () -> drained.complete(null));
             manager.drain(() -> {
                 manager.releaseAll();
-                server.drain();
-                // the last answers and messages leave in the next turns
-                loop.schedule(200, () -> done.complete(null));
+                playerServer.drain();
+                // 200 ms let the following turns of the loop send the last answers and messages to boxes
+                loop.schedule(200, () -> drained.complete(null));
             });
         });
-        done.join();
+        drained.join();
         close();
     }
 
-    /** Ends as a killed process would. */
+    /** Ends abruptly like a killed process: nothing is released, and a write under way may be incomplete. */
     public void kill() {
         loop.kill();
-        ledger.kill();
-        closeDesk();
+        ledgerWriter.kill();
+        closeChangeService();
         closePeers();
     }
 
-    /** Sets what the disk of the sessions' ledger does wrong. */
+    /** Injects a fault into the disk writes of the session ledger. */
     public void diskFault(LedgerDesk.DiskFault fault) {
-        ledger.fault(fault);
+        ledgerWriter.setDiskFault(fault);
     }
 
     private void closePeers() {
@@ -270,17 +297,17 @@
         }
     }
 
-    private void closeDesk() {
-        if (desk != null) {
-            desk.close();
+    private void closeChangeService() {
+        if (changeService != null) {
+            changeService.close();
         }
     }
 
     @Override
     public void close() {
         loop.close();
-        ledger.close();
-        closeDesk();
+        ledgerWriter.close();
+        closeChangeService();
         closePeers();
     }
 }
--- a/front/src/main/java/calicovale/front/box/BoxLink.java
+++ b/front/src/main/java/calicovale/front/box/BoxLink.java
@@ -1,7 +1,7 @@
 package calicovale.front.box;
 
 import calicovale.front.settings.FrontSettings.Times;
-import calicovale.front.stream.HeldStream;
+import calicovale.front.stream.ReconnectingEventStream;
 import calicovale.host.Backoff;
 import calicovale.host.Counters;
 import calicovale.protocols.http.Headers;
@@ -22,46 +22,59 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the talk with one media box: set-ups and messages on sessions, and the stream of news that is held while the box has
- * sessions of this manager. A stream that breaks is tried again with spread and bounded waits; what is missed meanwhile is
- * never made up. The box counts as lost when nobody listens any more, when another process answers, or after a stated time
- * without contact.
+ * The client of one media box: sends set-ups and messages on sessions, and keeps the box's event stream open while
+ * the box has sessions of this manager. A stream that fails is reopened after a backoff delay with jitter; events
+ * sent meanwhile are lost. The sessions at the box are considered lost when its address refuses connections, when the
+ * directory lists it at another address, or after a period without contact. After a restart of the box, the list of
+ * its sessions shows which are lost. Only for use on the loop's thread.
  */
 public final class BoxLink {
     private static final Logger LOG = LoggerFactory.getLogger(BoxLink.class);
-    private static final byte[] NONE = new byte[0];
-    /** Most bytes of one event of a box. */
-    private static final int EVENT_BYTES = 1 << 20;
+    private static final byte[] EMPTY_BODY = new byte[0];
+    /** Upper bound of the size of one event of a box, in bytes. */
+    private static final int MAX_EVENT_BYTES = 1 << 20;
 
-    private static final double MESSAGE_MS = 2000;
+    /** Timeout of a message on a session, in ms. */
+    private static final double MESSAGE_TIMEOUT_MS = 2000;
 
-    /** Hears of the box, on the loop. */
+    /** Receives the events of a box, on the loop's thread. */
     public interface Listener {
-        /** News of how full a link is or how much is delivered; {@code session} is one of this manager's there. */
+        /**
+         * Called for a note on the use of a link or the delivered share.
+         *
+         * @param session id of one of this manager's sessions at the box
+         * @param kind kind of the note, as the box sent it
+         * @param value its value, as the box sent it
+         */
         void onNote(BoxLink box, String session, String kind, double value);
 
-        /** A session ended at the box. */
+        /** Called when a session has ended at the box; {@code load} is the load reported with it, or empty. */
         void onEnded(BoxLink box, String key, String reason, Map<String, Double> load);
 
-        /** A segment, by its path below the session's base, was delivered whole. */
+        /** Called when a segment was delivered completely; {@code path} is relative to the session's base. */
         void onServed(BoxLink box, String key, String path);
 
-        /** The box, asked at {@code askedAtMs} (monotonic), told which of this manager's sessions it has. */
+        /**
+         * Called when the event stream is connected.
+         *
+         * @param keys keys of this manager's sessions at the box
+         * @param askedAtMs monotonic time, in ms, at which the request for the stream was sent
+         */
         void onHeld(BoxLink box, Set<String> keys, double askedAtMs);
 
-        /** All sessions there are lost. */
-        void onLost(BoxLink box, String why);
+        /** Called when all sessions of this manager at the box are considered lost. */
+        void onLost(BoxLink box, String reason);
     }
 
-    /** Hears how a set-up ended; once. */
+    /** Receives the outcome of a set-up. One of its methods is called, once. */
     public interface SetUpListener {
-        /** Status 201: the session's base path. */
+        /** The box set the session up (status 201); {@code base} is the URL of its base, with a trailing slash. */
         void started(String base, HttpHead head);
 
-        /** Any other answer. */
+        /** The box answered with another status; {@code load} is the load reported with it, or empty. */
         void answered(int status, Map<String, Double> load);
 
-        /** No answer. */
+        /** There was no answer, or a malformed one. */
         void failed(Failure failure);
     }
 
@@ -69,15 +82,20 @@
     private final EventLoop loop;
     private final HttpClient client;
     private final Times times;
-    private final HeldStream news;
-    private final String manager;
+    private final ReconnectingEventStream eventStream;
+    private final String managerProcess;
     private final Listener listener;
     private final Counters counters;
     private InetSocketAddress address;
     private String incarnation;
-    private double brokenAt = -1;
-
-    /** {@code manager} names this manager's process to the box. */
+    private double disconnectedAtMs = -1;
+
+    /**
+     * Creates a client without an open event stream.
+     *
+     * @param id the box's number in the directory
+     * @param managerProcess name of this manager's process, which the box distinguishes from earlier ones
+     */
     public BoxLink(
             long id,
             InetSocketAddress address,
@@ -85,7 +103,7 @@
             HttpClient client,
             Times times,
             Backoff backoff,
-            String manager,
+            String managerProcess,
             Counters counters,
             Listener listener) {
         this.id = id;
@@ -93,32 +111,32 @@
         this.loop = loop;
         this.client = client;
         this.times = times;
-        this.manager = manager;
-        this.news = new HeldStream(
+        this.managerProcess = managerProcess;
+        this.eventStream = new ReconnectingEventStream(
                 loop,
                 client,
                 this::address,
-                name(),
-                "/v1/events?manager=" + manager,
-                EVENT_BYTES,
-                times.silent(),
+                connectionName(),
+                "/v1/events?manager=" + managerProcess,
+                MAX_EVENT_BYTES,
+                times.silentMs(),
                 backoff,
                 counters,
-                new HeldStream.Listener() {
+                new ReconnectingEventStream.Listener() {
                     @Override
                     public void onEvent(String type, String data, double askedAtMs) {
-                        news(type, data, askedAtMs);
+                        onStreamEvent(type, data, askedAtMs);
                     }
 
                     @Override
-                    public void onBroken(Failure failure) {
-                        broken(failure);
+                    public void onDisconnected(Failure failure) {
+                        onStreamDisconnected(failure);
                     }
 
                     @Override
-                    public void onLook() {
-                        if (brokenAt >= 0 && nowMs() - brokenAt > times.lost()) {
-                            lost("no contact for " + (long) times.lost() + " ms");
+                    public void onSilenceCheck() {
+                        if (disconnectedAtMs >= 0 && nowMs() - disconnectedAtMs > times.lostMs()) {
+                            onSessionsLost("no contact for " + (long) times.lostMs() + " ms");
                         }
                     }
                 });
@@ -126,28 +144,31 @@
         this.listener = listener;
     }
 
-    /** The box's number in the directory. */
+    /** Returns the box's number in the directory. */
     public long id() {
         return id;
     }
 
-    /** Where the box is. */
+    /** Returns the box's address. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The directory lists the box at another address: a new process. */
+    /**
+     * Sets the address at which the directory lists the box. A new address means a new process: the sessions are
+     * lost.
+     */
     public void address(InetSocketAddress next) {
         if (!next.equals(address)) {
             client.closeIdleConnections(address);
             address = next;
-            if (news.wanted()) {
-                lost("listed at another address");
+            if (eventStream.isStarted()) {
+                onSessionsLost("listed at another address");
             }
         }
     }
 
-    private String name() {
+    private String connectionName() {
         return "box:" + id;
     }
 
@@ -155,63 +176,83 @@
         return loop.clock().nanos() / 1e6;
     }
 
-    /** Sends one set-up; it is called off after {@code timeoutMs}, and its connection closed with it. */
-    public HttpClient.Call setUp(String key, ObjectNode body, double timeoutMs, SetUpListener heard) {
-        body.put("manager", manager).put("key", key).put("leaseMs", times.lease());
+    /**
+     * Sends a set-up. After the timeout it is canceled and its connection closed.
+     *
+     * @param key key of the session
+     * @param body the request's body; manager, key and leaseMs are added to it
+     * @param timeoutMs timeout, in ms
+     */
+    public HttpClient.Call setUp(String key, ObjectNode body, double timeoutMs, SetUpListener setUpListener) {
+        body.put("manager", managerProcess).put("key", key).put("leaseMs", times.leaseMs());
         return client.send(
-                address, name(), "POST", "/v1/sessions", json(), bytes(body), timeoutMs, (head, content, failure) -> {
+                address,
+                connectionName(),
+                "POST",
+                "/v1/sessions",
+                jsonContentType(),
+                utf8(body),
+                timeoutMs,
+                (head, content, failure) -> {
                     if (failure != null) {
-                        heard.failed(failure);
+                        setUpListener.failed(failure);
                         return;
                     }
                     if (head.status() != 201) {
-                        heard.answered(head.status(), LoadReport.of(head));
+                        setUpListener.answered(head.status(), LoadReport.of(head));
                         return;
                     }
                     try {
                         JsonNode answer = Documents.MAPPER.readTree(content);
                         String base = answer.path("base").asText("");
                         if (!base.matches("/s/[A-Za-z0-9._~-]+/")) {
-                            throw new IllegalArgumentException("no base");
+                            throw new IllegalArgumentException("the answer has no valid base");
                         }
-                        heard.started("http://" + address.getHostString() + ":" + address.getPort() + base, head);
+                        setUpListener.started(
+                                "http://" + address.getHostString() + ":" + address.getPort() + base, head);
                     } catch (java.io.IOException | IllegalArgumentException e) {
                         counters.increment("box-answers-malformed");
-                        LOG.warn("box {}: a set-up's answer is malformed", id);
+                        LOG.warn("box {} sent a malformed answer to a set-up; the set-up is released", id);
                         release(key);
-                        heard.failed(Failure.MALFORMED);
+                        setUpListener.failed(Failure.MALFORMED);
                     }
                 });
     }
 
-    /** Confirms a set-up: the box then keeps it beyond its lease. {@code refused} is called if the box has let it go. */
+    /** Confirms a set-up, so that the box keeps it beyond its lease. Runs {@code refused} if the box refuses that. */
     public void confirm(String key, Runnable refused) {
-        message("PUT", key, Documents.MAPPER.createObjectNode().put("confirmed", true), refused);
+        sendMessage("PUT", key, Documents.MAPPER.createObjectNode().put("confirmed", true), refused);
     }
 
-    /** Tells a session's rung; of messages that overtake each other the box keeps the one of the highest number. */
+    /**
+     * Sends a session's rung.
+     *
+     * @param change number of the message; of messages that arrive out of order the box keeps the one of the highest
+     *     number
+     */
     public void rung(String key, int rung, int change) {
-        message(
+        sendMessage(
                 "PUT",
                 key,
                 Documents.MAPPER.createObjectNode().put("rung", rung).put("change", change),
                 null);
     }
 
-    /** Lets a session or a set-up go. */
+    /** Releases a session or a set-up at the box. */
     public void release(String key) {
-        message("DELETE", key, null, null);
+        sendMessage("DELETE", key, null, null);
     }
 
-    private void message(String method, String key, ObjectNode body, Runnable refused) {
+    /** Sends a message on a session; {@code body} and {@code refused} may be null. */
+    private void sendMessage(String method, String key, ObjectNode body, Runnable refused) {
         client.send(
                 address,
-                name(),
+                connectionName(),
                 method,
                 "/v1/sessions/" + key,
-                body == null ? new Headers() : json(),
-                body == null ? NONE : bytes(body),
-                MESSAGE_MS,
+                body == null ? new Headers() : jsonContentType(),
+                body == null ? EMPTY_BODY : utf8(body),
+                MESSAGE_TIMEOUT_MS,
                 (head, content, failure) -> {
                     if (failure != null) {
                         counters.increment("box-messages-lost");
@@ -225,92 +266,92 @@
     public void source(String title, int rung, HttpClient.FullResponseHandler handler) {
         client.send(
                 address,
-                name(),
+                connectionName(),
                 "GET",
                 "/v1/titles/" + title + "/" + rung + ".m3u8",
                 new Headers(),
-                NONE,
-                times.source(),
+                EMPTY_BODY,
+                times.sourceMs(),
                 handler);
     }
 
-    private static Headers json() {
+    private static Headers jsonContentType() {
         return new Headers().add("Content-Type", "application/json");
     }
 
-    private static byte[] bytes(ObjectNode body) {
+    private static byte[] utf8(ObjectNode body) {
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Holds the stream of news from now on. */
+    /** Opens the box's event stream and keeps it open. */
     public void watch() {
-        news.hold();
+        eventStream.start();
     }
 
-    /** Holds it no more. */
+    /** Closes the box's event stream. */
     public void unwatch() {
-        brokenAt = -1;
-        news.release();
+        disconnectedAtMs = -1;
+        eventStream.stop();
     }
 
-    private void broken(Failure failure) {
-        if (brokenAt < 0) {
-            brokenAt = nowMs();
+    private void onStreamDisconnected(Failure failure) {
+        if (disconnectedAtMs < 0) {
+            disconnectedAtMs = nowMs();
         }
         if (failure == Failure.CONNECT_REFUSED) {
             client.closeIdleConnections(address);
-            lost("nobody listens at its address");
+            onSessionsLost("its address refuses connections");
         }
     }
 
-    private void lost(String why) {
-        brokenAt = nowMs();
+    private void onSessionsLost(String reason) {
+        disconnectedAtMs = nowMs();
         incarnation = null;
         counters.increment("boxes-lost");
-        LOG.info("box {}: lost, {}", id, why);
-        listener.onLost(this, why);
+        LOG.info("box {} is considered lost: {}", id, reason);
+        listener.onLost(this, reason);
     }
 
-    private void news(String type, String data, double askedAt) {
-        JsonNode n;
+    private void onStreamEvent(String type, String data, double askedAtMs) {
+        JsonNode event;
         try {
-            n = Documents.MAPPER.readTree(data);
+            event = Documents.MAPPER.readTree(data);
         } catch (JsonProcessingException e) {
             counters.increment("box-events-malformed");
             return;
         }
         switch (type) {
             case "hello" -> {
-                String process = n.path("incarnation").asText();
-                if (incarnation != null && !incarnation.equals(process)) {
-                    // its sessions are lost too: they are missing among those held
+                String newIncarnation = event.path("incarnation").asText();
+                if (incarnation != null && !incarnation.equals(newIncarnation)) {
+                    // the sessions of the previous process are lost as well: they are missing in the list of held ones
                     counters.increment("boxes-restarted");
                     client.closeIdleConnections(address);
                 }
-                incarnation = process;
-                brokenAt = -1;
-                news.good();
+                incarnation = newIncarnation;
+                disconnectedAtMs = -1;
+                eventStream.resetBackoff();
                 Set<String> keys = new HashSet<>();
-                n.path("held").forEach(key -> keys.add(key.asText()));
-                listener.onHeld(this, keys, askedAt);
+                event.path("held").forEach(key -> keys.add(key.asText()));
+                listener.onHeld(this, keys, askedAtMs);
             }
             case "note" ->
                 listener.onNote(
                         this,
-                        n.path("session").asText(),
-                        n.path("kind").asText(),
-                        n.path("value").asDouble());
+                        event.path("session").asText(),
+                        event.path("kind").asText(),
+                        event.path("value").asDouble());
             case "ended" ->
                 listener.onEnded(
                         this,
-                        n.path("key").asText(),
-                        n.path("reason").asText(),
-                        LoadReport.parse(n.path("load").asText("")));
+                        event.path("key").asText(),
+                        event.path("reason").asText(),
+                        LoadReport.parse(event.path("load").asText("")));
             case "served" ->
-                n.path("last")
+                event.path("last")
                         .properties()
-                        .forEach(e ->
-                                listener.onServed(this, e.getKey(), e.getValue().asText()));
+                        .forEach(served -> listener.onServed(
+                                this, served.getKey(), served.getValue().asText()));
             default -> counters.increment("box-events-unknown");
         }
     }
--- a/front/src/main/java/calicovale/front/box/package-info.java
+++ b/front/src/main/java/calicovale/front/box/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns the talk with media boxes: set-ups, confirmations, and the streams of news. It must not choose a box.
+ * The client of media boxes: set-ups, messages on sessions, and the boxes' event streams. This package must not
+ * choose a box.
  */
 package calicovale.front.box;
--- a/front/src/main/java/calicovale/front/directory/package-info.java
+++ b/front/src/main/java/calicovale/front/directory/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns the talk with the box directory: the list, the common clock, and the list kept over a restart.
+ * The client of the box directory: the list of boxes, readings of the common clock, and the list saved for a restart.
  */
 package calicovale.front.directory;
--- a/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
+++ b/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
@@ -25,66 +25,72 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the ledger's writing between the loop and the disk: steps gather on the loop while one write is under way and go out
- * together with the next (group commit), so that one force serves however many sessions came meanwhile. What waits is bounded
- * by the sessions held, since a session's later step replaces its earlier one. A disk that fails is told of and counted; the
- * front goes on without it, and the steps are tried again with the next write.
+ * Writes the session ledger from the loop to the disk with group commit: steps that are recorded while a write is in
+ * progress are written together by the next one, so that one force to disk serves all of them. The number of pending
+ * steps is bounded by the number of sessions held, because a later step of a session replaces its earlier one. When a
+ * write fails, the failure is logged and counted, the front continues without the ledger, and the steps are written
+ * again with the next attempt. Only for use on the loop's thread or before the loop starts, except {@link
+ * #setDiskFault}, {@link #kill} and {@link #close}.
  */
 public final class LedgerDesk implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(LedgerDesk.class);
-    /** Bytes of the log from which it is replaced by a snapshot: some 20,000 steps. */
-    private static final long SNAPSHOT_BYTES = 4 << 20;
-    /** Wait after a write that failed, in ms: a full disk is not hammered. */
-    private static final double AFTER_FAILURE_MS = 1000;
+    /** Length of the log, in bytes, above which it is replaced by a snapshot; about 20,000 steps. */
+    private static final long SNAPSHOT_MIN_LOG_BYTES = 4 << 20;
+    /**
+     * Delay before the next attempt after a failed write, in ms, so that a full disk is not written to continuously.
+     */
+    private static final double RETRY_DELAY_MS = 1000;
 
-    /** What a disk can be told to do wrong, for rehearsals; runs on the disk's thread before each write. */
+    /** A disk fault that rehearsals inject. It runs on the disk thread before each write. */
     public interface DiskFault {
-        /** A disk without a fault. */
+        /** No fault. */
         DiskFault NONE = () -> {};
 
-        /** Waits or throws. */
+        /** Delays the write, or throws to make it fail. */
         void beforeWrite() throws IOException;
     }
 
     private final EventLoop loop;
-    private final Supplier<Set<String>> changes;
+    private final Supplier<Set<String>> activeChangeIds;
     private final DoubleSupplier nowMs;
     private final Counters counters;
     private final SessionLedger ledger;
-    private final ExecutorService disk;
-    private volatile DiskFault fault = DiskFault.NONE;
+    private final ExecutorService diskExecutor;
+    private volatile DiskFault diskFault = DiskFault.NONE;
     private Map<String, Entry> entries = new LinkedHashMap<>();
-    private Set<String> over = new LinkedHashSet<>();
+    private Set<String> endedTokens = new LinkedHashSet<>();
     private List<Showing> showings = new ArrayList<>();
-    private List<Runnable> waiting = new ArrayList<>();
-    private boolean alive;
-    private boolean writing;
-    private boolean failed;
+    private List<Runnable> pendingCallbacks = new ArrayList<>();
+    private boolean aliveNoteDue;
+    private boolean writeInProgress;
+    private boolean lastWriteFailed;
 
     /**
-     * Opens the ledger of a folder; null: nothing is kept, and everything counts as kept at once.
+     * Opens the ledger of a folder.
      *
-     * @param changes the ids of changes that count now: showings of others are forgotten with a snapshot
-     * @param nowMs the common time
-     * @param aliveEveryMs between two notes that this process still runs
+     * @param folder folder of the ledger, or null to keep nothing; callbacks of {@link #whenKept} then run at once
+     * @param activeChangeIds returns the ids of the changes in effect; a snapshot drops the showings of all others
+     * @param nowMs returns the common time, in ms since 1970
+     * @param aliveEveryMs interval between two notes in the ledger that this process is running, in ms
+     * @throws IOException if the ledger cannot be opened
      */
     public LedgerDesk(
             EventLoop loop,
             Path folder,
-            Supplier<Set<String>> changes,
+            Supplier<Set<String>> activeChangeIds,
             DoubleSupplier nowMs,
             double aliveEveryMs,
             Counters counters)
             throws IOException {
         this.loop = loop;
-        this.changes = changes;
+        this.activeChangeIds = activeChangeIds;
         this.nowMs = nowMs;
         this.counters = counters;
-        ledger = folder == null ? null : new SessionLedger(folder, SNAPSHOT_BYTES);
-        disk = folder == null
+        ledger = folder == null ? null : new SessionLedger(folder, SNAPSHOT_MIN_LOG_BYTES);
+        diskExecutor = folder == null
                 ? null
-                : Executors.newSingleThreadExecutor(body -> {
-                    Thread thread = new Thread(body, "sessions-log");
+                : Executors.newSingleThreadExecutor(task -> {
+                    Thread thread = new Thread(task, "sessions-log");
                     thread.setDaemon(true);
                     return thread;
                 });
@@ -93,190 +99,206 @@
                 counters.increment("sessions-log-torn");
             }
             LOG.info(
-                    "sessions: {} found, {} bytes of a torn tail cut",
+                    "session ledger: {} sessions found; cut {} bytes of an incomplete record",
                     ledger.entries().size(),
                     ledger.recovery().bytesCut());
-            loop.execute(() -> note(aliveEveryMs));
+            loop.execute(() -> scheduleAliveNotes(aliveEveryMs));
         }
     }
 
-    private void note(double everyMs) {
-        if (!failed) {
-            alive = true;
-            write();
+    /** Notes now, and then at each interval, that this process is running. */
+    private void scheduleAliveNotes(double everyMs) {
+        if (!lastWriteFailed) {
+            aliveNoteDue = true;
+            writePending();
         }
-        loop.schedule(everyMs, () -> note(everyMs));
+        loop.schedule(everyMs, () -> scheduleAliveNotes(everyMs));
     }
 
-    /** Whether anything is kept. */
+    /** Returns whether there is a ledger. */
     public boolean on() {
         return ledger != null;
     }
 
-    /** Sessions found at the start; to be asked before the first step is told. */
+    /** Returns the sessions read from the ledger at the start. Must be called before the first step is recorded. */
     public Collection<Entry> foundEntries() {
         return ledger == null ? List.of() : ledger.entries();
     }
 
-    /** Showings found at the start. */
+    /** Returns the showings of changes read from the ledger at the start. */
     public List<Showing> foundShowings() {
         return ledger == null ? List.of() : ledger.showings();
     }
 
-    /** The last common time at which the process before is known to have run. */
+    /**
+     * Returns the last common time, in ms since 1970, at which the previous process is known to have run; 0 if none
+     * is.
+     */
     public double foundAliveMs() {
         return ledger == null ? 0 : ledger.aliveMs();
     }
 
-    /** Sets what the disk does wrong. */
-    public void fault(DiskFault what) {
-        fault = what;
+    /** Sets the fault of the disk, from any thread. */
+    public void setDiskFault(DiskFault fault) {
+        diskFault = fault;
     }
 
-    /** Tells a session's step. */
+    /** Records a step of a session, which replaces the session's pending step. It is written by the next write. */
     public void keep(Entry entry) {
         if (on()) {
-            over.remove(entry.token());
+            endedTokens.remove(entry.token());
             entries.put(entry.token(), entry);
         }
     }
 
-    /** Tells that a session is over; it is written with what comes next. */
+    /** Records that a session has ended. It is written by the next write. */
     public void over(String token) {
         if (on()) {
             entries.remove(token);
-            over.add(token);
+            endedTokens.add(token);
         }
     }
 
-    /** Tells that a change is shown. */
-    public void shown(String change, Collection<String> names) {
+    /** Records that a change is shown, under the names by which showings are remembered. */
+    public void shown(String changeId, Collection<String> names) {
         if (on()) {
-            names.forEach(name -> showings.add(new Showing(change, name)));
+            names.forEach(name -> showings.add(new Showing(changeId, name)));
         }
     }
 
-    /** Calls {@code body} on the loop once all that was told until now is on disk, or the disk failed with it. */
-    public void whenKept(Runnable body) {
+    /**
+     * Runs a callback on the loop once everything recorded so far is on disk or its write has failed. While the last
+     * write has failed, or without a ledger, the callback runs at once.
+     */
+    public void whenKept(Runnable callback) {
         if (!on()) {
-            body.run();
+            callback.run();
             return;
         }
-        if (failed) {
-            body.run();
+        if (lastWriteFailed) {
+            callback.run();
             return;
         }
-        waiting.add(body);
-        write();
+        pendingCallbacks.add(callback);
+        writePending();
     }
 
-    private void write() {
-        // after a failure only the next try, in its time, goes out: until then what waits is served without the disk
-        if (writing || !alive && waiting.isEmpty()) {
+    /**
+     * Writes everything pending as one batch, unless a write is in progress or neither a callback nor a note is due.
+     */
+    private void writePending() {
+        // after a failure nothing is written before the retry sets the flag; whenKept runs new callbacks at once until
+        // then
+        if (writeInProgress || !aliveNoteDue && pendingCallbacks.isEmpty()) {
             return;
         }
-        Map<String, Entry> ofEntries = entries;
-        Set<String> ofOver = over;
-        List<Showing> ofShowings = showings;
-        List<Runnable> kept = waiting;
+        Map<String, Entry> batchEntries = entries;
+        Set<String> batchEndedTokens = endedTokens;
+        List<Showing> batchShowings = showings;
+        List<Runnable> batchCallbacks = pendingCallbacks;
         entries = new LinkedHashMap<>();
-        over = new LinkedHashSet<>();
+        endedTokens = new LinkedHashSet<>();
         showings = new ArrayList<>();
-        waiting = new ArrayList<>();
-        alive = false;
-        writing = true;
-        Steps steps = new Steps(ofEntries.values(), ofOver, ofShowings, nowMs.getAsDouble());
-        Set<String> counting = changes.get();
+        pendingCallbacks = new ArrayList<>();
+        aliveNoteDue = false;
+        writeInProgress = true;
+        Steps steps = new Steps(batchEntries.values(), batchEndedTokens, batchShowings, nowMs.getAsDouble());
+        Set<String> activeIds = activeChangeIds.get();
         try {
-            disk.execute(() -> {
+            diskExecutor.execute(() -> {
                 IOException error = null;
                 try {
-                    fault.beforeWrite();
-                    ledger.write(steps, counting);
+                    diskFault.beforeWrite();
+                    ledger.write(steps, activeIds);
                 } catch (IOException e) {
                     error = e;
                 }
                 IOException result = error;
                 try {
                     loop.execute(() -> {
-                        writing = false;
+                        writeInProgress = false;
                         if (result == null) {
                             counters.increment("sessions-log-writes");
-                            if (failed) {
-                                LOG.warn("sessions: the disk is written again");
+                            if (lastWriteFailed) {
+                                LOG.warn("session ledger: writing to disk works again");
                             }
-                            failed = false;
+                            lastWriteFailed = false;
                         } else {
-                            failed(result, ofEntries, ofOver, ofShowings);
+                            onWriteFailed(result, batchEntries, batchEndedTokens, batchShowings);
                         }
-                        kept.forEach(Runnable::run);
+                        batchCallbacks.forEach(Runnable::run);
                         if (result == null) {
-                            write();
+                            writePending();
                         }
                     });
                 } catch (RejectedExecutionException e) {
-                    LOG.info("sessions: the loop has ended");
+                    LOG.info("session ledger: the result of a write is dropped: the event loop has stopped");
                 }
             });
         } catch (RejectedExecutionException e) {
-            // it was closed: what waits is served without the disk
-            writing = false;
-            kept.forEach(Runnable::run);
+            // the writer was closed: the callbacks run without a write
+            writeInProgress = false;
+            batchCallbacks.forEach(Runnable::run);
         }
     }
 
-    private void failed(IOException error, Map<String, Entry> ofEntries, Set<String> ofOver, List<Showing> ofShowings) {
+    /** Makes the steps of a failed batch pending again and schedules the next attempt. */
+    private void onWriteFailed(
+            IOException error,
+            Map<String, Entry> batchEntries,
+            Set<String> batchEndedTokens,
+            List<Showing> batchShowings) {
         counters.increment("sessions-log-failed");
-        if (!failed) {
-            LOG.error("sessions: the disk can't be written, the front goes on without it: {}", error.toString());
+        if (!lastWriteFailed) {
+            LOG.error("cannot write the session ledger; sessions continue without it: {}", error.getMessage());
         }
-        failed = true;
-        // a newer step of the same session stands
-        ofEntries.forEach((token, entry) -> {
-            if (!over.contains(token)) {
+        lastWriteFailed = true;
+        // steps of the failed batch are pending again, except where a newer step of the same session was recorded
+        batchEntries.forEach((token, entry) -> {
+            if (!endedTokens.contains(token)) {
                 entries.putIfAbsent(token, entry);
             }
         });
-        ofOver.stream().filter(token -> !entries.containsKey(token)).forEach(over::add);
-        showings.addAll(0, ofShowings);
-        alive = false;
-        loop.schedule(AFTER_FAILURE_MS, () -> {
-            alive = true;
-            write();
+        batchEndedTokens.stream().filter(token -> !entries.containsKey(token)).forEach(endedTokens::add);
+        showings.addAll(0, batchShowings);
+        aliveNoteDue = false;
+        loop.schedule(RETRY_DELAY_MS, () -> {
+            aliveNoteDue = true;
+            writePending();
         });
     }
 
-    /** Whether the last write failed. */
-    public boolean failing() {
-        return failed;
+    /** Returns whether the last write failed. */
+    public boolean isFailing() {
+        return lastWriteFailed;
     }
 
-    /** Ends the writing as a killed process would: what is under way may be torn. */
+    /** Stops abruptly, like a killed process: pending steps are dropped, and a write in progress may be incomplete. */
     public void kill() {
         if (on()) {
-            disk.shutdownNow();
-            end();
+            diskExecutor.shutdownNow();
+            closeLedger();
         }
     }
 
     @Override
     public void close() {
         if (on()) {
-            disk.shutdown();
-            end();
+            diskExecutor.shutdown();
+            closeLedger();
         }
     }
 
-    private void end() {
+    private void closeLedger() {
         try {
-            if (!disk.awaitTermination(5, TimeUnit.SECONDS)) {
-                LOG.warn("sessions: the disk does not end");
+            if (!diskExecutor.awaitTermination(5, TimeUnit.SECONDS)) {
+                LOG.warn("session ledger: the last write did not finish within 5 s");
             }
             ledger.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.warn("sessions: {}", e.toString());
+            LOG.warn("cannot close the session ledger: {}", e.getMessage());
         }
     }
 }
--- a/front/src/main/java/calicovale/front/ledger/package-info.java
+++ b/front/src/main/java/calicovale/front/ledger/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the writing of the sessions' ledger: what sessions may have been given is on disk before it is. It must not know
- * players, playlists' text or boxes.
+ * Writing of the durable session ledger: what a session may be given is on disk before it is given to the player.
+ * This package must not depend on players, the text of playlists, or boxes.
  */
 package calicovale.front.ledger;
--- a/front/src/main/java/calicovale/front/operators/package-info.java
+++ b/front/src/main/java/calicovale/front/operators/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the operators' side: programme changes told, listed and withdrawn over HTTP, kept on disk before they count. It must not
- * know sessions.
+ * The operators' endpoint and watched folder for programme changes. A change is added, listed or withdrawn; it is
+ * written to disk before it takes effect. This package must not depend on sessions.
  */
 package calicovale.front.operators;
--- a/front/src/main/java/calicovale/front/package-info.java
+++ b/front/src/main/java/calicovale/front/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns one session manager as a whole: it puts the parts together, starts and ends them. It must not decide anything.
+ * Creates, starts and shuts down one session manager and its components. It contains no decisions on sessions.
  */
 package calicovale.front;
--- a/front/src/main/java/calicovale/front/peers/PeerNews.java
+++ b/front/src/main/java/calicovale/front/peers/PeerGossip.java
@@ -20,15 +20,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns this manager's place in the group: what the controller is told of boxes is what the group hears as claims, and what the
- * group agrees on the controller is told as one symptom more.
+ * This manager's membership of a gossip group. It reports the controller's events about boxes to the group as claims,
+ * and raises boxes that the group suspects as events of the controller.
  */
-public final class PeerNews implements AutoCloseable {
+public final class PeerGossip implements AutoCloseable {
     private final FrontSettings settings;
     private final GossipNode node;
 
-    /** Reads keys; no socket is open yet. */
-    public PeerNews(EventLoop loop, FrontSettings settings, RandomGenerator random, ControllerHost host)
+    /**
+     * Creates the member and reads its keys. No socket is opened before {@link #start}.
+     *
+     * @throws InvalidDocumentException if a file of keys is not valid
+     */
+    public PeerGossip(EventLoop loop, FrontSettings settings, RandomGenerator random, ControllerHost host)
             throws InvalidDocumentException {
         this.settings = settings;
         node = new GossipNode(
@@ -37,15 +41,20 @@
                 random,
                 settings.bounds().boxes(),
                 (box, strength) -> host.raise(new Suspected(box, strength)));
-        host.setEventListener(this::saw);
+        host.setEventListener(this::reportEvent);
     }
 
-    /** Joins; the address bound. */
+    /**
+     * Joins the group and returns the address that its sockets are bound to.
+     *
+     * @throws IOException if the sockets cannot be bound
+     */
     public InetSocketAddress start() throws IOException {
         return node.start();
     }
 
-    private void saw(Event event) {
+    /** Reports an event of the controller to the group as a success or a claim about the event's box, if it is one. */
+    private void reportEvent(Event event) {
         if (event instanceof Started e) {
             node.saw(e.server(), null);
         } else if (event instanceof AttemptEnded e) {
@@ -54,7 +63,7 @@
                         case TIMEOUT -> Claim.Kind.TIMEOUT;
                         case RESET -> Claim.Kind.RESET;
                         case ERROR, CONNECT_FAILED -> Claim.Kind.FAILED;
-                        // a box that is full, or a viewer who left, is no trouble of the box
+                        // a full box or a viewer who left is no evidence against the box
                         case OK, FULL, CANCELLED, MOOT -> null;
                     };
             if (kind != null) {
@@ -67,24 +76,24 @@
         }
     }
 
-    /** The member; to be touched on the loop only. */
+    /** Returns the gossip member. Only for use on the loop's thread. */
     public GossipNode node() {
         return node;
     }
 
-    /** This manager's view of the group. */
+    /** Returns this manager's view of the group, as JSON. */
     public ObjectNode view() {
         return node.view();
     }
 
-    /** Counters, each with what leads the names of this part. */
+    /** Returns the member's counters, their names prefixed by {@code gossip-}. */
     public Map<String, Long> counters() {
         Map<String, Long> result = new TreeMap<>();
         node.counters().forEach((name, count) -> result.put("gossip-" + name, count));
         return result;
     }
 
-    /** Leaves the group on purpose. */
+    /** Leaves the group; the sockets stay open until {@link #close}. */
     public void leave() {
         node.leave();
     }
--- a/front/src/main/java/calicovale/front/peers/package-info.java
+++ b/front/src/main/java/calicovale/front/peers/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns what this manager and others tell each other of boxes, where its settings let them. It must not know players.
+ * Exchange of observations about boxes with other session managers by gossip, if the settings enable it. This package
+ * must not depend on players.
  */
 package calicovale.front.peers;
--- a/front/src/main/java/calicovale/front/settings/FrontSettings.java
+++ b/front/src/main/java/calicovale/front/settings/FrontSettings.java
@@ -31,30 +31,33 @@
 import java.util.Set;
 
 /**
- * Owns one session manager's settings, checked whole.
+ * The validated settings of one session manager. The JSON Schema {@code front.schema.json} names their keys and
+ * ranges.
  *
- * @param controller what the controller is started with
- * @param seed of the controller's random source
+ * @param controller the settings of the controller
+ * @param seed seed of the controller's random source
  * @param classNames class names in the controller's order
  * @param tenantNames tenant names in the controller's order
- * @param titles titles that only some cells hold; all boxes hold the others
- * @param listen where players are served
- * @param directory where the box directory is
- * @param savedList file of the list kept over a restart, or null
- * @param bounds bounds of tables
- * @param times waits
+ * @param titles the cells of those titles that only some cells hold; all boxes hold the others
+ * @param listen address of the server for players
+ * @param directory address of the box directory
+ * @param savedList file in which the box list is saved for a restart, or null
+ * @param bounds upper bounds of tables
+ * @param times timeouts and intervals
  * @param playlist the shape of session playlists
- * @param http bounds of HTTP with players and boxes
- * @param loop bounds of the loop
- * @param operators where operators are served, or null
- * @param changesFolder folder of the log of programme changes, or null: they are not kept over a restart
- * @param changesWatch folder whose documents are told as they come and withdrawn as they go, or null
- * @param changeKeys keys of which one must have signed a document; without any all are taken
- * @param sessionsFolder folder of the sessions' ledger, or null: sessions end with the process
- * @param viewerKey key of the cookies by which viewers carry what they were shown between managers, or null
- * @param crossOrigin the pages that may read what players are answered
- * @param gossip this manager's place in a group, or null: it talks to no other manager and opens no socket for it
- * @param interstitials whether pieces go to players as interstitials
+ * @param http limits of HTTP messages and connections with players and boxes
+ * @param loop limits of the event loop
+ * @param operators address of the server for operators, or null for none
+ * @param changesFolder folder of the log of programme changes, or null if they do not survive a restart
+ * @param changesWatch watched folder, whose documents are added as changes when they appear and withdrawn when they
+ *     are removed, or null
+ * @param changeKeys keys of which one must have signed a change; if there are none, all changes are accepted
+ * @param sessionsFolder folder of the session ledger, or null if sessions do not survive a restart
+ * @param viewerKey key of the cookies that carry from manager to manager what a viewer was shown, or null
+ * @param crossOrigin which origins' pages may read the responses to players
+ * @param gossip settings of this manager's membership of a gossip group, or null if it has no contact with other
+ *     managers and opens no socket for it
+ * @param interstitials to which players pieces are sent as interstitials
  */
 public record FrontSettings(
         ControllerApi.Settings controller,
@@ -80,29 +83,30 @@
         GossipSettings gossip,
         Interstitials interstitials) {
 
-    /** Whether pieces go to players as HLS interstitials: to none, to those that ask for it, or to all. */
+    /** To which players pieces are sent as HLS interstitials: to none, to those that ask for it, or to all. */
     public enum Interstitials {
         NEVER,
         ASKED,
         ALWAYS
     }
 
-    /** Cells in a row that hold a title. */
+    /** Consecutive cells that hold a title: {@code span} cells from {@code homeCell} on. */
     public record Holders(int homeCell, int span) {}
 
     /**
-     * Bounds of tables.
+     * Upper bounds of tables.
      *
-     * @param sessions sessions held
-     * @param pending requests without an answer
-     * @param connections connections of players
-     * @param perBox connections to one box
-     * @param sources source playlists kept
-     * @param boxes boxes known
-     * @param changes programme changes known
-     * @param shown times that a change was shown which are remembered
-     * @param plansPerTurn sessions looked at in one turn of the loop when a change is told
-     * @param watched documents in the watched folder
+     * @param sessions number of sessions held
+     * @param pending number of requests without a response
+     * @param connections number of connections of players
+     * @param perBox number of connections to one box
+     * @param sources number of source playlists cached
+     * @param boxes number of boxes in the list
+     * @param changes number of programme changes
+     * @param shown number of showings of changes that are remembered
+     * @param plansPerTurn number of sessions that are planned in one turn of the loop after a programme change was
+     *     added or withdrawn
+     * @param watched number of documents in the watched folder
      */
     public record Bounds(
             int sessions,
@@ -117,130 +121,139 @@
             int watched) {}
 
     /**
-     * Waits, all in ms.
+     * Timeouts and intervals, all in ms.
      *
-     * @param answerMargin the last answer is given so long before a viewer's time is up
-     * @param connect for a connection to a box to stand
-     * @param lease for which a box keeps a set-up that is not confirmed
-     * @param silent without a beat after which a stream counts as dead
-     * @param lost without any contact to a box after which its sessions count as lost
-     * @param backoff first wait before a stream is tried again
-     * @param backoffMost longest such wait
-     * @param clockEvery between readings of the common clock
-     * @param endedKept for which a session's playlist is still given after its end
-     * @param source for a box to give a lecture's playlist
-     * @param drain at most from the call to end until the end
-     * @param stitchWait a reload waits at most so long for the disk, or for a box that is asked for a piece
-     * @param holders for which it holds that a box has or lacks a piece
-     * @param foundKept for which sessions of the process before may come back
-     * @param alive between two notes in the ledger that the process runs
-     * @param watch between two looks at the watched folder
+     * @param answerMargin time before the end of a viewer's waiting time at which a request is answered at the latest
+     * @param connectMs timeout of a connection to a box, and of a reading of the common clock
+     * @param leaseMs lease for which a box keeps a set-up that is not confirmed
+     * @param silentMs time without any received byte after which an event stream is considered dead
+     * @param lostMs time without contact to a box after which its sessions are considered lost
+     * @param backoff upper bound of the delay before the first reconnection of an event stream
+     * @param backoffMost upper bound of the delay before any reconnection of an event stream
+     * @param clockEveryMs interval between readings of the common clock
+     * @param endedKept time after a session's end for which its playlist is still served
+     * @param sourceMs timeout for fetching a lecture's playlist from a box
+     * @param drainMs upper bound of the duration of a drain
+     * @param stitchWait upper bound of a reload's wait for the disk, or for a box's answer on whether it holds a piece
+     * @param holders time for which it is cached whether a box holds a piece
+     * @param foundKept time after the start for which sessions of the previous process may return
+     * @param aliveMs interval between two notes in the session ledger that the process is running
+     * @param watchMs interval between two scans of the watched folder
      */
     public record Times(
             double answerMargin,
-            double connect,
-            double lease,
-            double silent,
-            double lost,
+            double connectMs,
+            double leaseMs,
+            double silentMs,
+            double lostMs,
             double backoff,
             double backoffMost,
-            double clockEvery,
+            double clockEveryMs,
             double endedKept,
-            double source,
-            double drain,
+            double sourceMs,
+            double drainMs,
             double stitchWait,
             double holders,
             double foundKept,
-            double alive,
-            double watch) {}
+            double aliveMs,
+            double watchMs) {}
 
-    /** Reads a file and checks it whole. */
+    /**
+     * Reads and validates a file.
+     *
+     * @throws InvalidDocumentException if the file cannot be read or is not valid; names all faults
+     */
     public static FrontSettings read(Path file) throws InvalidDocumentException {
-        return of(file.toString(), Documents.read(file, FrontSettings.class, "front.schema.json"));
+        return readSettings(file.toString(), Documents.read(file, FrontSettings.class, "front.schema.json"));
     }
 
-    /** Checks a text whole. */
+    /**
+     * Parses and validates a text.
+     *
+     * @param name name of the document, with which each fault begins
+     * @throws InvalidDocumentException if the text is not valid; names all faults
+     */
     public static FrontSettings parse(String name, String text) throws InvalidDocumentException {
-        return of(name, Documents.check(name, text, FrontSettings.class, "front.schema.json"));
+        return readSettings(name, Documents.check(name, text, FrontSettings.class, "front.schema.json"));
     }
 
-    private static FrontSettings of(String name, JsonNode n) throws InvalidDocumentException {
+    private static FrontSettings readSettings(String name, JsonNode root) throws InvalidDocumentException {
         List<String> faults = new ArrayList<>();
-        JsonNode media = n.get("media");
-        int rungs = media.get("rungKb").size();
-        if (media.get("rungWorth").size() != rungs) {
-            faults.add(name + ": /media/rungWorth: as many as in /media/rungKb are expected (" + rungs + ")");
+        JsonNode mediaNode = root.get("media");
+        int rungs = mediaNode.get("rungKb").size();
+        if (mediaNode.get("rungWorth").size() != rungs) {
+            faults.add(name + ": /media/rungWorth: as many values as in /media/rungKb are expected (" + rungs + ")");
         }
         for (int i = 1; i < rungs; i++) {
-            if (media.get("rungKb").get(i).asDouble()
-                    <= media.get("rungKb").get(i - 1).asDouble()) {
-                faults.add(name + ": /media/rungKb/" + i + ": a rate above the one before is expected");
+            if (mediaNode.get("rungKb").get(i).asDouble()
+                    <= mediaNode.get("rungKb").get(i - 1).asDouble()) {
+                faults.add(name + ": /media/rungKb/" + i + ": a rate above that of the rung before is expected");
             }
         }
-        JsonNode manager = n.get("manager");
-        if (manager.get("number").asInt() >= manager.get("of").asInt()) {
+        JsonNode managerNode = root.get("manager");
+        if (managerNode.get("number").asInt() >= managerNode.get("of").asInt()) {
             faults.add(name + ": /manager/number: a number below /manager/of is expected");
         }
         List<String> classNames = new ArrayList<>();
         List<SessionClass> classes = new ArrayList<>();
-        for (int i = 0; i < n.get("classes").size(); i++) {
-            JsonNode c = n.get("classes").get(i);
-            String at = name + ": /classes/" + i;
-            if (classNames.contains(c.get("name").asText())) {
-                faults.add(at + "/name: a name that no other class has is expected");
+        for (int i = 0; i < root.get("classes").size(); i++) {
+            JsonNode classNode = root.get("classes").get(i);
+            String place = name + ": /classes/" + i;
+            if (classNames.contains(classNode.get("name").asText())) {
+                faults.add(place + "/name: a name that no other class has is expected");
             }
-            classNames.add(c.get("name").asText());
-            int low = c.get("lowestRung").asInt();
-            int high = c.get("highestRung").asInt();
-            if (high >= rungs) {
-                faults.add(at + "/highestRung: a rung of the ladder is expected (0 to " + (rungs - 1) + ")");
+            classNames.add(classNode.get("name").asText());
+            int lowestRung = classNode.get("lowestRung").asInt();
+            int highestRung = classNode.get("highestRung").asInt();
+            if (highestRung >= rungs) {
+                faults.add(place + "/highestRung: a rung of the ladder is expected (0 to " + (rungs - 1) + ")");
             }
-            if (low > high) {
-                faults.add(at + "/lowestRung: at most /highestRung is expected");
+            if (lowestRung > highestRung) {
+                faults.add(place + "/lowestRung: a rung that is not above the class's highestRung is expected");
             }
             classes.add(new SessionClass(
-                    c.get("worth").asDouble(),
-                    c.get("aimMs").asDouble(),
-                    c.get("deadlineMs").asDouble(),
-                    Effect.valueOf(upper(c, "effect", "pure")),
-                    Group.valueOf(upper(c, "group", "all")),
-                    num(c, "tokenMs", 0),
-                    low,
-                    high,
-                    num(c, "scale", 1),
-                    c.path("live").asBoolean(),
-                    c.path("seats").asInt()));
+                    classNode.get("worth").asDouble(),
+                    classNode.get("aimMs").asDouble(),
+                    classNode.get("deadlineMs").asDouble(),
+                    Effect.valueOf(enumName(classNode, "effect", "pure")),
+                    Group.valueOf(enumName(classNode, "group", "all")),
+                    number(classNode, "tokenMs", 0),
+                    lowestRung,
+                    highestRung,
+                    number(classNode, "scale", 1),
+                    classNode.path("live").asBoolean(),
+                    classNode.path("seats").asInt()));
         }
         List<String> tenantNames = new ArrayList<>();
         List<Tenant> tenants = new ArrayList<>();
-        for (JsonNode t : n.path("tenants")) {
-            tenantNames.add(t.get("name").asText());
-            tenants.add(new Tenant(num(t, "quotaPerSecond", 0)));
+        for (JsonNode tenantNode : root.path("tenants")) {
+            tenantNames.add(tenantNode.get("name").asText());
+            tenants.add(new Tenant(number(tenantNode, "quotaPerSecond", 0)));
         }
-        JsonNode times = n.path("times");
-        Times waits = new Times(
-                num(times, "answerMarginMs", 40),
-                num(times, "connectMs", 500),
-                num(times, "leaseMs", 1500),
-                num(times, "silentMs", 3000),
-                num(times, "lostMs", 5000),
-                num(times, "backoffMs", 200),
-                num(times, "backoffMostMs", 5000),
-                num(times, "clockEveryMs", 1000),
-                num(times, "endedKeptMs", 30_000),
-                num(times, "sourceMs", 1000),
-                num(times, "drainMs", 10_000),
-                num(times, "stitchWaitMs", 300),
-                num(times, "holdersMs", 60_000),
-                num(times, "foundKeptMs", 120_000),
-                num(times, "aliveMs", 1000),
-                num(times, "watchMs", 1000));
-        if (waits.backoffMost() < waits.backoff()) {
+        JsonNode timesNode = root.path("times");
+        Times times = new Times(
+                number(timesNode, "answerMarginMs", 40),
+                number(timesNode, "connectMs", 500),
+                number(timesNode, "leaseMs", 1500),
+                number(timesNode, "silentMs", 3000),
+                number(timesNode, "lostMs", 5000),
+                number(timesNode, "backoffMs", 200),
+                number(timesNode, "backoffMostMs", 5000),
+                number(timesNode, "clockEveryMs", 1000),
+                number(timesNode, "endedKeptMs", 30_000),
+                number(timesNode, "sourceMs", 1000),
+                number(timesNode, "drainMs", 10_000),
+                number(timesNode, "stitchWaitMs", 300),
+                number(timesNode, "holdersMs", 60_000),
+                number(timesNode, "foundKeptMs", 120_000),
+                number(timesNode, "aliveMs", 1000),
+                number(timesNode, "watchMs", 1000));
+        if (times.backoffMost() < times.backoff()) {
             faults.add(name + ": /times/backoffMostMs: at least /times/backoffMs is expected");
         }
         ChangeKeys changeKeys = ChangeKeys.ANYONE;
         Map<String, String> keyTexts = new LinkedHashMap<>();
-        n.path("changeKeys")
+        root.path("changeKeys")
                 .properties()
                 .forEach(e -> keyTexts.put(e.getKey(), e.getValue().asText()));
         try {
@@ -250,183 +263,193 @@
         }
         CrossOrigin crossOrigin = CrossOrigin.DISABLED;
         try {
-            crossOrigin = crossOrigin(n.path("crossOrigin"));
+            crossOrigin = crossOrigin(root.path("crossOrigin"));
         } catch (IllegalArgumentException e) {
             faults.add(name
-                    + ": /crossOrigin/origins: named origins are expected with /crossOrigin/credentials or beside others,"
+                    + ": /crossOrigin/origins: named origins are expected with /crossOrigin/credentials or beside others:"
                     + " " + e.getMessage());
         }
         GossipSettings gossip = null;
         try {
-            gossip = n.has("gossip") ? GossipSettings.parse(name + ": /gossip", n.get("gossip")) : null;
+            gossip = root.has("gossip") ? GossipSettings.parse(name + ": /gossip", root.get("gossip")) : null;
         } catch (InvalidDocumentException e) {
             faults.addAll(e.faults());
         }
-        if (n.has("changesWatch") && !n.has("operators")) {
-            faults.add(name + ": /operators: an address is expected with /changesWatch");
+        if (root.has("changesWatch") && !root.has("operators")) {
+            faults.add(name + ": /operators: an address is expected if /changesWatch is set");
         }
         if (!faults.isEmpty()) {
             throw new InvalidDocumentException(faults);
         }
-        JsonNode limits = n.get("limits");
-        JsonNode rules = n.get("rules");
-        Limits may = new Limits(
-                limits.get("attempts").asInt(),
-                limits.get("retryAfterMs").asDouble(),
+        JsonNode limitsNode = root.get("limits");
+        JsonNode rulesNode = root.get("rules");
+        Limits limits = new Limits(
+                limitsNode.get("attempts").asInt(),
+                limitsNode.get("retryAfterMs").asDouble(),
                 false,
                 false,
-                limits.path("cancel").asBoolean(true));
-        Rules figures = new Rules(
-                rules.get("coldFrom").asDouble(),
-                rules.get("warmAfterMs").asDouble(),
-                rules.get("tipMultiple").asDouble(),
-                rules.get("tipMs").asDouble(),
-                rules.get("drainGraceMs").asDouble(),
-                num(rules, "extraFree", -1),
-                num(rules, "extraRatio", 0),
-                num(rules, "extraWindowMs", 0),
+                limitsNode.path("cancel").asBoolean(true));
+        Rules rules = new Rules(
+                rulesNode.get("coldFrom").asDouble(),
+                rulesNode.get("warmAfterMs").asDouble(),
+                rulesNode.get("tipMultiple").asDouble(),
+                rulesNode.get("tipMs").asDouble(),
+                rulesNode.get("drainGraceMs").asDouble(),
+                number(rulesNode, "extraFree", -1),
+                number(rulesNode, "extraRatio", 0),
+                number(rulesNode, "extraWindowMs", 0),
                 0);
-        Media ladder = new Media(
-                numbers(media.get("rungKb")),
-                numbers(media.get("rungWorth")),
-                media.path("cells").asInt(),
-                media.path("racks").asInt(),
-                media.get("linkKbPerWeight").asDouble(),
-                num(media, "uplinkKb", 0),
-                numbers(media.get("kindStreams")),
-                num(media, "join", 1),
-                num(media, "fullFrom", 0),
-                num(media, "missingCost", 0),
-                num(media, "changeCostS", 0),
-                media.get("noteDelayMs").asDouble(),
-                media.get("noteEveryMs").asDouble());
-        ReportMode reports =
-                n.path("reports").asText("with_outcomes").equals("none") ? ReportMode.NONE : ReportMode.WITH_OUTCOMES;
-        ControllerApi.Settings settings = new ControllerApi.Settings(
-                manager.get("number").asInt(),
-                manager.get("of").asInt(),
-                manager.path("zone").asInt(),
+        Media media = new Media(
+                numbers(mediaNode.get("rungKb")),
+                numbers(mediaNode.get("rungWorth")),
+                mediaNode.path("cells").asInt(),
+                mediaNode.path("racks").asInt(),
+                mediaNode.get("linkKbPerWeight").asDouble(),
+                number(mediaNode, "uplinkKb", 0),
+                numbers(mediaNode.get("kindStreams")),
+                number(mediaNode, "join", 1),
+                number(mediaNode, "fullFrom", 0),
+                number(mediaNode, "missingCost", 0),
+                number(mediaNode, "changeCostS", 0),
+                mediaNode.get("noteDelayMs").asDouble(),
+                mediaNode.get("noteEveryMs").asDouble());
+        ReportMode reports = root.path("reports").asText("with_outcomes").equals("none")
+                ? ReportMode.NONE
+                : ReportMode.WITH_OUTCOMES;
+        ControllerApi.Settings controllerSettings = new ControllerApi.Settings(
+                managerNode.get("number").asInt(),
+                managerNode.get("of").asInt(),
+                managerNode.path("zone").asInt(),
                 classes,
                 tenants,
-                num(n, "overShareWorth", 1),
-                may,
-                figures,
-                ladder,
+                number(root, "overShareWorth", 1),
+                limits,
+                rules,
+                media,
                 reports,
                 false,
-                num(n, "worstClassWeight", 0),
-                num(n, "moveCost", 0),
-                num(n, "zoneCost", 0),
+                number(root, "worstClassWeight", 0),
+                number(root, "moveCost", 0),
+                number(root, "zoneCost", 0),
                 0);
-        JsonNode b = n.path("bounds");
+        JsonNode boundsNode = root.path("bounds");
         Bounds bounds = new Bounds(
-                b.path("sessions").asInt(20_000),
-                b.path("pending").asInt(5000),
-                b.path("connections").asInt(50_000),
-                b.path("perBox").asInt(256),
-                b.path("sources").asInt(2000),
-                b.path("boxes").asInt(1000),
-                b.path("changes").asInt(100),
-                b.path("shown").asInt(200_000),
-                b.path("plansPerTurn").asInt(250),
-                b.path("watched").asInt(1000));
-        JsonNode p = n.path("playlist");
+                boundsNode.path("sessions").asInt(20_000),
+                boundsNode.path("pending").asInt(5000),
+                boundsNode.path("connections").asInt(50_000),
+                boundsNode.path("perBox").asInt(256),
+                boundsNode.path("sources").asInt(2000),
+                boundsNode.path("boxes").asInt(1000),
+                boundsNode.path("changes").asInt(100),
+                boundsNode.path("shown").asInt(200_000),
+                boundsNode.path("plansPerTurn").asInt(250),
+                boundsNode.path("watched").asInt(1000));
+        JsonNode playlistNode = root.path("playlist");
         Map<String, Holders> titles = new HashMap<>();
-        Map<String, JsonNode> named = new LinkedHashMap<>();
-        n.path("titles").properties().forEach(e -> named.put(e.getKey(), e.getValue()));
-        named.forEach((title, t) -> titles.put(
-                title, new Holders(t.get("homeCell").asInt(), t.get("span").asInt())));
-        JsonNode d = n.get("directory");
+        Map<String, JsonNode> titleNodes = new LinkedHashMap<>();
+        root.path("titles").properties().forEach(e -> titleNodes.put(e.getKey(), e.getValue()));
+        titleNodes.forEach((title, cells) -> titles.put(
+                title,
+                new Holders(cells.get("homeCell").asInt(), cells.get("span").asInt())));
+        JsonNode directoryNode = root.get("directory");
         return new FrontSettings(
-                settings,
-                manager.path("seed").asLong(1),
+                controllerSettings,
+                managerNode.path("seed").asLong(1),
                 List.copyOf(classNames),
                 List.copyOf(tenantNames),
                 Map.copyOf(titles),
-                address(n.get("listen")),
-                address(d),
-                d.has("savedList") ? Path.of(d.get("savedList").asText()) : null,
+                address(root.get("listen")),
+                address(directoryNode),
+                directoryNode.has("savedList")
+                        ? Path.of(directoryNode.get("savedList").asText())
+                        : null,
                 bounds,
-                waits,
+                times,
                 new SessionPlaylist.Shape(
-                        p.path("ahead").asInt(3),
-                        p.path("behind").asInt(3),
-                        p.path("targetS").asInt()),
-                http(n.path("http"), bounds.connections()),
-                loop(n.path("loop")),
-                n.has("operators") ? address(n.get("operators")) : null,
-                folder(n, "changesFolder"),
-                folder(n, "changesWatch"),
+                        playlistNode.path("ahead").asInt(3),
+                        playlistNode.path("behind").asInt(3),
+                        playlistNode.path("targetS").asInt()),
+                http(root.path("http"), bounds.connections()),
+                loop(root.path("loop")),
+                root.has("operators") ? address(root.get("operators")) : null,
+                folder(root, "changesFolder"),
+                folder(root, "changesWatch"),
                 changeKeys,
-                folder(n, "sessionsFolder"),
-                n.has("viewerKey") ? HexFormat.of().parseHex(n.get("viewerKey").asText()) : null,
+                folder(root, "sessionsFolder"),
+                root.has("viewerKey")
+                        ? HexFormat.of().parseHex(root.get("viewerKey").asText())
+                        : null,
                 crossOrigin,
                 gossip,
-                Interstitials.valueOf(upper(n, "interstitials", "never")));
+                Interstitials.valueOf(enumName(root, "interstitials", "never")));
     }
 
-    private static Path folder(JsonNode n, String key) {
-        return n.has(key) ? Path.of(n.get(key).asText()) : null;
+    private static Path folder(JsonNode parent, String key) {
+        return parent.has(key) ? Path.of(parent.get(key).asText()) : null;
     }
 
-    /** Headers of answers that a player's page reads. */
-    private static final List<String> EXPOSED = List.of("Calicovale-Session", "Retry-After", "Date");
-    /** Headers that a player's page sends: CMCD (CTA-5004), ranges, and what fetch adds to reload. */
-    private static final List<String> REQUESTED =
+    /** Response headers that a player's page may read. */
+    private static final List<String> EXPOSED_HEADERS = List.of("Calicovale-Session", "Retry-After", "Date");
+    /**
+     * Request headers that a player's page may send: CMCD (CTA-5004), Range, and Cache-Control, which fetch adds to a
+     * reload.
+     */
+    private static final List<String> ALLOWED_REQUEST_HEADERS =
             List.of("CMCD-Object", "CMCD-Request", "CMCD-Session", "CMCD-Status", "Range", "Cache-Control");
 
-    private static CrossOrigin crossOrigin(JsonNode n) {
+    private static CrossOrigin crossOrigin(JsonNode node) {
         Set<String> origins = new LinkedHashSet<>();
-        n.path("origins").forEach(origin -> origins.add(origin.asText()));
+        node.path("origins").forEach(origin -> origins.add(origin.asText()));
         return new CrossOrigin(
                 origins,
-                n.path("credentials").asBoolean(),
-                n.path("maxAgeS").asInt(600),
-                EXPOSED,
-                REQUESTED,
+                node.path("credentials").asBoolean(),
+                node.path("maxAgeS").asInt(600),
+                EXPOSED_HEADERS,
+                ALLOWED_REQUEST_HEADERS,
                 List.of("GET", "HEAD"));
     }
 
-    private static HttpLimits http(JsonNode n, int connections) {
-        HttpLimits d = HttpLimits.DEFAULT;
+    private static HttpLimits http(JsonNode node, int connections) {
+        HttpLimits defaults = HttpLimits.DEFAULT;
         return new HttpLimits(
-                n.path("lineBytes").asInt(d.lineBytes()),
-                n.path("headerCount").asInt(d.headerCount()),
-                n.path("headerBytes").asInt(d.headerBytes()),
-                n.path("bodyBytes").asInt(d.bodyBytes()),
-                n.path("pipelinedBytes").asInt(d.pipelinedBytes()),
-                num(n, "headMs", d.headMs()),
-                num(n, "bodyMs", d.bodyMs()),
-                num(n, "idleMs", d.idleMs()),
+                node.path("lineBytes").asInt(defaults.lineBytes()),
+                node.path("headerCount").asInt(defaults.headerCount()),
+                node.path("headerBytes").asInt(defaults.headerBytes()),
+                node.path("bodyBytes").asInt(defaults.bodyBytes()),
+                node.path("pipelinedBytes").asInt(defaults.pipelinedBytes()),
+                number(node, "headMs", defaults.headMs()),
+                number(node, "bodyMs", defaults.bodyMs()),
+                number(node, "idleMs", defaults.idleMs()),
                 connections);
     }
 
-    private static LoopLimits loop(JsonNode n) {
-        LoopLimits d = LoopLimits.DEFAULT;
+    private static LoopLimits loop(JsonNode node) {
+        LoopLimits defaults = LoopLimits.DEFAULT;
         return new LoopLimits(
-                n.path("mailbox").asInt(d.mailbox()),
-                n.path("readBytes").asInt(d.readBytes()),
-                n.path("pendingBytes").asInt(d.pendingBytes()),
-                n.path("backlog").asInt(d.backlog()),
-                n.path("acceptsPerTurn").asInt(d.acceptsPerTurn()),
-                n.path("datagramsPerTurn").asInt(d.datagramsPerTurn()));
+                node.path("mailbox").asInt(defaults.mailbox()),
+                node.path("readBytes").asInt(defaults.readBytes()),
+                node.path("pendingBytes").asInt(defaults.pendingBytes()),
+                node.path("backlog").asInt(defaults.backlog()),
+                node.path("acceptsPerTurn").asInt(defaults.acceptsPerTurn()),
+                node.path("datagramsPerTurn").asInt(defaults.datagramsPerTurn()));
     }
 
-    private static String upper(JsonNode n, String key, String absent) {
-        return n.path(key).asText(absent).toUpperCase(Locale.ROOT);
+    /** Returns the upper-case form of a key's text, as {@code valueOf} of its enum takes it. */
+    private static String enumName(JsonNode parent, String key, String defaultValue) {
+        return parent.path(key).asText(defaultValue).toUpperCase(Locale.ROOT);
     }
 
-    private static double num(JsonNode n, String key, double absent) {
-        return n.path(key).asDouble(absent);
+    private static double number(JsonNode parent, String key, double defaultValue) {
+        return parent.path(key).asDouble(defaultValue);
     }
 
     private static List<Double> numbers(JsonNode array) {
         List<Double> result = new ArrayList<>();
-        array.forEach(v -> result.add(v.asDouble()));
+        array.forEach(value -> result.add(value.asDouble()));
         return List.copyOf(result);
     }
 
-    private static InetSocketAddress address(JsonNode n) {
-        return new InetSocketAddress(n.get("host").asText(), n.get("port").asInt());
+    private static InetSocketAddress address(JsonNode node) {
+        return new InetSocketAddress(node.get("host").asText(), node.get("port").asInt());
     }
 }
--- a/front/src/main/java/calicovale/front/settings/package-info.java
+++ b/front/src/main/java/calicovale/front/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns the session manager's settings: their schema, their checking, and the controller's settings made from them.
+ * The session manager's settings: their schema, their validation, and the controller's settings derived from them.
  */
 package calicovale.front.settings;
--- a/front/src/main/java/calicovale/front/stream/package-info.java
+++ b/front/src/main/java/calicovale/front/stream/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns the long-lived streams of news that a manager holds. It must not know what the news say.
+ * Long-lived streams of server-sent events that a manager keeps open. This package must not interpret the events.
  */
 package calicovale.front.stream;
--- a/front/src/main/java/calicovale/front/time/package-info.java
+++ b/front/src/main/java/calicovale/front/time/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns the time that managers share, and the spread of retries. It has no I/O.
+ * The common time that managers share. This package does no I/O.
  */
 package calicovale.front.time;
--- a/front/src/test/java/calicovale/front/FrontSettingsTest.java
+++ b/front/src/test/java/calicovale/front/FrontSettingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class FrontSettingsTest {
-    static final String GOOD = """
+    static final String VALID_SETTINGS = """
             {"schema": "calicovale/front/1", "manager": {"number": 1, "of": 3}, "listen": {"host": "127.0.0.1", "port": 0},
              "directory": {"host": "127.0.0.1", "port": 9},
              "classes": [{"name": "course", "worth": 3, "aimMs": 800, "deadlineMs": 5000, "lowestRung": 1, "highestRung": 2,
@@ -25,13 +25,13 @@
             """;
 
     @Test
-    void goodSettingsReachTheController() throws InvalidDocumentException {
-        FrontSettings s = FrontSettings.parse("f", GOOD);
-        assertEquals(1, s.controller().self());
-        assertEquals(3, s.controller().controllers());
-        assertEquals(Effect.SIDE_EFFECT, s.controller().classes().get(0).effect());
-        assertEquals(-1, s.controller().rules().extraFree(), "no budget is stated");
-        assertTrue(s.controller().limits().cancel());
+    void validSettingsReachTheController() throws InvalidDocumentException {
+        FrontSettings settings = FrontSettings.parse("f", VALID_SETTINGS);
+        assertEquals(1, settings.controller().self());
+        assertEquals(3, settings.controller().controllers());
+        assertEquals(Effect.SIDE_EFFECT, settings.controller().classes().get(0).effect());
+        assertEquals(-1, settings.controller().rules().extraFree(), "no budget is stated");
+        assertTrue(settings.controller().limits().cancel());
     }
 
     private static List<String> faults(String text) {
@@ -40,15 +40,17 @@
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithTheirPlace() {
-        List<String> schema = faults(GOOD.replace("\"worth\": 3", "\"worth\": 0")
+    void allFaultsAreReportedTogetherWithTheirPlace() {
+        List<String> schemaFaults = faults(VALID_SETTINGS
+                .replace("\"worth\": 3", "\"worth\": 0")
                 .replace("\"port\": 9", "\"port\": 70000")
                 .replace("\"of\": 3", "\"off\": 3")
                 .replace("127.0.0.1\", \"port\": 0", "10.0.0.1\", \"port\": 0"));
         for (String place : List.of("/classes/0/worth", "/directory/port", "/manager", "/listen/host")) {
-            assertTrue(schema.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + schema);
+            assertTrue(schemaFaults.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + schemaFaults);
         }
-        List<String> sense = faults(GOOD.replace("\"number\": 1", "\"number\": 3")
+        List<String> contradictions = faults(VALID_SETTINGS
+                .replace("\"number\": 1", "\"number\": 3")
                 .replace("[0.3, 0.6, 1]", "[0.3, 0.6]")
                 .replace("[10, 20, 30]", "[10, 10, 30]")
                 .replace("\"highestRung\": 2", "\"highestRung\": 3")
@@ -59,32 +61,34 @@
                 "/media/rungKb/1",
                 "/classes/0/highestRung",
                 "/classes/0/lowestRung")) {
-            assertTrue(sense.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + sense);
+            assertTrue(
+                    contradictions.stream().anyMatch(f -> f.startsWith("f: " + place)),
+                    place + " in " + contradictions);
         }
     }
 
     @Test
-    void settingsThatContradictEachOtherAreToldTogether() {
-        List<String> all = faults(GOOD.replaceFirst(
+    void contradictingSettingsAreReportedTogether() {
+        List<String> faults = faults(VALID_SETTINGS.replaceFirst(
                 "\\{",
                 "{\"changesWatch\": \"w\", \"changeKeys\": {\"ops\": \"" + "_".repeat(43)
                         + "\"}, \"crossOrigin\": {\"origins\": [\"*\"], \"credentials\": true},"));
         for (String place : List.of("/operators", "/crossOrigin/origins")) {
-            assertTrue(all.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + all);
+            assertTrue(faults.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + faults);
         }
-        assertTrue(faults(GOOD.replaceFirst("\\{", "{\"crossOrigin\": {\"origins\": [\"page\", \"*\"]},"))
+        assertTrue(faults(VALID_SETTINGS.replaceFirst("\\{", "{\"crossOrigin\": {\"origins\": [\"page\", \"*\"]},"))
                         .size()
                 >= 2);
     }
 
     @Test
-    void whatIsNoJsonIsToldWithItsLine() {
+    void malformedJsonIsReportedWithItsLine() {
         assertTrue(faults("{\n\"a\": }").get(0).startsWith("f: line 2"));
         assertTrue(faults("{\"a\":1,\"a\":2}").get(0).contains("Duplicate"));
     }
 
     @Test
-    void loadReportsAreReadAndNonsenseLeftOut() {
+    void loadReportsAreParsedAndInvalidMetricsIgnored() {
         assertEquals(
                 Map.of("util", 0.5, "x1", 1.25),
                 LoadReport.parse(
