--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -270,7 +270,7 @@
             manager.drain(() -> {
                 manager.releaseAll();
                 playerServer.drain();
-                // 200 ms let the following turns of the loop send the last answers and messages to boxes
+                // the last answers and messages to boxes are sent in the following turns of the loop, within 200 ms
                 loop.schedule(200, () -> drained.complete(null));
             });
         });
--- a/front/src/main/java/calicovale/front/box/BoxLink.java
+++ b/front/src/main/java/calicovale/front/box/BoxLink.java
@@ -88,6 +88,10 @@
     private final Counters counters;
     private InetSocketAddress address;
     private String incarnation;
+    /**
+     * Monotonic time, in ms, since which the event stream is disconnected or the sessions are lost; -1 while
+     * connected.
+     */
     private double disconnectedAtMs = -1;
 
     /**
--- a/front/src/main/java/calicovale/front/settings/FrontSettings.java
+++ b/front/src/main/java/calicovale/front/settings/FrontSettings.java
@@ -134,7 +134,7 @@
      * @param endedKept time after a session's end for which its playlist is still served
      * @param sourceMs timeout for fetching a lecture's playlist from a box
      * @param drainMs upper bound of the duration of a drain
-     * @param stitchWait upper bound of a reload's wait for the disk, or for a box's answer on whether it holds a piece
+     * @param stitchWait upper bound of a reload's wait for the disk, or for a box's answer on whether it has a piece
      * @param holders time for which it is cached whether a box holds a piece
      * @param foundKept time after the start for which sessions of the previous process may return
      * @param aliveMs interval between two notes in the session ledger that the process is running
