--- a/cli/src/main/java/calicovale/cli/KeyCommand.java
+++ b/cli/src/main/java/calicovale/cli/KeyCommand.java
@@ -68,7 +68,7 @@
             @Option(names = "--roster", description = "the roster's folder, where keys count by themselves")
                     Path roster)
             throws IOException, GeneralSecurityException, InvalidDocumentException {
-        List<String> made = KeyDocuments.make(name(spec, member));
+        List<String> made = KeyDocuments.generate(name(spec, member));
         if (roster != null && !Files.isDirectory(roster)) {
             throw new ParameterException(spec.commandLine(), "--roster: a folder is expected: " + roster);
         }
@@ -81,11 +81,11 @@
             throw new ParameterException(spec.commandLine(), "--out: a file that is not there yet is expected: " + out);
         }
         if (roster != null) {
-            place(roster.resolve(member + "-" + id(KeyDocuments.pair(out).publicKey()) + ".json"), made.get(1));
+            place(roster.resolve(member + "-" + id(KeyDocuments.readKeyPair(out).publicKey()) + ".json"), made.get(1));
         }
         spec.commandLine()
                 .getOut()
-                .println(Ed25519.toBase64Url(KeyDocuments.pair(out).publicKey()));
+                .println(Ed25519.toBase64Url(KeyDocuments.readKeyPair(out).publicKey()));
         spec.commandLine().getOut().flush();
         return Main.WELL;
     }
@@ -125,7 +125,7 @@
         place(
                 roster.resolve(name(spec, member) + "-" + id(raw) + ".json"),
                 KeyDocuments.certificate(
-                        KeyDocuments.pair(authority).privateKey(),
+                        KeyDocuments.readKeyPair(authority).privateKey(),
                         group,
                         member,
                         raw,
@@ -148,7 +148,10 @@
         place(
                 roster.resolve("revoked-" + id(raw) + ".json"),
                 KeyDocuments.revocation(
-                        authority == null ? null : KeyDocuments.pair(authority).privateKey(), raw));
+                        authority == null
+                                ? null
+                                : KeyDocuments.readKeyPair(authority).privateKey(),
+                        raw));
         return Main.WELL;
     }
 }
