--- a/stitch/src/main/java/calicovale/stitch/Change.java
+++ b/stitch/src/main/java/calicovale/stitch/Change.java
@@ -9,21 +9,24 @@
 import java.util.Set;
 
 /**
- * One programme change as its document states it.
+ * One programme change, as read from its document.
  *
- * @param id its name among all changes
- * @param title of the piece, by which boxes hold it
- * @param renditions the piece's own ladder, the lowest rate first
- * @param audience whom it is for
- * @param atMs common time from which it is due; negative: it is due at a place of the lecture
- * @param lectureS that place, in seconds; negative: it is due at a time
- * @param validUntilMs common time after which it is not begun any more
- * @param replaceS seconds of the lecture that it stands for; 0: it is inserted and nothing is left out
- * @param homeCell first cell whose boxes hold the piece; negative: as the managers' settings have it for its title
- * @param span cells in a row that hold it
- * @param priority of two that are due at one boundary the higher comes first
- * @param oncePerViewer shown once a viewer, over all sessions; else once a session
- * @param json the document as it was told, in canonical form (RFC 8785), its signature included
+ * @param id unique id of the change
+ * @param title title of the piece, under which boxes hold it
+ * @param renditions ladder of the piece, lowest rate first
+ * @param audience the sessions that the change is for
+ * @param atMs time on the managers' common clock from which the change is due, in ms; negative if it is due at a
+ *     position in the lecture
+ * @param lectureS position in the lecture from which the change is due, in seconds; negative if it is due at a time
+ * @param validUntilMs time on the common clock after which the change is no longer started, in ms
+ * @param replaceS seconds of the lecture that the piece replaces; 0 if it is inserted and no part of the lecture is
+ *     skipped
+ * @param homeCell first cell whose boxes hold the piece; negative to use the cell that the managers' settings give for
+ *     the title
+ * @param span number of consecutive cells that hold the piece, from {@code homeCell}
+ * @param priority priority among changes that are due at the same boundary; the higher one is shown first
+ * @param oncePerViewer true if the change is shown once to a viewer over all sessions, false if once in each session
+ * @param json the document as received, including its signature, in canonical form (RFC 8785)
  */
 public record Change(
         String id,
@@ -43,16 +46,16 @@
     /**
      * One rendition of a piece.
      *
-     * @param rung the rung of the lecture's ladder that it stands for: what a class's floor is held against
-     * @param rateKb its rate, kB a second
-     * @param durationsS its segments' lengths
+     * @param rung equivalent rung of the lecture's ladder, which is compared with the floor of a session's class
+     * @param rateKb rate in kB/s
+     * @param durationsS durations of the segments, in seconds
      */
     public record Rendition(int rung, double rateKb, List<Double> durationsS) {}
 
-    /** Whom a change is for; an empty set is all. */
+    /** The sessions that a change is for. An empty set does not restrict the audience. */
     public record Audience(Set<String> titles, Set<String> classes, Set<String> tenants, Set<String> sessions) {
-        /** Whether a session is among them. */
-        public boolean has(String title, String sessionClass, String tenant, String session) {
+        /** Returns whether a session belongs to the audience. */
+        public boolean includes(String title, String sessionClass, String tenant, String session) {
             return (titles.isEmpty() || titles.contains(title))
                     && (classes.isEmpty() || classes.contains(sessionClass))
                     && (tenants.isEmpty() || tenants.contains(tenant))
@@ -60,47 +63,60 @@
         }
     }
 
-    /** Length of the piece in seconds. */
+    /** Returns the duration of the piece, in seconds. */
     public double lengthS() {
         return renditions.get(0).durationsS().stream().mapToDouble(s -> s).sum();
     }
 
-    /** Reads a document and checks it whole, whoever signed it; {@code name} leads each fault. */
+    /**
+     * Parses and validates a document without verifying a signature.
+     *
+     * @param name name of the document, with which each fault begins
+     * @throws InvalidDocumentException if the document is not valid; names all faults
+     */
     public static Change parse(String name, String text) throws InvalidDocumentException {
         return parse(name, text, ChangeKeys.ANYONE);
     }
 
-    /** Reads a document and checks it whole, and that one of these keys signed it; {@code name} leads each fault. */
+    /**
+     * Parses and validates a document and verifies its signature.
+     *
+     * @param name name of the document, with which each fault begins
+     * @param keys keys one of which must have signed the document
+     * @throws InvalidDocumentException if the document or its signature is not valid; names all faults
+     */
     public static Change parse(String name, String text, ChangeKeys keys) throws InvalidDocumentException {
-        JsonNode n = Documents.check(name, text, Change.class, "change.schema.json");
-        List<String> faults = new ArrayList<>(keys.faults(name, n));
+        JsonNode document = Documents.check(name, text, Change.class, "change.schema.json");
+        List<String> faults = new ArrayList<>(keys.signatureFaults(name, document));
         List<Rendition> renditions = new ArrayList<>();
-        JsonNode list = n.get("piece").get("renditions");
-        for (int i = 0; i < list.size(); i++) {
+        JsonNode renditionNodes = document.get("piece").get("renditions");
+        for (int i = 0; i < renditionNodes.size(); i++) {
             List<Double> durations = new ArrayList<>();
-            list.get(i).get("durationsS").forEach(s -> durations.add(s.asDouble()));
-            Rendition r = new Rendition(
-                    list.get(i).get("rung").asInt(), list.get(i).get("rateKb").asDouble(), durations);
-            String at = name + ": /piece/renditions/" + i;
-            if (i > 0 && r.rung() <= renditions.get(i - 1).rung()) {
-                faults.add(at + "/rung: a rung above the one before is expected");
+            renditionNodes.get(i).get("durationsS").forEach(s -> durations.add(s.asDouble()));
+            Rendition rendition = new Rendition(
+                    renditionNodes.get(i).get("rung").asInt(),
+                    renditionNodes.get(i).get("rateKb").asDouble(),
+                    durations);
+            String location = name + ": /piece/renditions/" + i;
+            if (i > 0 && rendition.rung() <= renditions.get(i - 1).rung()) {
+                faults.add(location + "/rung: a rung above the one before is expected");
             }
-            if (i > 0 && r.rateKb() <= renditions.get(i - 1).rateKb()) {
-                faults.add(at + "/rateKb: a rate above the one before is expected");
+            if (i > 0 && rendition.rateKb() <= renditions.get(i - 1).rateKb()) {
+                faults.add(location + "/rateKb: a rate above the one before is expected");
             }
-            if (i > 0 && !r.durationsS().equals(renditions.get(0).durationsS())) {
-                faults.add(at + "/durationsS: the same segments as in every rendition are expected");
+            if (i > 0 && !rendition.durationsS().equals(renditions.get(0).durationsS())) {
+                faults.add(location + "/durationsS: the same segments as in every rendition are expected");
             }
-            renditions.add(r);
+            renditions.add(rendition);
         }
-        JsonNode start = n.get("start");
+        JsonNode start = document.get("start");
         double atMs = start.path("atMs").asDouble(-1);
-        double until = n.get("validUntilMs").asDouble();
-        if (atMs >= until) {
+        double validUntilMs = document.get("validUntilMs").asDouble();
+        if (atMs >= validUntilMs) {
             faults.add(name + ": /validUntilMs: a time after /start/atMs is expected");
         }
-        boolean replaces = n.path("mode").asText("insert").equals("replace");
-        if (replaces != n.has("replaceS")) {
+        boolean replaces = document.path("mode").asText("insert").equals("replace");
+        if (replaces != document.has("replaceS")) {
             faults.add(name + ": /replaceS: "
                     + (replaces
                             ? "seconds are expected with mode replace"
@@ -109,28 +125,31 @@
         if (!faults.isEmpty()) {
             throw new InvalidDocumentException(faults);
         }
-        JsonNode whom = n.path("for");
-        JsonNode piece = n.get("piece");
+        JsonNode audience = document.path("for");
+        JsonNode piece = document.get("piece");
         return new Change(
-                n.get("id").asText(),
-                n.get("piece").get("title").asText(),
+                document.get("id").asText(),
+                document.get("piece").get("title").asText(),
                 List.copyOf(renditions),
                 new Audience(
-                        names(whom, "titles"), names(whom, "classes"), names(whom, "tenants"), names(whom, "sessions")),
+                        readNames(audience, "titles"),
+                        readNames(audience, "classes"),
+                        readNames(audience, "tenants"),
+                        readNames(audience, "sessions")),
                 atMs,
                 start.path("lectureS").asDouble(-1),
-                until,
-                n.path("replaceS").asDouble(),
+                validUntilMs,
+                document.path("replaceS").asDouble(),
                 piece.path("homeCell").asInt(-1),
                 piece.path("span").asInt(1),
-                n.path("priority").asInt(),
-                n.path("once").asText("session").equals("viewer"),
-                ChangeKeys.canonical(n));
+                document.path("priority").asInt(),
+                document.path("once").asText("session").equals("viewer"),
+                ChangeKeys.canonical(document));
     }
 
-    private static Set<String> names(JsonNode n, String key) {
+    private static Set<String> readNames(JsonNode parent, String key) {
         Set<String> result = new HashSet<>();
-        n.path(key).forEach(name -> result.add(name.asText()));
+        parent.path(key).forEach(name -> result.add(name.asText()));
         return Set.copyOf(result);
     }
 }
--- a/stitch/src/main/java/calicovale/stitch/ChangeBook.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeBook.java
@@ -11,21 +11,26 @@
 import java.util.Set;
 
 /**
- * Owns the changes that count and decides, without I/O, which of them a session shows at a boundary and at which rendition.
- * Of two that are due the higher priority comes first, then the earlier, then the smaller id, so that all managers choose
- * alike. One that is late is shown at the next boundary within its time or not at all.
+ * Holds the active changes and decides, without I/O, which change a session shows at a boundary and in which rendition.
+ * Among changes that are due, the order is higher priority, then earlier start, then smaller id, so that all managers
+ * make the same choice. A change that missed a boundary is shown at the next one that plays before the change expires,
+ * or not at all.
  */
 public final class ChangeBook {
 
     /**
-     * What is known of a session at a boundary.
+     * State of a session at a boundary.
      *
-     * @param session its id for its whole life, over moves and returns
-     * @param viewer who watches; empty: unknown, then once a viewer means once a session
-     * @param lowestRung its class's floor
-     * @param rateKb the rate that the rung in force takes, as the controller sees it
-     * @param scale the class's rates over the ladder's: the piece's rates are scaled alike
-     * @param returning its viewer went on here with a lecture that it had begun: what that session was shown counts
+     * @param session id of the session, which stays the same when the session moves or returns
+     * @param viewer id of the viewer; empty if unknown, in which case once per viewer means once per session
+     * @param title title of the lecture
+     * @param sessionClass name of the session's class
+     * @param tenant name of the session's tenant
+     * @param lowestRung floor of the session's class, a rung of the lecture's ladder
+     * @param rateKb rate of the current rung as the controller accounts for it, in kB/s
+     * @param scale ratio of the class's rates to the ladder's rates, by which the piece's rates are multiplied too
+     * @param returning true if the viewer continues a lecture that it began in another session, in which case changes
+     *     that the earlier session was shown are not shown again
      */
     public record Facts(
             String session,
@@ -38,42 +43,62 @@
             double scale,
             boolean returning) {}
 
-    /** A change to be shown now, at a rendition of its ladder. */
+    /** A change to show now, and the rendition of its piece. */
     public record Choice(Change change, Change.Rendition rendition) {}
 
-    /** What a session's boundary leads to: a choice or none, and the changes that no rendition could show. */
+    /**
+     * Result for one boundary of a session.
+     *
+     * @param choice the change to show, or null if none is
+     * @param withoutRendition ids of the due changes that have no rendition within the session's rate and floor
+     */
     public record Decision(Choice choice, List<String> withoutRendition) {
         static final Decision NONE = new Decision(null, List.of());
     }
 
-    private static final Comparator<Change> ORDER = Comparator.comparingInt((Change c) -> -c.priority())
+    private static final Comparator<Change> SELECTION_ORDER = Comparator.comparingInt((Change c) -> -c.priority())
             .thenComparingDouble(c -> Math.max(c.atMs(), c.lectureS()))
             .thenComparing(Change::id);
 
-    private final int most;
-    private final int mostShown;
+    private final int maxChanges;
+    private final int maxShowings;
     private final Map<String, Change> changes = new LinkedHashMap<>();
-    private final Map<String, Set<String>> shown = new HashMap<>();
-    private int shownCount;
+    /** Keys of the viewers and sessions that were shown a change, by the change's id. */
+    private final Map<String, Set<String>> showingKeysByChange = new HashMap<>();
+
+    private int showingCount;
     private long version;
 
-    /** Holds at most {@code most} changes, and of all together at most {@code mostShown} times that one was shown. */
-    public ChangeBook(int most, int mostShown) {
-        this.most = most;
-        this.mostShown = mostShown;
+    /**
+     * Creates an empty instance.
+     *
+     * @param maxChanges maximum number of active changes
+     * @param maxShowings maximum number of recorded showings, over all changes
+     */
+    public ChangeBook(int maxChanges, int maxShowings) {
+        this.maxChanges = maxChanges;
+        this.maxShowings = maxShowings;
     }
 
-    /** Grows with every change that is added, withdrawn or over: what was found before it is to be found anew. */
+    /**
+     * Returns a version that increases when a change is added, withdrawn or expires. Older candidate lists are then
+     * stale.
+     */
     public long version() {
         return version;
     }
 
-    /** Whether a change can be added: not at the bound, nor in place of one that a session has been shown. */
+    /**
+     * Returns whether a change can be added. It cannot if the maximum number of changes is reached, or if it would
+     * replace a change that has been shown to a session.
+     */
     public boolean accepts(Change change) {
-        return changes.containsKey(change.id()) ? !shown.containsKey(change.id()) : changes.size() < most;
+        return changes.containsKey(change.id())
+                ? !showingKeysByChange.containsKey(change.id())
+                : changes.size() < maxChanges;
     }
 
-    /** Adds a change, or replaces one that no session has been shown; false if it is not accepted. */
+    /** Adds a change or replaces the one with the same id. Returns false if {@link #accepts} refuses it. */
     public boolean add(Change change) {
         if (!accepts(change)) {
             return false;
@@ -83,148 +108,164 @@
         return true;
     }
 
-    /** Withdraws a change: no session begins it any more; false if it is unknown. */
+    /** Removes a change, so that no further session starts it. Returns false if the id is unknown. */
     public boolean withdraw(String id) {
         boolean known = changes.remove(id) != null;
         version += known ? 1 : 0;
         return known;
     }
 
-    /** Forgets changes whose time is over, and who was shown them. */
+    /** Removes expired changes, and the recorded showings of all changes that are no longer active. */
     public void expire(double nowMs) {
         if (changes.values().removeIf(c -> c.validUntilMs() < nowMs)) {
             version++;
         }
-        if (shown.keySet().retainAll(changes.keySet())) {
-            shownCount = shown.values().stream().mapToInt(Set::size).sum();
+        if (showingKeysByChange.keySet().retainAll(changes.keySet())) {
+            showingCount =
+                    showingKeysByChange.values().stream().mapToInt(Set::size).sum();
         }
     }
 
-    /** Whether no change counts: asked at every boundary of every session. */
+    /** Returns whether there are no active changes. Called at every boundary of every session. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
 
-    /** The changes that count. */
+    /** Returns the active changes. */
     public Collection<Change> changes() {
         return List.copyOf(changes.values());
     }
 
-    /** A change that counts, or null. */
+    /** Returns an active change, or null if there is none with this id. */
     public Change get(String id) {
         return changes.get(id);
     }
 
-    /** Under which name a showing is remembered: the viewer's, the session's, and the viewer's for this lecture. */
-    private static List<String> names(Change change, Facts s) {
-        if (s.viewer().isEmpty()) {
-            return List.of("s " + s.session());
+    /** Returns the keys under which a showing is recorded: by viewer (v), by session (s), by lecture and viewer (r). */
+    private static List<String> showingKeys(Change change, Facts session) {
+        if (session.viewer().isEmpty()) {
+            return List.of("s " + session.session());
         }
         return change.oncePerViewer()
-                ? List.of("v " + s.viewer())
-                : List.of("s " + s.session(), "r " + s.title() + " " + s.viewer());
+                ? List.of("v " + session.viewer())
+                : List.of("s " + session.session(), "r " + session.title() + " " + session.viewer());
     }
 
-    /** Whether a change was shown to this session, or its viewer where it counts by viewer. */
-    public boolean wasShown(Change change, Facts s) {
-        Set<String> to = shown.get(change.id());
-        if (to == null) {
+    /** Returns whether a change was shown to this session, or to its viewer if the change is shown once per viewer. */
+    public boolean wasShown(Change change, Facts session) {
+        Set<String> keysShownTo = showingKeysByChange.get(change.id());
+        if (keysShownTo == null) {
             return false;
         }
-        for (String name : names(change, s)) {
-            // a viewer that begins a lecture again, and does not go on with it, is another session
-            if (to.contains(name) && (s.returning() || !name.startsWith("r "))) {
+        for (String key : showingKeys(change, session)) {
+            // a viewer that restarts a lecture instead of continuing it counts as another session
+            if (keysShownTo.contains(key) && (session.returning() || !key.startsWith("r "))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether one more showing can be remembered: one that can't be is not begun. */
+    /**
+     * Returns whether one more showing, which takes up to two keys, can be recorded. Otherwise no change is started.
+     */
     public boolean canShow() {
-        return shownCount + 2 <= mostShown;
+        return showingCount + 2 <= maxShowings;
     }
 
-    /** Notes that a session's playlist shows a change; the names under which that is remembered, for the ledger. */
-    public List<String> shown(Change change, Facts s) {
-        List<String> names = names(change, s);
-        names.forEach(name -> remember(change.id(), name));
-        return names;
+    /**
+     * Records that a session's playlist shows a change. Returns the showing's keys, for {@link SessionLedger.Showing}.
+     */
+    public List<String> shown(Change change, Facts session) {
+        List<String> keys = showingKeys(change, session);
+        keys.forEach(name -> remember(change.id(), name));
+        return keys;
     }
 
-    /** Remembers a showing by the name that {@link #shown} gave it; false at the bound. */
-    public boolean remember(String id, String name) {
-        if (shownCount >= mostShown) {
+    /** Restores a showing by a key that {@link #shown(Change, Facts)} returned. Returns false at the maximum. */
+    public boolean remember(String changeId, String showingKey) {
+        if (showingCount >= maxShowings) {
             return false;
         }
-        shownCount += shown.computeIfAbsent(id, x -> new HashSet<>()).add(name) ? 1 : 0;
+        showingCount += showingKeysByChange
+                        .computeIfAbsent(changeId, x -> new HashSet<>())
+                        .add(showingKey)
+                ? 1
+                : 0;
         return true;
     }
 
-    /** The changes that a session may yet be shown, in the order in which they are chosen. */
-    public List<Change> candidates(Facts s) {
+    /** Returns the changes that a session may still be shown, in selection order. */
+    public List<Change> candidates(Facts session) {
         List<Change> result = new ArrayList<>(0);
-        for (Change c : changes.values()) {
-            if (c.audience().has(s.title(), s.sessionClass(), s.tenant(), s.session()) && !wasShown(c, s)) {
-                result.add(c);
+        for (Change change : changes.values()) {
+            if (change.audience().includes(session.title(), session.sessionClass(), session.tenant(), session.session())
+                    && !wasShown(change, session)) {
+                result.add(change);
             }
         }
-        result.sort(ORDER);
+        result.sort(SELECTION_ORDER);
         return result;
     }
 
     /**
-     * Decides at a boundary of a session's lecture.
+     * Chooses the change to show at a boundary of a session's lecture.
      *
-     * @param candidates what {@link #candidates} gave for the session at the present {@link #version}
-     * @param boundaryS the place of the boundary in the lecture, in seconds
-     * @param boundaryMs common time at which the boundary will play
+     * @param candidates result of {@link #candidates} for the session at the current {@link #version}
+     * @param boundaryS position of the boundary in the lecture, in seconds
+     * @param boundaryMs time on the common clock at which the boundary will play, in ms
      */
-    public Decision at(List<Change> candidates, Facts s, double boundaryS, double boundaryMs) {
-        List<String> without = null;
+    public Decision at(List<Change> candidates, Facts session, double boundaryS, double boundaryMs) {
+        List<String> withoutRendition = null;
         for (int i = 0; i < candidates.size(); i++) {
-            Change c = candidates.get(i);
-            if (!due(c, boundaryS, boundaryMs) || wasShown(c, s)) {
+            Change change = candidates.get(i);
+            if (!isDue(change, boundaryS, boundaryMs) || wasShown(change, session)) {
                 continue;
             }
-            Change.Rendition r = rendition(c, s);
-            if (r != null) {
-                return new Decision(new Choice(c, r), without == null ? List.of() : without);
+            Change.Rendition rendition = rendition(change, session);
+            if (rendition != null) {
+                return new Decision(
+                        new Choice(change, rendition), withoutRendition == null ? List.of() : withoutRendition);
             }
-            // it waits: a later boundary may have room for a rendition that keeps the floor
-            without = without == null ? new ArrayList<>() : without;
-            without.add(c.id());
+            // not skipped for good, because at a later boundary a rendition that keeps the floor may fit
+            withoutRendition = withoutRendition == null ? new ArrayList<>() : withoutRendition;
+            withoutRendition.add(change.id());
         }
-        return without == null ? Decision.NONE : new Decision(null, without);
+        return withoutRendition == null ? Decision.NONE : new Decision(null, withoutRendition);
     }
 
-    /** Whether a change is due at a boundary that plays at a time. */
-    public static boolean due(Change c, double boundaryS, double boundaryMs) {
-        return boundaryMs <= c.validUntilMs() && (c.atMs() >= 0 ? boundaryMs >= c.atMs() : boundaryS >= c.lectureS());
+    /** Returns whether a change is due at a boundary; parameters as for {@link #at}. */
+    public static boolean isDue(Change change, double boundaryS, double boundaryMs) {
+        return boundaryMs <= change.validUntilMs()
+                && (change.atMs() >= 0 ? boundaryMs >= change.atMs() : boundaryS >= change.lectureS());
     }
 
-    /** The highest rendition that takes no more than the rung in force and keeps the class's floor; null: none. */
-    public static Change.Rendition rendition(Change change, Facts s) {
+    /**
+     * Returns the highest rendition within the current rung's rate that keeps the class's floor, or null if there is
+     * none.
+     */
+    public static Change.Rendition rendition(Change change, Facts session) {
         Change.Rendition best = null;
-        for (Change.Rendition r : change.renditions()) {
-            if (r.rung() >= s.lowestRung() && r.rateKb() * s.scale() <= s.rateKb()) {
-                best = r;
+        for (Change.Rendition rendition : change.renditions()) {
+            if (rendition.rung() >= session.lowestRung() && rendition.rateKb() * session.scale() <= session.rateKb()) {
+                best = rendition;
             }
         }
         return best;
     }
 
     /**
-     * The rendition with which a piece that has begun goes on after the rung changed: as {@link #rendition}, else the lowest
-     * that keeps the floor, since what has begun is played out.
+     * Returns the rendition in which a started piece continues after the session's rung changed. It is that of {@link
+     * #rendition}, or else the lowest one that keeps the floor, because a started piece is always played to its end.
+     * Null if no rendition keeps the floor.
      */
-    public static Change.Rendition onward(Change change, Facts s) {
-        Change.Rendition fits = rendition(change, s);
-        for (Change.Rendition r : change.renditions()) {
-            if (fits == null && r.rung() >= s.lowestRung()) {
-                return r;
+    public static Change.Rendition onward(Change change, Facts session) {
+        Change.Rendition bestRendition = rendition(change, session);
+        for (Change.Rendition rendition : change.renditions()) {
+            if (bestRendition == null && rendition.rung() >= session.lowestRung()) {
+                return rendition;
             }
         }
-        return fits;
+        return bestRendition;
     }
 }
--- a/stitch/src/main/java/calicovale/stitch/ChangeKeys.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeKeys.java
@@ -16,11 +16,12 @@
 import org.erdtman.jcs.JsonCanonicalizer;
 
 /**
- * Owns the operators' keys by which documents are signed (Ed25519, RFC 8032, over the canonical form of RFC 8785 without its
- * {@code signature}). Without any key every document is taken; with one, only a document that a listed key signed.
+ * The operators' public keys, which verify the signatures of change documents. A signature is Ed25519 (RFC 8032) over
+ * the document's canonical form (RFC 8785) without its member {@code signature}. With no keys, every document is
+ * accepted; with at least one, only documents that a listed key signed.
  */
 public final class ChangeKeys {
-    /** Takes documents of anyone. */
+    /** No keys; accepts documents without verifying a signature. */
     public static final ChangeKeys ANYONE = new ChangeKeys(Map.of());
 
     private final Map<String, PublicKey> keys;
@@ -30,13 +31,14 @@
     }
 
     /**
-     * Reads keys by name, each the base64url of its 32 bytes.
+     * Parses public keys.
      *
-     * @throws IllegalArgumentException if one is none; the message names it
+     * @param keyTexts the keys by name, each the base64url of its 32 bytes
+     * @throws IllegalArgumentException if a text is not a public key; the message names the key
      */
-    public static ChangeKeys of(Map<String, String> texts) {
+    public static ChangeKeys of(Map<String, String> keyTexts) {
         Map<String, PublicKey> keys = new LinkedHashMap<>();
-        texts.forEach((name, text) -> {
+        keyTexts.forEach((name, text) -> {
             try {
                 keys.put(name, Ed25519.publicKey(text));
             } catch (IllegalArgumentException e) {
@@ -47,7 +49,7 @@
         return new ChangeKeys(keys);
     }
 
-    /** A document in canonical form: by it documents are signed, kept and listed. */
+    /** Returns a document in canonical form (RFC 8785), in which documents are signed, stored and listed. */
     public static String canonical(JsonNode document) {
         try {
             return new JsonCanonicalizer(document.toString()).getEncodedString();
@@ -56,14 +58,15 @@
         }
     }
 
-    private static byte[] signed(JsonNode document) {
-        ObjectNode without = document.deepCopy();
-        without.remove("signature");
-        return canonical(without).getBytes(StandardCharsets.UTF_8);
+    /** Returns the bytes that a signature covers. */
+    private static byte[] signedBytes(JsonNode document) {
+        ObjectNode unsignedDocument = document.deepCopy();
+        unsignedDocument.remove("signature");
+        return canonical(unsignedDocument).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** What is wrong with a document's signature, each fault with its place; empty: nothing. */
-    List<String> faults(String name, JsonNode document) {
+    /** Returns the faults of a document's signature, each with its location; empty if the signature is valid. */
+    List<String> signatureFaults(String name, JsonNode document) {
         if (keys.isEmpty()) {
             return List.of();
         }
@@ -78,7 +81,7 @@
         }
         try {
             byte[] value = Base64.getUrlDecoder().decode(signature.get("value").asText());
-            return Ed25519.verify(key, value, signed(document))
+            return Ed25519.verify(key, value, signedBytes(document))
                     ? List.of()
                     : List.of(name + ": /signature/value: the key's signature of this document is expected");
         } catch (IllegalArgumentException e) {
@@ -86,11 +89,18 @@
         }
     }
 
-    /** A document with the signature of a private key as {@link Pair} gives it, in canonical form. */
-    public static String sign(String document, String keyName, String privateKey) throws IOException {
-        ObjectNode n = (ObjectNode) Documents.MAPPER.readTree(document);
-        byte[] signature = Ed25519.sign(Ed25519.privateKey(privateKey), signed(n));
-        n.putObject("signature").put("key", keyName).put("value", Ed25519.toBase64Url(signature));
-        return canonical(n);
+    /**
+     * Signs a document, replacing any signature that it has.
+     *
+     * @param keyName name of the key in the managers' settings
+     * @param privateKey text of the private key as in {@link Ed25519.TextKeyPair}
+     * @return the signed document, in canonical form
+     * @throws IOException if the document is not JSON
+     */
+    public static String sign(String documentText, String keyName, String privateKey) throws IOException {
+        ObjectNode document = (ObjectNode) Documents.MAPPER.readTree(documentText);
+        byte[] signature = Ed25519.sign(Ed25519.privateKey(privateKey), signedBytes(document));
+        document.putObject("signature").put("key", keyName).put("value", Ed25519.toBase64Url(signature));
+        return canonical(document);
     }
 }
--- a/stitch/src/main/java/calicovale/stitch/ChangeStore.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeStore.java
@@ -10,88 +10,97 @@
 import java.util.Map;
 
 /**
- * Owns the documents that count on disk, by id: each telling is appended before it counts, and when the log has grown it is
- * replaced by a snapshot of what counts then. To be used by one thread at a time.
+ * Stores the documents of active changes on disk, by id. Each addition and withdrawal is appended to a log before it
+ * takes effect. A log that has grown too long is replaced by a snapshot of the active documents. Not thread-safe.
  */
 public final class ChangeStore implements AutoCloseable {
     private final RecordLog log;
     private final RecordLog.Recovery recovery;
     private final long snapshotBytes;
     private final Map<String, String> documents = new LinkedHashMap<>();
-    /** The watched files from which documents came, by id. */
-    private final Map<String, String> files = new LinkedHashMap<>();
+    /** Names of the watched files from which documents were read, by document id. */
+    private final Map<String, String> sourceFiles = new LinkedHashMap<>();
 
-    /** Opens a folder; the log is replaced by a snapshot once it is longer than {@code snapshotBytes}. */
+    /**
+     * Opens or creates the store in a folder.
+     *
+     * @param snapshotBytes length of the log, in bytes, above which it is replaced by a snapshot
+     * @throws IOException if the files cannot be read or are damaged
+     */
     public ChangeStore(Path folder, long snapshotBytes) throws IOException {
         RecordLog.Opened opened = RecordLog.open(folder, "changes");
         log = opened.log();
         recovery = opened.recovery();
         this.snapshotBytes = snapshotBytes;
         for (String record : recovery.records()) {
-            JsonNode n = Documents.MAPPER.readTree(record);
-            if (n.has("withdraw")) {
-                documents.remove(n.get("withdraw").asText());
-                files.remove(n.get("withdraw").asText());
+            JsonNode node = Documents.MAPPER.readTree(record);
+            if (node.has("withdraw")) {
+                documents.remove(node.get("withdraw").asText());
+                sourceFiles.remove(node.get("withdraw").asText());
             } else {
-                took(
-                        n.path("add").path("id").asText(),
-                        ChangeKeys.canonical(n.path("add")),
-                        n.path("file").asText(null));
+                put(
+                        node.path("add").path("id").asText(),
+                        ChangeKeys.canonical(node.path("add")),
+                        node.path("file").asText(null));
             }
         }
     }
 
-    /** What opening found. */
+    /** Returns what was read when the store was opened. */
     public RecordLog.Recovery recovery() {
         return recovery;
     }
 
-    /** The documents that count, in the order in which they were told. */
+    /** Returns the active documents, in the order in which they were first added. */
     public List<String> documents() {
         return List.copyOf(documents.values());
     }
 
-    /** The watched files from which documents that count came, by the documents' ids. */
+    /** Returns the names of the watched files from which active documents were read, by document id. */
     public Map<String, String> files() {
-        return Map.copyOf(files);
+        return Map.copyOf(sourceFiles);
     }
 
-    private void took(String id, String json, String file) {
+    private void put(String id, String json, String file) {
         documents.put(id, json);
         if (file == null) {
-            files.remove(id);
+            sourceFiles.remove(id);
         } else {
-            files.put(id, file);
+            sourceFiles.put(id, file);
         }
     }
 
-    /** Keeps a document, and the watched file from which it came or null; it is on disk when this returns. */
+    /**
+     * Adds or replaces a document. It is on disk when this method returns.
+     *
+     * @param file name of the watched file from which the document was read, or null
+     */
     public void add(String id, String json, String file) throws IOException {
-        log.append(adding(json, file));
-        took(id, json, file);
-        shrink();
+        log.append(addRecord(json, file));
+        put(id, json, file);
+        replaceLongLog();
     }
 
-    /** Keeps that a document counts no more; it is on disk when this returns. */
+    /** Removes a document. The removal is on disk when this method returns. */
     public void withdraw(String id) throws IOException {
         log.append(Documents.MAPPER.createObjectNode().put("withdraw", id).toString());
         documents.remove(id);
-        files.remove(id);
-        shrink();
+        sourceFiles.remove(id);
+        replaceLongLog();
     }
 
-    private static String adding(String json, String file) {
+    private static String addRecord(String json, String file) {
         return "{\"add\":" + json
                 + (file == null
                         ? ""
                         : ",\"file\":" + Documents.MAPPER.getNodeFactory().textNode(file)) + "}";
     }
 
-    private void shrink() throws IOException {
+    private void replaceLongLog() throws IOException {
         if (log.length() > snapshotBytes) {
-            List<String> now = new ArrayList<>();
-            documents.forEach((id, json) -> now.add(adding(json, files.get(id))));
-            log.snapshot(now);
+            List<String> records = new ArrayList<>();
+            documents.forEach((id, json) -> records.add(addRecord(json, sourceFiles.get(id))));
+            log.snapshot(records);
         }
     }
 
--- a/stitch/src/main/java/calicovale/stitch/RecordLog.java
+++ b/stitch/src/main/java/calicovale/stitch/RecordLog.java
@@ -13,180 +13,198 @@
 import java.util.zip.CRC32C;
 
 /**
- * Owns records on disk: an append-only log, each record with its length and checksum and forced before it counts, and a
- * snapshot that replaces the log when it has grown. A torn tail is cut off and reported; a record that is
- * damaged before the end is an error, since what follows it can't be trusted.
+ * A durable, append-only log of text records, with a snapshot that replaces the log when it has grown. Each record is
+ * framed by its length and its checksum and is forced to disk before {@link #append} returns. A torn tail is truncated
+ * and reported. A damaged record before the end is an error, because the records after it cannot be trusted.
  *
- * <p>Not for two processes at once. Times and order are the records' own; the log knows no clock.
+ * <p>Only one process may open a log at a time. The log adds no timestamps or sequence numbers to the records.
  */
 public final class RecordLog implements AutoCloseable {
-    /** Bytes before a record's text: its length and its CRC-32C. */
-    private static final int HEAD = 8;
-    /** Most bytes of one record: well above the largest document that the schema permits. */
-    private static final int MOST_BYTES = 1 << 20;
+    /** Bytes before a record's text, which hold its length and its CRC-32C. */
+    private static final int HEADER_BYTES = 8;
+    /** Maximum bytes of a record's text. Well above the largest document that the schema permits. */
+    private static final int MAX_RECORD_BYTES = 1 << 20;
 
-    /** What opening found. */
+    /**
+     * What was read when a log was opened.
+     *
+     * @param records all records, those of the snapshot first
+     * @param ofSnapshot number of records that came from the snapshot
+     * @param bytesCut bytes of a torn tail that were truncated
+     */
     public record Recovery(List<String> records, int ofSnapshot, long bytesCut) {}
 
     private final Path log;
     private final Path snapshot;
     private FileChannel channel;
-    private long length;
+    private long lengthBytes;
 
     private RecordLog(Path folder, String name) {
         log = folder.resolve(name + ".log");
         snapshot = folder.resolve(name + ".snapshot");
     }
 
-    /** Opens a log of a folder by its name and reads what it holds, the snapshot's records first. */
+    /**
+     * Opens or creates a log and reads its records.
+     *
+     * @param name file name of the log without its extension
+     * @throws IOException if the files cannot be read, or if they are damaged other than by a torn tail
+     */
     public static Opened open(Path folder, String name) throws IOException {
         Files.createDirectories(folder);
         RecordLog result = new RecordLog(folder, name);
         List<String> records = new ArrayList<>();
         if (Files.exists(result.snapshot)) {
             byte[] bytes = Files.readAllBytes(result.snapshot);
-            if (read(bytes, records) != bytes.length) {
-                // it was moved into place whole, so a tear is damage
+            if (readRecords(bytes, records) != bytes.length) {
+                // a snapshot is moved into place only when complete, so a torn tail means damage
                 throw new IOException(result.snapshot + " is damaged after " + records.size() + " records");
             }
         }
-        int ofSnapshot = records.size();
+        int snapshotRecords = records.size();
         result.channel = FileChannel.open(
                 result.log, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         byte[] bytes = Files.readAllBytes(result.log);
-        int good = read(bytes, records);
-        if (good < bytes.length && whole(bytes, good)) {
+        int validBytes = readRecords(bytes, records);
+        if (validBytes < bytes.length && hasIntactRecordAfter(bytes, validBytes)) {
             result.channel.close();
-            throw new IOException(result.log + " is damaged at byte " + good + ", with whole records after it");
+            throw new IOException(result.log + " is damaged at byte " + validBytes + ", with intact records after it");
         }
-        result.channel.truncate(good);
-        result.channel.position(good);
+        result.channel.truncate(validBytes);
+        result.channel.position(validBytes);
         result.channel.force(true);
-        result.length = good;
-        return new Opened(result, new Recovery(List.copyOf(records), ofSnapshot, bytes.length - good));
+        result.lengthBytes = validBytes;
+        return new Opened(result, new Recovery(List.copyOf(records), snapshotRecords, bytes.length - validBytes));
     }
 
-    /** A log and what it held. */
+    /** An open log, and what was read from it. */
     public record Opened(RecordLog log, Recovery recovery) {}
 
-    /** Reads whole records and gives the place after the last of them. */
-    private static int read(byte[] bytes, List<String> into) {
-        int at = 0;
+    /** Adds all records up to the first incomplete or damaged one. Returns the offset after the last added record. */
+    private static int readRecords(byte[] bytes, List<String> records) {
+        int offset = 0;
         String record;
-        while ((record = record(bytes, at)) != null) {
-            into.add(record);
-            at += HEAD + ByteBuffer.wrap(bytes).getInt(at);
+        while ((record = readRecord(bytes, offset)) != null) {
+            records.add(record);
+            offset += HEADER_BYTES + ByteBuffer.wrap(bytes).getInt(offset);
         }
-        return at;
+        return offset;
     }
 
-    private static String record(byte[] bytes, int at) {
-        if (bytes.length - at < HEAD) {
+    /** Returns the record at an offset, or null if there is none or it is incomplete or damaged. */
+    private static String readRecord(byte[] bytes, int offset) {
+        if (bytes.length - offset < HEADER_BYTES) {
             return null;
         }
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        int size = in.getInt(at);
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        int size = buffer.getInt(offset);
         if (size <= 0
-                || size > MOST_BYTES
-                || size > bytes.length - at - HEAD
-                || in.getInt(at + 4) != sum(bytes, at + HEAD, size)) {
+                || size > MAX_RECORD_BYTES
+                || size > bytes.length - offset - HEADER_BYTES
+                || buffer.getInt(offset + 4) != checksum(bytes, offset + HEADER_BYTES, size)) {
             return null;
         }
-        return new String(bytes, at + HEAD, size, StandardCharsets.UTF_8);
+        return new String(bytes, offset + HEADER_BYTES, size, StandardCharsets.UTF_8);
     }
 
-    /** Whether a whole record stands anywhere after a damaged one: then it is no torn tail. */
-    private static boolean whole(byte[] bytes, int from) {
-        for (int at = from + 1; at + HEAD < bytes.length; at++) {
-            if (record(bytes, at) != null) {
+    /** Returns whether any intact record follows a damaged one, in which case the damage is not a torn tail. */
+    private static boolean hasIntactRecordAfter(byte[] bytes, int damagedOffset) {
+        for (int offset = damagedOffset + 1; offset + HEADER_BYTES < bytes.length; offset++) {
+            if (readRecord(bytes, offset) != null) {
                 return true;
             }
         }
         return false;
     }
 
-    private static int sum(byte[] bytes, int from, int size) {
+    private static int checksum(byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, from, size);
+        crc.update(bytes, offset, length);
         return (int) crc.getValue();
     }
 
-    private static ByteBuffer frame(String record) {
+    private static ByteBuffer encodeRecord(String record) {
         byte[] text = record.getBytes(StandardCharsets.UTF_8);
-        if (text.length == 0 || text.length > MOST_BYTES) {
-            throw new IllegalArgumentException("a record has 1 to " + MOST_BYTES + " bytes, not " + text.length);
+        if (text.length == 0 || text.length > MAX_RECORD_BYTES) {
+            throw new IllegalArgumentException("a record has 1 to " + MAX_RECORD_BYTES + " bytes, not " + text.length);
         }
-        return ByteBuffer.allocate(HEAD + text.length)
+        return ByteBuffer.allocate(HEADER_BYTES + text.length)
                 .putInt(text.length)
-                .putInt(sum(text, 0, text.length))
+                .putInt(checksum(text, 0, text.length))
                 .put(text)
                 .flip();
     }
 
-    /** Appends a record; it is on disk when this returns. */
+    /** Appends a record. It is on disk when this method returns. */
     public void append(String record) throws IOException {
         append(List.of(record));
     }
 
     /**
-     * Appends records with one force for all of them; they are on disk when this returns. If it fails none of them counts:
-     * what was written of them is cut off again, and where that fails too the next opening does so.
+     * Appends records and forces them to disk together. They are on disk when this method returns.
+     *
+     * @throws IOException if writing fails. None of the records is then part of the log, because any bytes written are
+     *     truncated again. If the truncation fails too, the next {@link #open} truncates them.
      */
     public void append(List<String> records) throws IOException {
         try {
-            ByteBuffer out = frames(records);
-            while (out.hasRemaining()) {
-                channel.write(out);
+            ByteBuffer buffer = encodeRecords(records);
+            while (buffer.hasRemaining()) {
+                channel.write(buffer);
             }
             channel.force(false);
-            length = channel.position();
+            lengthBytes = channel.position();
         } catch (IOException e) {
             try {
-                channel.truncate(length);
-                channel.position(length);
-            } catch (IOException second) {
-                e.addSuppressed(second);
+                channel.truncate(lengthBytes);
+                channel.position(lengthBytes);
+            } catch (IOException truncateFailure) {
+                e.addSuppressed(truncateFailure);
             }
             throw e;
         }
     }
 
-    private static ByteBuffer frames(List<String> records) {
-        List<ByteBuffer> each = new ArrayList<>(records.size());
-        int bytes = 0;
+    private static ByteBuffer encodeRecords(List<String> records) {
+        List<ByteBuffer> encoded = new ArrayList<>(records.size());
+        int totalBytes = 0;
         for (String record : records) {
-            each.add(frame(record));
-            bytes += each.get(each.size() - 1).remaining();
+            encoded.add(encodeRecord(record));
+            totalBytes += encoded.get(encoded.size() - 1).remaining();
         }
-        ByteBuffer out = ByteBuffer.allocate(bytes);
-        each.forEach(out::put);
-        return out.flip();
+        ByteBuffer buffer = ByteBuffer.allocate(totalBytes);
+        encoded.forEach(buffer::put);
+        return buffer.flip();
     }
 
-    /** Bytes of the log since the last snapshot. */
+    /** Returns the length of the log since the last snapshot, in bytes. */
     public long length() {
-        return length;
+        return lengthBytes;
     }
 
     /**
-     * Replaces everything by these records: the snapshot is moved into place whole before the log is emptied. A crash in
-     * between leaves both, so records must be such that telling one twice changes nothing.
+     * Replaces the snapshot and the log by a snapshot with these records. The complete snapshot is moved into place
+     * before the log is emptied. After a crash in between, both are read, so applying a record twice must have no
+     * further effect.
      */
     public void snapshot(List<String> records) throws IOException {
-        Path next = snapshot.resolveSibling(snapshot.getFileName() + ".next");
+        Path newSnapshot = snapshot.resolveSibling(snapshot.getFileName() + ".next");
         try (FileChannel out = FileChannel.open(
-                next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes = frames(records);
+                newSnapshot,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE)) {
+            ByteBuffer bytes = encodeRecords(records);
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         }
-        Files.move(next, snapshot, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(newSnapshot, snapshot, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         channel.truncate(0);
         channel.position(0);
         channel.force(true);
-        length = 0;
+        lengthBytes = 0;
     }
 
     @Override
--- a/stitch/src/main/java/calicovale/stitch/SessionLedger.java
+++ b/stitch/src/main/java/calicovale/stitch/SessionLedger.java
@@ -15,22 +15,23 @@
 import java.util.Set;
 
 /**
- * Owns on disk what must outlive a manager's process: of each session how far its playlist may have been given, and which
- * changes were shown to whom. A step is on disk before what it allows is given to a player, so that after a kill no media
- * sequence goes back and nothing is shown twice. To be used by one thread at a time.
+ * Stores on disk the session state that must survive a restart of the manager: how far each session's playlist may have
+ * been delivered, and which changes were shown to whom. An update is on disk before the playlist that it permits is
+ * delivered to a player, so that after a kill no media sequence number goes back and no change is shown twice. Not
+ * thread-safe.
  */
 public final class SessionLedger implements AutoCloseable {
 
     /**
-     * One session as it may have been given.
+     * State of one session, up to which its playlist may have been delivered.
      *
-     * @param token the secret of its URL
-     * @param sequence media sequence numbers below it may have been given
-     * @param number discontinuity sequence numbers up to it may have been given
-     * @param segment the lecture's segment that played at {@code atMs}
-     * @param targetS EXT-X-TARGETDURATION as given
-     * @param dateMs the programme's date that the playlist had reached at {@code atMs}
-     * @param atMs common time
+     * @param token secret part of the session's URL
+     * @param sequence upper bound, exclusive, of the media sequence numbers that may have been delivered
+     * @param number upper bound, inclusive, of the discontinuity sequence numbers that may have been delivered
+     * @param segment index of the lecture's segment that played at {@code atMs}
+     * @param targetS EXT-X-TARGETDURATION as delivered, in seconds
+     * @param dateMs programme date that the playlist had reached at {@code atMs}, in ms
+     * @param atMs time on the managers' common clock, in ms
      */
     public record Entry(
             String token,
@@ -47,12 +48,24 @@
             double dateMs,
             double atMs) {}
 
-    /** That a change was shown, under a name that {@link ChangeBook#shown} gave. */
+    /**
+     * A record that a change was shown.
+     *
+     * @param change id of the change
+     * @param name key that {@link ChangeBook#shown(Change, ChangeBook.Facts)} returned
+     */
     public record Showing(String change, String name) {}
 
-    /** Steps that are written together: entries that replace those of the same token, tokens that are over, showings. */
+    /**
+     * Updates that are written together.
+     *
+     * @param entries entries, which replace those with the same token
+     * @param endedTokens tokens of sessions that ended
+     * @param showings new showings
+     * @param aliveMs time on the common clock at which the process was running, in ms
+     */
     public record Steps(
-            Collection<Entry> entries, Collection<String> over, Collection<Showing> showings, double aliveMs) {}
+            Collection<Entry> entries, Collection<String> endedTokens, Collection<Showing> showings, double aliveMs) {}
 
     private final RecordLog log;
     private final RecordLog.Recovery recovery;
@@ -61,20 +74,26 @@
     private final Map<String, Set<String>> showings = new LinkedHashMap<>();
     private double aliveMs;
 
-    /** Opens a folder; the log is replaced by a snapshot once it is longer than this and than twice the last snapshot. */
+    /**
+     * Opens or creates the ledger in a folder.
+     *
+     * @param snapshotBytes minimum length of the log, in bytes, to replace it by a snapshot. It must also be longer
+     *     than twice the estimated size of a snapshot.
+     * @throws IOException if the files cannot be read or are damaged
+     */
     public SessionLedger(Path folder, long snapshotBytes) throws IOException {
         RecordLog.Opened opened = RecordLog.open(folder, "sessions");
         log = opened.log();
         recovery = opened.recovery();
         this.snapshotBytes = snapshotBytes;
         for (String record : recovery.records()) {
-            read(Documents.MAPPER.readTree(record));
+            applyRecord(Documents.MAPPER.readTree(record));
         }
     }
 
-    private void read(JsonNode n) {
-        aliveMs = Math.max(aliveMs, n.path("alive").asDouble());
-        n.path("s")
+    private void applyRecord(JsonNode node) {
+        aliveMs = Math.max(aliveMs, node.path("alive").asDouble());
+        node.path("s")
                 .forEach(e -> entries.put(
                         e.get(0).asText(),
                         new Entry(
@@ -91,90 +110,99 @@
                                 e.get(10).asLong(),
                                 e.get(11).asDouble(),
                                 e.get(12).asDouble())));
-        n.path("over").forEach(token -> entries.remove(token.asText()));
-        n.path("shown")
-                .forEach(x -> show(new Showing(x.get(0).asText(), x.get(1).asText())));
+        node.path("over").forEach(token -> entries.remove(token.asText()));
+        node.path("shown")
+                .forEach(x -> addShowing(new Showing(x.get(0).asText(), x.get(1).asText())));
     }
 
-    private void show(Showing s) {
-        showings.computeIfAbsent(s.change(), id -> new LinkedHashSet<>()).add(s.name());
+    private void addShowing(Showing showing) {
+        showings.computeIfAbsent(showing.change(), id -> new LinkedHashSet<>()).add(showing.name());
     }
 
-    /** What opening found. */
+    /** Returns what was read when the ledger was opened. */
     public RecordLog.Recovery recovery() {
         return recovery;
     }
 
-    /** Sessions that were not over. */
+    /** Returns the entries of sessions that have not ended. */
     public Collection<Entry> entries() {
         return List.copyOf(entries.values());
     }
 
-    /** All showings. */
+    /** Returns all showings. */
     public List<Showing> showings() {
         List<Showing> result = new ArrayList<>();
         showings.forEach((change, names) -> names.forEach(name -> result.add(new Showing(change, name))));
         return result;
     }
 
-    /** The last common time at which the process that wrote it is known to have run. */
+    /**
+     * Returns the last time on the common clock, in ms, at which the process that wrote the ledger is known to have
+     * run.
+     */
     public double aliveMs() {
         return aliveMs;
     }
 
-    /** Writes steps with one force; they are on disk when this returns. {@code changes}: showings of others are forgotten. */
-    public void write(Steps steps, Set<String> changes) throws IOException {
+    /**
+     * Writes updates and forces them to disk together. They are on disk when this method returns.
+     *
+     * @param activeChanges ids of the active changes; a snapshot drops the showings of all others
+     */
+    public void write(Steps steps, Set<String> activeChanges) throws IOException {
         log.append(records(steps));
         aliveMs = Math.max(aliveMs, steps.aliveMs());
         steps.entries().forEach(e -> entries.put(e.token(), e));
-        entries.keySet().removeAll(steps.over());
-        steps.showings().forEach(this::show);
+        entries.keySet().removeAll(steps.endedTokens());
+        steps.showings().forEach(this::addShowing);
+        // 400 bytes per session is about twice the session's size in a snapshot
         if (log.length() > Math.max(snapshotBytes, 400L * entries.size())) {
-            showings.keySet().retainAll(changes);
+            showings.keySet().retainAll(activeChanges);
             log.snapshot(records(new Steps(entries.values(), List.of(), showings(), aliveMs)));
         }
     }
 
-    /** Most steps of one record: the log bounds a record's bytes. */
-    private static final int MOST_IN_RECORD = 1000;
+    /** Maximum number of items in a record, because the log limits the bytes of a record. */
+    private static final int MAX_ITEMS_PER_RECORD = 1000;
 
     private static List<String> records(Steps steps) {
         List<String> result = new ArrayList<>();
-        ObjectNode n = Documents.MAPPER.createObjectNode().put("alive", steps.aliveMs());
+        ObjectNode node = Documents.MAPPER.createObjectNode().put("alive", steps.aliveMs());
         int count = 0;
-        for (Entry e : steps.entries()) {
-            n.withArray("/s")
+        for (Entry entry : steps.entries()) {
+            node.withArray("/s")
                     .addArray()
-                    .add(e.token())
-                    .add(e.sessionClass())
-                    .add(e.tenant())
-                    .add(e.viewer())
-                    .add(e.title())
-                    .add(e.top())
-                    .add(e.waitMs())
-                    .add(e.sequence())
-                    .add(e.number())
-                    .add(e.segment())
-                    .add(e.targetS())
-                    .add(e.dateMs())
-                    .add(e.atMs());
-            n = ++count % MOST_IN_RECORD == 0 ? next(result, n) : n;
+                    .add(entry.token())
+                    .add(entry.sessionClass())
+                    .add(entry.tenant())
+                    .add(entry.viewer())
+                    .add(entry.title())
+                    .add(entry.top())
+                    .add(entry.waitMs())
+                    .add(entry.sequence())
+                    .add(entry.number())
+                    .add(entry.segment())
+                    .add(entry.targetS())
+                    .add(entry.dateMs())
+                    .add(entry.atMs());
+            node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
         }
-        for (String token : steps.over()) {
-            n.withArray("/over").add(token);
-            n = ++count % MOST_IN_RECORD == 0 ? next(result, n) : n;
+        for (String token : steps.endedTokens()) {
+            node.withArray("/over").add(token);
+            node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
         }
-        for (Showing x : steps.showings()) {
-            ArrayNode pair = n.withArray("/shown").addArray();
-            pair.add(x.change()).add(x.name());
-            n = ++count % MOST_IN_RECORD == 0 ? next(result, n) : n;
+        for (Showing showing : steps.showings()) {
+            ArrayNode pair = node.withArray("/shown").addArray();
+            pair.add(showing.change()).add(showing.name());
+            node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
         }
-        result.add(n.toString());
+        result.add(node.toString());
         return result;
     }
 
-    private static ObjectNode next(List<String> result, ObjectNode n) {
-        result.add(n.toString());
+    /** Adds a full record to the list and returns an empty one. */
+    private static ObjectNode startNextRecord(List<String> records, ObjectNode node) {
+        records.add(node.toString());
         return Documents.MAPPER.createObjectNode();
     }
 
--- a/stitch/src/main/java/calicovale/stitch/package-info.java
+++ b/stitch/src/main/java/calicovale/stitch/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns programme changes: their documents, the durable log of what operators told, and the choice of what a session shows at
- * a boundary. It must not know sockets, playlists' text or the session manager.
+ * Programme changes: their documents, their durable log, the session ledger, and the choice of the change that a
+ * session shows at a boundary. This package must not depend on sockets, on the text of playlists or on the session
+ * manager.
  */
 package calicovale.stitch;
--- a/stitch/src/test/java/calicovale/stitch/RecordLogTest.java
+++ b/stitch/src/test/java/calicovale/stitch/RecordLogTest.java
@@ -14,7 +14,7 @@
     @TempDir
     private Path folder;
 
-    private RecordLog.Recovery write(String... records) throws IOException {
+    private RecordLog.Recovery openAndAppend(String... records) throws IOException {
         RecordLog.Opened opened = RecordLog.open(folder, "changes");
         try (RecordLog log = opened.log()) {
             for (String record : records) {
@@ -25,14 +25,14 @@
     }
 
     @Test
-    void whatWasAppendedIsThereAfterAStart() throws IOException {
-        assertEquals(List.of(), write("one", "two").records());
-        assertEquals(List.of("one", "two"), write("three").records());
-        assertEquals(List.of("one", "two", "three"), write().records());
+    void appendedRecordsAreReadAfterReopening() throws IOException {
+        assertEquals(List.of(), openAndAppend("one", "two").records());
+        assertEquals(List.of("one", "two"), openAndAppend("three").records());
+        assertEquals(List.of("one", "two", "three"), openAndAppend().records());
     }
 
     @Test
-    void theStoreKeepsWhatCountsOverEverySnapshot() throws IOException {
+    void changeStoreKeepsActiveDocumentsAcrossSnapshots() throws IOException {
         java.util.Map<String, String> expected = new java.util.LinkedHashMap<>();
         for (int round = 0; round < 8; round++) {
             try (ChangeStore store = new ChangeStore(folder, 200)) {
@@ -53,22 +53,22 @@
     }
 
     @Test
-    void aTailTornAtAnyByteIsCutOffAndReportedAndTheLogGoesOn() throws IOException {
-        write("one", "two");
-        byte[] whole = Files.readAllBytes(folder.resolve("changes.log"));
-        int second = 8 + 3;
-        for (int cut = second + 1; cut < whole.length; cut++) {
-            Files.write(folder.resolve("changes.log"), java.util.Arrays.copyOf(whole, cut));
-            RecordLog.Recovery recovery = write("after");
+    void tornTailIsTruncatedAtAnyByteAndTheLogStaysUsable() throws IOException {
+        openAndAppend("one", "two");
+        byte[] completeLog = Files.readAllBytes(folder.resolve("changes.log"));
+        int secondRecordOffset = 8 + 3;
+        for (int cut = secondRecordOffset + 1; cut < completeLog.length; cut++) {
+            Files.write(folder.resolve("changes.log"), java.util.Arrays.copyOf(completeLog, cut));
+            RecordLog.Recovery recovery = openAndAppend("after");
             assertEquals(List.of("one"), recovery.records());
-            assertEquals(cut - second, recovery.bytesCut());
-            assertEquals(List.of("one", "after"), write().records());
+            assertEquals(cut - secondRecordOffset, recovery.bytesCut());
+            assertEquals(List.of("one", "after"), openAndAppend().records());
         }
     }
 
     @Test
-    void damageBeforeTheEndIsAnErrorAndNothingIsChanged() throws IOException {
-        write("one", "two", "three");
+    void damageBeforeTheEndFailsToOpenAndLeavesTheFileUnchanged() throws IOException {
+        openAndAppend("one", "two", "three");
         Path file = folder.resolve("changes.log");
         byte[] bytes = Files.readAllBytes(file);
         bytes[9] ^= 1;
@@ -78,20 +78,20 @@
     }
 
     @Test
-    void aSnapshotReplacesTheLogAndACrashBetweenTheTwoLosesNothing() throws IOException {
-        write("one", "two");
-        byte[] before = Files.readAllBytes(folder.resolve("changes.log"));
+    void crashBetweenSnapshotAndTruncationLosesNoRecord() throws IOException {
+        openAndAppend("one", "two");
+        byte[] logBeforeSnapshot = Files.readAllBytes(folder.resolve("changes.log"));
         try (RecordLog log = RecordLog.open(folder, "changes").log()) {
             log.snapshot(List.of("both"));
             assertEquals(0, log.length());
             log.append("three");
         }
-        RecordLog.Recovery recovery = write();
+        RecordLog.Recovery recovery = openAndAppend();
         assertEquals(List.of("both", "three"), recovery.records());
         assertEquals(1, recovery.ofSnapshot());
-        // the snapshot in place, the log not yet emptied
-        Files.write(folder.resolve("changes.log"), before);
-        assertEquals(List.of("both", "one", "two"), write().records());
+        // state after a crash: the snapshot is in place and the log is not yet emptied
+        Files.write(folder.resolve("changes.log"), logBeforeSnapshot);
+        assertEquals(List.of("both", "one", "two"), openAndAppend().records());
         byte[] snapshot = Files.readAllBytes(folder.resolve("changes.snapshot"));
         Files.write(folder.resolve("changes.snapshot"), java.util.Arrays.copyOf(snapshot, snapshot.length - 1));
         assertThrows(IOException.class, () -> RecordLog.open(folder, "changes"));
