--- a/standin/src/main/java/calicovale/standin/Lectures.java
+++ b/standin/src/main/java/calicovale/standin/BoxContent.java
@@ -4,22 +4,24 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Owns the content of a stand-in box: made up from its settings, or files of a folder, read for each answer. */
-final class Lectures {
+/**
+ * Content of a stand-in box. Either generated from its settings, or files of a folder, which are read at each request.
+ */
+final class BoxContent {
     private final BoxSettings settings;
 
-    Lectures(BoxSettings settings) {
+    BoxContent(BoxSettings settings) {
         this.settings = settings;
     }
 
-    /** Whether the box holds a title: what exists decides, or for made-up content what it was told that it lacks. */
+    /** Returns whether the box holds a title: its folder exists, or generated content does not list it as absent. */
     boolean holds(String title) {
         return settings.content() != null
                 ? Files.isDirectory(settings.content().resolve(title))
                 : !settings.absent().contains(title);
     }
 
-    /** A lecture's media playlist at a rung, or null. */
+    /** Returns a title's media playlist at a rung, or null if there is none. */
     String playlist(String title, int rung) throws IOException {
         if (!holds(title)) {
             return null;
@@ -29,36 +31,42 @@
                     settings.content().resolve(title).resolve(rung + ".m3u8").normalize();
             return file.startsWith(settings.content()) && Files.isRegularFile(file) ? Files.readString(file) : null;
         }
-        StringBuilder out = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-TARGETDURATION:")
+        StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-TARGETDURATION:")
                 .append((long) Math.ceil(settings.segmentS()))
                 .append("\n#EXT-X-PLAYLIST-TYPE:VOD\n#EXT-X-MAP:URI=\"init.mp4\"\n");
-        for (int i = 0; i < segments(title); i++) {
-            out.append("#EXTINF:")
+        for (int i = 0; i < segmentCount(title); i++) {
+            text.append("#EXTINF:")
                     .append(settings.segmentS())
                     .append(",\n")
                     .append(i)
                     .append(".m4s\n");
         }
-        return out.append("#EXT-X-ENDLIST\n").toString();
+        return text.append("#EXT-X-ENDLIST\n").toString();
     }
 
-    private int segments(String title) {
+    private int segmentCount(String title) {
         return settings.pieces().getOrDefault(title, settings.segments());
     }
 
-    /** Number of a made-up segment's file; -1: the initialization section; -2: no such file. */
-    private int segment(String title, String file) {
+    /**
+     * Returns the number of a generated segment from its file name; -1 for the initialization section, -2 for no such
+     * file.
+     */
+    private int segmentNumber(String title, String file) {
         if (file.equals("init.mp4")) {
             return -1;
         }
         if (!file.matches("\\d{1,6}\\.m4s")) {
             return -2;
         }
-        int n = Integer.parseInt(file.substring(0, file.length() - 4));
-        return n < segments(title) ? n : -2;
+        int number = Integer.parseInt(file.substring(0, file.length() - 4));
+        return number < segmentCount(title) ? number : -2;
     }
 
-    /** Bytes of a file at a rate, or null if there is none. */
+    /**
+     * Returns the bytes of a file, or null if there is none. A generated segment has the size for {@code rateKb}, in
+     * kB/s.
+     */
     byte[] bytes(String title, int rung, String file, double rateKb) throws IOException {
         if (!holds(title)) {
             return null;
@@ -71,17 +79,17 @@
                     .normalize();
             return path.startsWith(settings.content()) && Files.isRegularFile(path) ? Files.readAllBytes(path) : null;
         }
-        int n = segment(title, file);
-        if (n == -2) {
+        int number = segmentNumber(title, file);
+        if (number == -2) {
             return null;
         }
-        byte[] result = new byte[n == -1 ? 64 : (int) Math.max(1, rateKb * 1000 * settings.segmentS())];
+        byte[] result = new byte[number == -1 ? 64 : (int) Math.max(1, rateKb * 1000 * settings.segmentS())];
         result[0] = (byte) rung;
         return result;
     }
 
-    /** Whether a file is the lecture's last segment. */
-    boolean last(String title, String file) {
-        return settings.content() == null && segment(title, file) == segments(title) - 1;
+    /** Returns whether a file is the last segment of generated content. */
+    boolean isLastSegment(String title, String file) {
+        return settings.content() == null && segmentNumber(title, file) == segmentCount(title) - 1;
     }
 }
--- a/standin/src/main/java/calicovale/standin/BoxDirectory.java
+++ b/standin/src/main/java/calicovale/standin/BoxDirectory.java
@@ -19,27 +19,32 @@
 import java.util.TreeMap;
 
 /**
- * Owns a stand-in box directory on a loop: a list that lags behind what happens, pushed to all that listen, and the clock
- * that managers share. All calls are made on the loop.
+ * A stand-in box directory on an event loop. It streams a list of boxes, which lags behind their changes, to all
+ * clients, and serves the clock that managers share. All methods must be called on the loop.
  */
 public final class BoxDirectory {
 
-    /** One box as it is listed. */
+    /** One box in the list. {@code startedMs} is the time of its last start, in ms. */
     public record Entry(
             long id, String state, int kind, int zone, int cell, double startedMs, double weight, String address) {}
 
-    private static final String NAME = "directory";
+    private static final String SERVER_NAME = "directory";
     private final EventLoop loop;
     private final double beatMs;
-    private final TreeMap<Long, Entry> visible = new TreeMap<>();
+    private final TreeMap<Long, Entry> listedBoxes = new TreeMap<>();
     private final Set<BodyStream> streams = new LinkedHashSet<>();
     private HttpServer server;
     private InetSocketAddress address;
     private double lagMs;
-    private double lastDueMs;
+    private double lastListingMs;
     private long version;
 
-    /** A directory whose list lags by {@code lagMs}. */
+    /**
+     * Creates a directory that is down until {@link #start}.
+     *
+     * @param lagMs delay after which a change of a box is listed, in ms
+     * @param beatMs interval between keep-alive comments on event streams, in ms
+     */
     public BoxDirectory(EventLoop loop, InetSocketAddress address, double lagMs, double beatMs) {
         this.loop = loop;
         this.address = address;
@@ -47,97 +52,98 @@
         this.beatMs = beatMs;
     }
 
-    /** Listens; on the same port after an outage. */
+    /** Starts listening, on the same port as before after an outage. Returns the address. */
     public InetSocketAddress start() throws IOException {
-        server = new HttpServer(loop, NAME, HttpLimits.DEFAULT, this::handle);
+        server = new HttpServer(loop, SERVER_NAME, HttpLimits.DEFAULT, this::handle);
         address = server.listen(address);
-        beat(server);
+        scheduleKeepAlive(server);
         return address;
     }
 
-    /** An outage: nobody listens, all connections are reset; the list goes on. */
+    /** Injects an outage: stops listening and resets all connections. The list continues to be updated. */
     public void stop() {
         if (server != null) {
             server.stopListening();
             server = null;
             streams.clear();
-            loop.resetAll(NAME);
+            loop.resetAll(SERVER_NAME);
         }
     }
 
-    /** The list runs so much behind from now on; what was on its way stays in order. */
-    public void lag(double ms) {
-        lagMs = ms;
+    /** Sets the delay of the list, in ms. Changes that are already waiting stay in order. */
+    public void lag(double newLagMs) {
+        lagMs = newLagMs;
     }
 
-    /** Something happened to a box; it is listed after the lag. */
+    /** Lists a change of a box after the delay. */
     public void happened(Entry entry) {
-        double due = Math.max(lastDueMs, loop.clock().millis() + lagMs);
-        lastDueMs = due;
-        loop.schedule(due - loop.clock().millis(), () -> list(entry));
+        double dueMs = Math.max(lastListingMs, loop.clock().millis() + lagMs);
+        lastListingMs = dueMs;
+        loop.schedule(dueMs - loop.clock().millis(), () -> list(entry));
     }
 
-    /** Lists a box at once. */
+    /** Lists a box at once and sends it to all clients. */
     public void list(Entry entry) {
-        visible.put(entry.id(), entry);
+        listedBoxes.put(entry.id(), entry);
         version++;
-        String data = json(List.of(entry));
-        for (BodyStream out : new ArrayList<>(streams)) {
-            out.write(EventStream.event("change", data));
+        String data = toJson(List.of(entry));
+        for (BodyStream stream : new ArrayList<>(streams)) {
+            stream.write(EventStream.event("change", data));
         }
     }
 
-    /** A fault: a full list without a box, as after a directory's own loss. */
-    public void forget(long box) {
-        visible.remove(box);
+    /** Injects a fault: removes a box and sends the full list without it, as if the directory had lost its entry. */
+    public void forget(long boxId) {
+        listedBoxes.remove(boxId);
         version++;
-        String data = json(visible.values());
-        for (BodyStream out : new ArrayList<>(streams)) {
-            out.write(EventStream.event("full", data));
+        String data = toJson(listedBoxes.values());
+        for (BodyStream stream : new ArrayList<>(streams)) {
+            stream.write(EventStream.event("full", data));
         }
     }
 
-    private void beat(HttpServer of) {
+    private void scheduleKeepAlive(HttpServer startedServer) {
         loop.schedule(beatMs, () -> {
-            if (server == of) {
+            if (server == startedServer) {
                 new ArrayList<>(streams).forEach(out -> out.write(EventStream.keepAliveComment()));
-                beat(of);
+                scheduleKeepAlive(startedServer);
             }
         });
     }
 
-    private void handle(Exchange x) {
-        if (!x.head().method().equals("GET")) {
-            x.problem(405, new Headers().add("Allow", "GET"), "Method Not Allowed", null, "");
+    private void handle(Exchange exchange) {
+        if (!exchange.head().method().equals("GET")) {
+            exchange.problem(405, new Headers().add("Allow", "GET"), "Method Not Allowed", null, "");
             return;
         }
-        switch (x.head().path()) {
+        switch (exchange.head().path()) {
             case "/v1/clock" ->
-                x.respond(200, "application/json", "{\"nowMs\":" + loop.clock().millis() + "}");
+                exchange.respond(
+                        200, "application/json", "{\"nowMs\":" + loop.clock().millis() + "}");
             case "/v1/boxes" -> {
-                BodyStream out = x.stream(200, new Headers().add("Content-Type", "text/event-stream"));
-                out.write(EventStream.event("full", json(visible.values())));
-                streams.add(out);
-                x.onPeerClosed(() -> streams.remove(out));
+                BodyStream stream = exchange.stream(200, new Headers().add("Content-Type", "text/event-stream"));
+                stream.write(EventStream.event("full", toJson(listedBoxes.values())));
+                streams.add(stream);
+                exchange.onPeerClosed(() -> streams.remove(stream));
             }
-            default -> x.problem(404, "Not Found", "no such resource");
+            default -> exchange.problem(404, "Not Found", "no such resource");
         }
     }
 
-    private String json(Iterable<Entry> entries) {
-        ObjectNode n = Documents.MAPPER.createObjectNode().put("version", version);
-        ArrayNode boxes = n.putArray("boxes");
-        for (Entry e : entries) {
+    private String toJson(Iterable<Entry> entries) {
+        ObjectNode message = Documents.MAPPER.createObjectNode().put("version", version);
+        ArrayNode boxes = message.putArray("boxes");
+        for (Entry entry : entries) {
             boxes.addObject()
-                    .put("id", e.id())
-                    .put("state", e.state())
-                    .put("kind", e.kind())
-                    .put("zone", e.zone())
-                    .put("cell", e.cell())
-                    .put("startedMs", e.startedMs())
-                    .put("weight", e.weight())
-                    .put("address", e.address());
+                    .put("id", entry.id())
+                    .put("state", entry.state())
+                    .put("kind", entry.kind())
+                    .put("zone", entry.zone())
+                    .put("cell", entry.cell())
+                    .put("startedMs", entry.startedMs())
+                    .put("weight", entry.weight())
+                    .put("address", entry.address());
         }
-        return n.toString();
+        return message.toString();
     }
 }
--- a/standin/src/main/java/calicovale/standin/BoxModel.java
+++ b/standin/src/main/java/calicovale/standin/BoxModel.java
@@ -7,27 +7,29 @@
 import java.util.Map;
 
 /**
- * Owns what a stand-in box holds and carries, without I/O: sessions with their leases, what they ask of the link, how warm it
- * is, and whether it was pushed over. All times are ms of one clock that the caller gives.
+ * State of a stand-in box, without I/O: sessions with their leases, their demand on the link, how warm the box is, and
+ * whether set-ups overload it while it is cold. All times are ms of one clock, which the caller reads.
  */
 final class BoxModel {
 
-    /** One session or set-up. */
-    static final class Held {
+    /** One session, or a set-up that is not confirmed yet. */
+    static final class BoxSession {
         final String key;
         final String manager;
         final String token;
         final String title;
         final double[] ladderKb;
         int rung;
-        int change;
+        int lastChangeNumber;
         boolean confirmed;
-        double leaseUntil;
-        double askedAt;
-        double managerGoneAt = -1;
-        int sending;
+        double leaseUntilMs;
+        double lastRequestMs;
+        /** Time since which the manager has no event stream; negative if it has one or the session is not confirmed. */
+        double managerLostMs = -1;
 
-        Held(String key, String manager, String token, String title, double[] ladderKb, int rung) {
+        int activeTransfers;
+
+        BoxSession(String key, String manager, String token, String title, double[] ladderKb, int rung) {
             this.key = key;
             this.manager = manager;
             this.token = token;
@@ -44,126 +46,138 @@
     private final BoxSettings settings;
     private final Rack rack;
     private final double startedMs;
-    private final Map<String, Held> byKey = new LinkedHashMap<>();
-    private final Map<String, Held> byToken = new LinkedHashMap<>();
-    private final ArrayDeque<Double> arrivals = new ArrayDeque<>();
-    private double linkDivide = 1;
-    private double askedKb;
+    private final Map<String, BoxSession> sessionsByKey = new LinkedHashMap<>();
+    private final Map<String, BoxSession> sessionsByToken = new LinkedHashMap<>();
+    private final ArrayDeque<Double> coldSetUpTimes = new ArrayDeque<>();
+    private double linkDivisor = 1;
+    private double demandKb;
 
-    /** {@code startedMs} 0 or less: warm. */
+    /**
+     * Creates a box without sessions.
+     *
+     * @param startedMs time of the cold start; 0 or less if the box is warm
+     */
     BoxModel(BoxSettings settings, Rack rack, double startedMs) {
         this.settings = settings;
         this.rack = rack;
         this.startedMs = startedMs;
     }
 
-    /** Whether it is still cold. */
-    boolean cold(double nowMs) {
+    /** Returns whether the box is still cold. */
+    boolean isCold(double nowMs) {
         return startedMs > 0 && nowMs - startedMs < settings.warmAfterMs();
     }
 
-    /** Set-ups a second that it takes at its present warmth. */
-    double pacePerMs(double nowMs) {
-        double age = Math.max(0, nowMs - startedMs);
-        double share = settings.coldFrom() + (1 - settings.coldFrom()) * Math.min(1, age / settings.warmAfterMs());
-        return settings.streams() / settings.warmAfterMs() * share;
+    /**
+     * Returns the rate of set-ups that the box sustains now, in set-ups per ms. Grows linearly until the box is warm.
+     */
+    double sustainedSetUpsPerMs(double nowMs) {
+        double ageMs = Math.max(0, nowMs - startedMs);
+        double coldShare =
+                settings.coldFrom() + (1 - settings.coldFrom()) * Math.min(1, ageMs / settings.warmAfterMs());
+        return settings.streams() / settings.warmAfterMs() * coldShare;
     }
 
     /**
-     * Counts a set-up that arrives.
+     * Counts an arriving set-up.
      *
-     * @return false if it pushes the cold box over
+     * @return false if the set-up overloads the cold box, which then crashes
      */
-    boolean arrive(double nowMs) {
-        if (!cold(nowMs)) {
+    boolean recordSetUp(double nowMs) {
+        if (!isCold(nowMs)) {
             return true;
         }
-        arrivals.addLast(nowMs);
-        while (arrivals.peekFirst() < nowMs - settings.tipMs()) {
-            arrivals.removeFirst();
+        coldSetUpTimes.addLast(nowMs);
+        while (coldSetUpTimes.peekFirst() < nowMs - settings.tipMs()) {
+            coldSetUpTimes.removeFirst();
         }
-        // one more than the budget of a window: the slack for chance
-        return arrivals.size() <= settings.tipMultiple() * pacePerMs(nowMs) * settings.tipMs() + 1;
+        // one set-up more than the rate allows, because arrivals vary by chance
+        return coldSetUpTimes.size() <= settings.tipMultiple() * sustainedSetUpsPerMs(nowMs) * settings.tipMs() + 1;
     }
 
-    /** Whether it turns set-ups away now. */
-    boolean full() {
-        return byKey.size() >= settings.streams() || settings.fullFrom() > 0 && use() >= settings.fullFrom();
+    /** Returns whether set-ups are refused now. */
+    boolean isFull() {
+        return sessionsByKey.size() >= settings.streams()
+                || settings.fullFrom() > 0 && linkUtilization() >= settings.fullFrom();
     }
 
-    Held get(String key) {
-        return byKey.get(key);
+    BoxSession get(String key) {
+        return sessionsByKey.get(key);
     }
 
-    Held byToken(String token) {
-        return byToken.get(token);
+    BoxSession byToken(String token) {
+        return sessionsByToken.get(token);
     }
 
-    List<Held> all() {
-        return new ArrayList<>(byKey.values());
+    List<BoxSession> sessions() {
+        return new ArrayList<>(sessionsByKey.values());
     }
 
-    void add(Held held) {
-        byKey.put(held.key, held);
-        byToken.put(held.token, held);
-        recount();
+    void add(BoxSession session) {
+        sessionsByKey.put(session.key, session);
+        sessionsByToken.put(session.token, session);
+        updateDemand();
     }
 
-    void remove(Held held) {
-        byKey.remove(held.key);
-        byToken.remove(held.token);
-        recount();
+    void remove(BoxSession session) {
+        sessionsByKey.remove(session.key);
+        sessionsByToken.remove(session.token);
+        updateDemand();
     }
 
-    void rung(Held held, int rung, int change) {
-        if (change > held.change && rung >= 0 && rung < held.ladderKb.length) {
-            held.rung = rung;
-            held.change = change;
-            recount();
+    /** Sets a session's rung, unless a change with the same or a higher number was applied before. */
+    void setRung(BoxSession session, int rung, int changeNumber) {
+        if (changeNumber > session.lastChangeNumber && rung >= 0 && rung < session.ladderKb.length) {
+            session.rung = rung;
+            session.lastChangeNumber = changeNumber;
+            updateDemand();
         }
     }
 
-    private void recount() {
-        askedKb = 0;
-        for (Held held : byKey.values()) {
-            askedKb += held.rateKb();
+    private void updateDemand() {
+        demandKb = 0;
+        for (BoxSession session : sessionsByKey.values()) {
+            demandKb += session.rateKb();
         }
-        rack.ask(settings.id(), askedKb);
+        rack.setDemand(settings.id(), demandKb);
     }
 
-    /** A fault: the link gives {@code times} less. */
-    void sag(double times) {
-        linkDivide = times;
+    /** Injects a fault that divides the link's capacity; a divisor of 1 ends the fault. */
+    void setLinkDivisor(double divisor) {
+        linkDivisor = divisor;
     }
 
+    /** Returns the link's present capacity, in kB/s. */
     double linkKb() {
-        return settings.linkKb() / linkDivide;
+        return settings.linkKb() / linkDivisor;
     }
 
-    /** What is asked of the link over what it gives. */
-    double use() {
-        return askedKb / linkKb();
+    /** Returns the sessions' demand divided by the link's capacity, which may exceed 1. */
+    double linkUtilization() {
+        return demandKb / linkKb();
     }
 
-    double uplinkUse() {
-        return rack.use();
+    double uplinkUtilization() {
+        return rack.utilization();
     }
 
-    /** The part of their rates that sessions get. */
-    double share() {
-        return Math.min(1, 1 / Math.max(1e-9, Math.max(use(), rack.use())));
+    /** Returns the fraction of their rates that sessions get. */
+    double rateShare() {
+        return Math.min(1, 1 / Math.max(1e-9, Math.max(linkUtilization(), rack.utilization())));
     }
 
-    /** Sessions that end now, with the reason. */
-    Map<Held, String> due(double nowMs) {
-        Map<Held, String> result = new LinkedHashMap<>();
-        for (Held held : byKey.values()) {
-            if (!held.confirmed && nowMs > held.leaseUntil) {
-                result.put(held, "lease");
-            } else if (held.managerGoneAt >= 0 && nowMs - held.managerGoneAt > settings.graceMs()) {
-                result.put(held, "manager-lost");
-            } else if (held.confirmed && held.sending == 0 && nowMs - held.askedAt > settings.idleMs()) {
-                result.put(held, "idle");
+    /** Returns the sessions that end now, each with the reason that is sent to its manager. */
+    Map<BoxSession, String> expiredSessions(double nowMs) {
+        Map<BoxSession, String> result = new LinkedHashMap<>();
+        for (BoxSession session : sessionsByKey.values()) {
+            if (!session.confirmed && nowMs > session.leaseUntilMs) {
+                result.put(session, "lease");
+            } else if (session.managerLostMs >= 0 && nowMs - session.managerLostMs > settings.graceMs()) {
+                result.put(session, "manager-lost");
+            } else if (session.confirmed
+                    && session.activeTransfers == 0
+                    && nowMs - session.lastRequestMs > settings.idleMs()) {
+                result.put(session, "idle");
             }
         }
         return result;
--- a/standin/src/main/java/calicovale/standin/BoxSettings.java
+++ b/standin/src/main/java/calicovale/standin/BoxSettings.java
@@ -13,31 +13,31 @@
 import java.util.Set;
 
 /**
- * What one stand-in box is.
+ * Settings of one stand-in media box.
  *
- * @param id its number in the directory
- * @param listen where it listens; port 0 takes any
- * @param streams streams that it runs at most
- * @param linkKb its link, kB a second
- * @param fullFrom turns set-ups away while so much of its link is asked; 0: never
- * @param coldFrom part of its pace right after a start
- * @param warmAfterMs until it is warm
- * @param tipMultiple falls over when sent over this multiple of its pace
- * @param tipMs for this long
- * @param setUpMs usual time of a set-up
- * @param reportEveryMs between refreshes of the load in its answers
- * @param noteEveryMs between notes of its link's use
- * @param noteDelayMs how late notes are
- * @param uplinkNotes also tells its rack's uplink use
- * @param segmentS length of a segment
- * @param segments segments of a lecture
- * @param idleMs without a segment asked for after which a session ends
- * @param graceMs without its manager's stream after which a session ends
- * @param beatMs between beats on its streams
- * @param pieces titles of made-up pieces with their number of segments; all other titles are lectures
+ * @param id number of the box in the directory
+ * @param listen address to listen on; port 0 selects a free port
+ * @param streams maximum number of sessions and set-ups
+ * @param linkKb capacity of the box's link, in kB/s
+ * @param fullFrom link utilization from which set-ups are refused; 0 if they are never refused for it
+ * @param coldFrom set-up rate right after a cold start, as a fraction of the warm set-up rate
+ * @param warmAfterMs time after a cold start until the box is warm, in ms
+ * @param tipMultiple multiple of the present set-up rate above which a cold box crashes
+ * @param tipMs window over which arriving set-ups are counted against {@code tipMultiple}, in ms
+ * @param setUpMs mean duration of a set-up, in ms
+ * @param reportEveryMs interval at which the load in response headers is refreshed, in ms
+ * @param noteEveryMs interval between notes of the link utilization, in ms
+ * @param noteDelayMs delay of notes, in ms
+ * @param uplinkNotes whether notes of the rack's uplink utilization are sent too
+ * @param segmentS duration of a generated segment, in seconds
+ * @param segments number of segments of a generated lecture
+ * @param idleMs time without a segment request after which a session ends, in ms
+ * @param graceMs time without the manager's event stream after which a session ends, in ms
+ * @param beatMs interval between keep-alive comments on event streams, in ms
+ * @param pieces number of segments of generated pieces, by title; all other titles are lectures
  * @param absent titles that this box does not hold; it holds all others
- * @param crossOrigin the pages that may read segments
- * @param content folder of HLS content as {@code title/rung.m3u8}, or null: made up
+ * @param crossOrigin origins of the pages that may read segments
+ * @param content folder of HLS content as {@code title/rung.m3u8}, or null if content is generated
  */
 public record BoxSettings(
         long id,
@@ -64,29 +64,38 @@
         CrossOrigin crossOrigin,
         Path content) {
 
-    /** Reads a file and checks it whole. */
+    /**
+     * Reads and validates a settings file.
+     *
+     * @throws InvalidDocumentException if the file cannot be read or is not valid; names all faults
+     */
     public static BoxSettings read(Path file) throws InvalidDocumentException {
-        return of(Documents.read(file, BoxSettings.class, "box.schema.json"));
+        return fromJson(Documents.read(file, BoxSettings.class, "box.schema.json"));
     }
 
-    /** Checks a text whole. */
+    /**
+     * Parses and validates settings.
+     *
+     * @param name name of the document, with which faults found by the schema begin
+     * @throws InvalidDocumentException if the text is not valid; names all faults
+     */
     public static BoxSettings parse(String name, String text) throws InvalidDocumentException {
-        return of(Documents.check(name, text, BoxSettings.class, "box.schema.json"));
+        return fromJson(Documents.check(name, text, BoxSettings.class, "box.schema.json"));
     }
 
-    /** Reads a map of titles to numbers of segments. */
-    public static Map<String, Integer> pieces(JsonNode n) {
+    /** Reads the number of segments by title. */
+    public static Map<String, Integer> pieces(JsonNode node) {
         Map<String, Integer> result = new HashMap<>();
-        n.properties().forEach(e -> result.put(e.getKey(), e.getValue().asInt()));
+        node.properties().forEach(e -> result.put(e.getKey(), e.getValue().asInt()));
         return Map.copyOf(result);
     }
 
-    /** Reads a list of origins; segments are asked for with ranges and CMCD, and never with cookies. */
+    /** Reads a list of allowed origins. Segment requests may have ranges and CMCD headers, but never credentials. */
     public static CrossOrigin crossOrigin(JsonNode origins) {
-        Set<String> all = new HashSet<>();
-        origins.forEach(origin -> all.add(origin.asText()));
+        Set<String> allowedOrigins = new HashSet<>();
+        origins.forEach(origin -> allowedOrigins.add(origin.asText()));
         return new CrossOrigin(
-                all,
+                allowedOrigins,
                 false,
                 600,
                 List.of("Content-Range", "Date", "Retry-After", "endpoint-load-metrics"),
@@ -94,37 +103,38 @@
                 List.of("GET", "HEAD"));
     }
 
-    private static BoxSettings of(JsonNode n) throws InvalidDocumentException {
-        JsonNode at = n.get("listen");
-        String content = n.path("content").asText(null);
+    private static BoxSettings fromJson(JsonNode document) throws InvalidDocumentException {
+        JsonNode listen = document.get("listen");
+        String content = document.path("content").asText(null);
         if (content != null && !java.nio.file.Files.isDirectory(Path.of(content))) {
             throw new InvalidDocumentException(List.of("/content: a folder is expected: " + content));
         }
         Set<String> absent = new HashSet<>();
-        n.path("absent").forEach(title -> absent.add(title.asText()));
+        document.path("absent").forEach(title -> absent.add(title.asText()));
         return new BoxSettings(
-                n.get("id").asLong(),
-                new InetSocketAddress(at.get("host").asText(), at.get("port").asInt()),
-                n.get("streams").asDouble(),
-                n.get("linkKb").asDouble(),
-                n.path("fullFrom").asDouble(1),
-                n.path("coldFrom").asDouble(0.3),
-                n.path("warmAfterMs").asDouble(10_000),
-                n.path("tipMultiple").asDouble(4),
-                n.path("tipMs").asDouble(1000),
-                n.path("setUpMs").asDouble(20),
-                n.path("reportEveryMs").asDouble(300),
-                n.path("noteEveryMs").asDouble(3000),
-                n.path("noteDelayMs").asDouble(700),
-                n.path("uplinkNotes").asBoolean(),
-                n.path("segmentS").asDouble(2),
-                n.path("segments").asInt(20),
-                n.path("idleMs").asDouble(10_000),
-                n.path("graceMs").asDouble(5000),
-                n.path("beatMs").asDouble(1000),
-                pieces(n.path("pieces")),
+                document.get("id").asLong(),
+                new InetSocketAddress(
+                        listen.get("host").asText(), listen.get("port").asInt()),
+                document.get("streams").asDouble(),
+                document.get("linkKb").asDouble(),
+                document.path("fullFrom").asDouble(1),
+                document.path("coldFrom").asDouble(0.3),
+                document.path("warmAfterMs").asDouble(10_000),
+                document.path("tipMultiple").asDouble(4),
+                document.path("tipMs").asDouble(1000),
+                document.path("setUpMs").asDouble(20),
+                document.path("reportEveryMs").asDouble(300),
+                document.path("noteEveryMs").asDouble(3000),
+                document.path("noteDelayMs").asDouble(700),
+                document.path("uplinkNotes").asBoolean(),
+                document.path("segmentS").asDouble(2),
+                document.path("segments").asInt(20),
+                document.path("idleMs").asDouble(10_000),
+                document.path("graceMs").asDouble(5000),
+                document.path("beatMs").asDouble(1000),
+                pieces(document.path("pieces")),
                 absent,
-                crossOrigin(n.path("origins")),
+                crossOrigin(document.path("origins")),
                 content == null ? null : Path.of(content));
     }
 }
--- a/standin/src/main/java/calicovale/standin/DirectorySettings.java
+++ b/standin/src/main/java/calicovale/standin/DirectorySettings.java
@@ -9,35 +9,40 @@
 import java.util.List;
 
 /**
- * What a stand-in directory is.
+ * Settings of a stand-in box directory.
  *
- * @param listen where it listens; port 0 takes any
- * @param lagMs how late its list is
- * @param beatMs between beats on its streams
- * @param boxes the list at the start
+ * @param listen address to listen on; port 0 selects a free port
+ * @param lagMs delay after which a change of a box is listed, in ms
+ * @param beatMs interval between keep-alive comments on event streams, in ms
+ * @param boxes boxes listed at the start
  */
 public record DirectorySettings(InetSocketAddress listen, double lagMs, double beatMs, List<BoxDirectory.Entry> boxes) {
 
-    /** Reads a file and checks it whole. */
+    /**
+     * Reads and validates a settings file.
+     *
+     * @throws InvalidDocumentException if the file cannot be read or is not valid; names all faults
+     */
     public static DirectorySettings read(Path file) throws InvalidDocumentException {
-        JsonNode n = Documents.read(file, DirectorySettings.class, "directory.schema.json");
+        JsonNode document = Documents.read(file, DirectorySettings.class, "directory.schema.json");
         List<BoxDirectory.Entry> boxes = new ArrayList<>();
-        for (JsonNode b : n.get("boxes")) {
+        for (JsonNode box : document.get("boxes")) {
             boxes.add(new BoxDirectory.Entry(
-                    b.get("id").asLong(),
-                    b.path("state").asText("ready"),
-                    b.path("kind").asInt(),
-                    b.path("zone").asInt(),
-                    b.path("cell").asInt(),
-                    b.path("startedMs").asDouble(),
-                    b.path("weight").asDouble(1),
-                    b.get("address").asText()));
+                    box.get("id").asLong(),
+                    box.path("state").asText("ready"),
+                    box.path("kind").asInt(),
+                    box.path("zone").asInt(),
+                    box.path("cell").asInt(),
+                    box.path("startedMs").asDouble(),
+                    box.path("weight").asDouble(1),
+                    box.get("address").asText()));
         }
-        JsonNode at = n.get("listen");
+        JsonNode listen = document.get("listen");
         return new DirectorySettings(
-                new InetSocketAddress(at.get("host").asText(), at.get("port").asInt()),
-                n.path("lagMs").asDouble(500),
-                n.path("beatMs").asDouble(1000),
+                new InetSocketAddress(
+                        listen.get("host").asText(), listen.get("port").asInt()),
+                document.path("lagMs").asDouble(500),
+                document.path("beatMs").asDouble(1000),
                 boxes);
     }
 }
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -9,7 +9,7 @@
 import calicovale.protocols.http.HttpServer;
 import calicovale.protocols.json.Documents;
 import calicovale.protocols.net.EventLoop;
-import calicovale.standin.BoxModel.Held;
+import calicovale.standin.BoxModel.BoxSession;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -33,35 +33,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns one stand-in media box on a loop: set-ups, segments paced by its link, streams of news, and its faults. Each start is
- * a new process in all that others can see: sessions, tokens and streams of the one before are gone. All calls are made on
- * the loop.
+ * A stand-in media box on an event loop, with set-ups, segments paced by its link, event streams, and faults that can
+ * be injected. Each start looks to clients like a new process, because the sessions, tokens and streams of the previous
+ * one are gone. All methods must be called on the loop.
  */
 public final class MediaBox {
     private static final Logger LOG = LoggerFactory.getLogger(MediaBox.class);
-    private static final double PACE_MS = 40;
-    /** Between two tellings of the segments that were delivered whole. */
-    private static final double SERVED_MS = 250;
-    /** Most times its own rate that one transfer gets while the link has room. */
-    private static final double BURST = 3;
+    /** Interval at which transfers are given their share of the link. */
+    private static final double PACING_INTERVAL_MS = 40;
+    /** Interval between events that report the last segments delivered completely. */
+    private static final double SERVED_EVENT_INTERVAL_MS = 250;
+    /** Maximum multiple of its own rate that a transfer gets while the link has spare capacity. */
+    private static final double MAX_RATE_FACTOR = 3;
 
-    private static final int MOST_PENDING = 1 << 18;
+    /** Maximum bytes of a transfer that wait to be written to its connection. */
+    private static final int MAX_PENDING_BYTES = 1 << 18;
 
-    /** The faults of a box; each holds until it is set back. */
+    /** Faults injected into a box. Each lasts until it is reset. */
     public static final class Faults {
-        /** Accepts and reads, but never answers; what it was asked it does when the fault ends. */
+        /** The box accepts connections and reads requests but does not answer until the fault ends. */
         public boolean hang;
-        /** While it hangs it does not notice either that peers have gone. */
+        /** A hanging box does not notice that clients have closed their connections, and handles their requests too. */
         public boolean deaf;
-        /** Set-ups take so many times longer. */
+        /** Factor by which set-ups take longer. */
         public double slow = 1;
-        /** Part of the set-ups that fail fast. */
+        /** Fraction of set-ups that are answered with an error at once. */
         public double errors;
-        /** Part of the set-ups' answers that are cut by a reset. */
+        /** Fraction of set-ups whose response is cut off by a connection reset. */
         public double resets;
-        /** Load reports are so much later. */
+        /** Additional delay of load reports, in ms. */
         public double reportLateMs;
-        /** Streams are neither written nor closed: the connection is half open. */
+        /** Event streams are neither written to nor closed, as on a half-open connection. */
         public boolean mute;
     }
 
@@ -69,439 +71,465 @@
     private final BoxSettings settings;
     private final Rack rack;
     private final RandomGenerator random;
-    private final Lectures lectures;
+    private final BoxContent boxContent;
     private final Faults faults = new Faults();
     private InetSocketAddress address;
-    private Process process;
-    private boolean fallen;
-    private int starts;
+    private BoxProcess process;
+    private boolean crashedByOverload;
+    private int startCount;
 
-    /** A box that is down until {@link #start}. */
+    /** Creates a box that is down until {@link #start}. */
     public MediaBox(EventLoop loop, BoxSettings settings, Rack rack, RandomGenerator random) {
         this.loop = loop;
         this.settings = settings;
         this.rack = rack;
         this.random = random;
-        this.lectures = new Lectures(settings);
+        this.boxContent = new BoxContent(settings);
         this.address = settings.listen();
     }
 
-    /** Its settings. */
+    /** Returns the settings. */
     public BoxSettings settings() {
         return settings;
     }
 
-    /** Its faults. */
+    /** Returns the injected faults, which the caller may change. */
     public Faults faults() {
         return faults;
     }
 
-    /** Whether it was pushed over while cold; it then stays down. */
+    /** Returns whether set-ups overloaded the box while it was cold. It then stays down. */
     public boolean fallen() {
-        return fallen;
+        return crashedByOverload;
     }
 
-    /** Where it listens, or listened last. */
+    /** Returns the address that the box listens on, or listened on last. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Whether its process runs. */
+    /** Returns whether the process is running. */
     public boolean running() {
         return process != null;
     }
 
-    /** Sessions and set-ups held. */
+    /** Returns the number of sessions and set-ups. */
     public int held() {
-        return process == null ? 0 : process.model.all().size();
+        return process == null ? 0 : process.model.sessions().size();
     }
 
-    /** Divides its link; 1 ends the fault. */
-    public void sagLink(double times) {
+    /** Injects a fault that divides the link's capacity; a divisor of 1 ends the fault. Ends with the process. */
+    public void sagLink(double divisor) {
         if (process != null) {
-            process.model.sag(times);
+            process.model.setLinkDivisor(divisor);
         }
     }
 
-    /** Starts its process, on the port that it had before; {@code cold}: it must warm up. Returns its address. */
+    /**
+     * Starts the process, on the same port as before after a crash. Does nothing if it is running or crashed by
+     * overload.
+     *
+     * @param cold whether the box has to warm up
+     * @return the address that the box listens on
+     */
     public InetSocketAddress start(boolean cold) throws IOException {
-        if (process != null || fallen) {
+        if (process != null || crashedByOverload) {
             return address;
         }
-        process = new Process(cold ? loop.clock().millis() : 0);
+        process = new BoxProcess(cold ? loop.clock().millis() : 0);
         try {
             address = process.server.listen(address);
         } catch (IOException e) {
             process = null;
             throw e;
         }
-        process.begin();
+        process.startTimers();
         return address;
     }
 
-    /** Ends its process at once: every connection is reset. */
+    /** Ends the process at once and resets all connections. */
     public void crash() {
         if (process != null) {
-            Process last = process;
+            BoxProcess crashed = process;
             process = null;
-            last.server.stopListening();
-            loop.resetAll(last.name);
-            rack.ask(settings.id(), 0);
+            crashed.server.stopListening();
+            loop.resetAll(crashed.name);
+            rack.setDemand(settings.id(), 0);
         }
     }
 
-    /** Resets every connection; the process stays. */
+    /** Resets all connections but keeps the process running. */
     public void resetConnections() {
         if (process != null) {
             loop.resetAll(process.name);
         }
     }
 
-    /** Takes up what was held back by a hang. */
+    /** Ends a hang and handles the requests deferred by it. */
     public void wake() {
         faults.hang = false;
         faults.deaf = false;
         if (process != null) {
-            List<Runnable> held = new ArrayList<>(process.hung);
-            process.hung.clear();
-            held.forEach(Runnable::run);
+            List<Runnable> deferred = new ArrayList<>(process.deferredTasks);
+            process.deferredTasks.clear();
+            deferred.forEach(Runnable::run);
         }
     }
 
-    private record Report(double at, double use, double uplink) {}
+    /** Utilization of the link and of the rack's uplink at a time. */
+    private record LoadReport(double atMs, double linkUtilization, double uplinkUtilization) {}
 
+    /** One response body that is paced by the link. */
     private static final class Transfer {
-        final Held held;
-        final String path;
-        final BodyStream out;
+        final BoxSession session;
+        /** Path of the segment to report when it is delivered; null for a range. */
+        final String servedPath;
+
+        final BodyStream stream;
         final byte[] content;
-        final boolean last;
+        final boolean lastSegment;
         final double rateKb;
-        int sent;
-        double credit;
-
-        Transfer(Held held, String path, BodyStream out, byte[] content, boolean last, double rateKb) {
-            this.held = held;
-            this.path = path;
-            this.out = out;
+        int sentBytes;
+        double creditBytes;
+
+        Transfer(
+                BoxSession session,
+                String servedPath,
+                BodyStream stream,
+                byte[] content,
+                boolean lastSegment,
+                double rateKb) {
+            this.session = session;
+            this.servedPath = servedPath;
+            this.stream = stream;
             this.content = content;
-            this.last = last;
+            this.lastSegment = lastSegment;
             this.rateKb = rateKb;
         }
     }
 
-    /** One process of the box. */
-    private final class Process {
+    /** One process of the box, from a start to a crash. */
+    private final class BoxProcess {
         private final String name;
         private final String incarnation;
         private final BoxModel model;
         private final HttpServer server;
         private final Map<String, BodyStream> streams = new LinkedHashMap<>();
         private final Set<Transfer> transfers = new LinkedHashSet<>();
-        private final ArrayDeque<Report> reports = new ArrayDeque<>();
-        private final List<Runnable> hung = new ArrayList<>();
-        /** By manager and session the last segment delivered whole that was not told yet. */
-        private final Map<String, Map<String, String>> served = new LinkedHashMap<>();
+        private final ArrayDeque<LoadReport> reports = new ArrayDeque<>();
+        private final List<Runnable> deferredTasks = new ArrayList<>();
+        /** Path of the last segment delivered completely but not reported yet, by manager and session key. */
+        private final Map<String, Map<String, String>> servedPaths = new LinkedHashMap<>();
 
-        Process(double startedMs) {
+        BoxProcess(double startedMs) {
             name = "box:" + settings.id();
-            incarnation = settings.id() + "-" + ++starts + "-" + Long.toString(random.nextLong() >>> 24, 36);
+            incarnation = settings.id() + "-" + ++startCount + "-" + Long.toString(random.nextLong() >>> 24, 36);
             model = new BoxModel(settings, rack, startedMs);
-            HttpLimits d = HttpLimits.DEFAULT;
-            server = new HttpServer(loop, name, d, this::handle).crossOrigin(settings.crossOrigin());
+            HttpLimits limits = HttpLimits.DEFAULT;
+            server = new HttpServer(loop, name, limits, this::handle).crossOrigin(settings.crossOrigin());
         }
 
-        private boolean gone() {
+        private boolean isStopped() {
             return process != this;
         }
 
-        private double now() {
+        private double nowMs() {
             return loop.clock().millis();
         }
 
-        void begin() {
-            every(PACE_MS, this::pace);
-            every(settings.beatMs(), this::beat);
-            every(SERVED_MS, this::tellServed);
-            every(200, this::expire);
-            every(settings.reportEveryMs(), this::refresh);
-            every(settings.noteEveryMs(), this::tell);
-            every(1000, this::tellShare);
-            refresh();
+        void startTimers() {
+            repeatEvery(PACING_INTERVAL_MS, this::paceTransfers);
+            repeatEvery(settings.beatMs(), this::sendKeepAlives);
+            repeatEvery(SERVED_EVENT_INTERVAL_MS, this::sendServedEvents);
+            repeatEvery(200, this::endExpiredSessions);
+            repeatEvery(settings.reportEveryMs(), this::recordLoad);
+            repeatEvery(settings.noteEveryMs(), this::sendUtilizationNotes);
+            repeatEvery(1000, this::sendShareNote);
+            recordLoad();
         }
 
-        private void every(double ms, Runnable body) {
-            loop.schedule(ms, () -> {
-                if (!gone()) {
-                    body.run();
-                    every(ms, body);
+        private void repeatEvery(double intervalMs, Runnable task) {
+            loop.schedule(intervalMs, () -> {
+                if (!isStopped()) {
+                    task.run();
+                    repeatEvery(intervalMs, task);
                 }
             });
         }
 
-        private void handle(Exchange x) {
-            if (gone()) {
+        private void handle(Exchange exchange) {
+            if (isStopped()) {
                 return;
             }
             if (faults.hang) {
-                // a box that did not notice its peer's going does what it was asked all the same, late
-                boolean deaf = faults.deaf;
-                hung.add(() -> {
-                    if (deaf || !x.peerClosed()) {
-                        route(x, deaf);
+                // a box that does not notice closed connections still handles their requests, late
+                boolean ignorePeerClosed = faults.deaf;
+                deferredTasks.add(() -> {
+                    if (ignorePeerClosed || !exchange.peerClosed()) {
+                        route(exchange, ignorePeerClosed);
                     }
                 });
                 return;
             }
-            route(x, false);
+            route(exchange, false);
         }
 
-        private void route(Exchange x, boolean ghost) {
-            String path = x.head().path();
-            String method = x.head().method();
+        private void route(Exchange exchange, boolean ignorePeerClosed) {
+            String path = exchange.head().path();
+            String method = exchange.head().method();
             if (path.equals("/v1/sessions") && method.equals("POST")) {
-                setUp(x, ghost);
+                setUp(exchange, ignorePeerClosed);
             } else if (path.startsWith("/v1/sessions/") && method.equals("PUT")) {
-                change(x, path.substring(13));
+                updateSession(exchange, path.substring(13));
             } else if (path.startsWith("/v1/sessions/") && method.equals("DELETE")) {
-                release(x, path.substring(13));
+                releaseSession(exchange, path.substring(13));
             } else if (path.equals("/v1/events") && method.equals("GET")) {
-                events(x);
+                openEventStream(exchange);
             } else if (path.startsWith("/v1/titles/") && method.equals("GET")) {
-                source(x, path.substring(11).split("/"));
+                servePlaylist(exchange, path.substring(11).split("/"));
             } else if (path.startsWith("/s/") && method.equals("GET")) {
-                segment(x, path.substring(3).split("/"));
+                serveSegment(exchange, path.substring(3).split("/"));
             } else {
-                x.problem(404, "Not Found", "no such resource");
+                exchange.problem(404, "Not Found", "no such resource");
             }
         }
 
-        private Headers load() {
-            double until = now() - faults.reportLateMs;
-            Report seen = reports.peekFirst();
-            for (Report r : reports) {
-                seen = r.at() <= until ? r : seen;
+        private Headers loadHeaders() {
+            double untilMs = nowMs() - faults.reportLateMs;
+            LoadReport report = reports.peekFirst();
+            for (LoadReport candidate : reports) {
+                report = candidate.atMs() <= untilMs ? candidate : report;
             }
             return new Headers()
                     .add(
                             "endpoint-load-metrics",
-                            "TEXT named_metrics.util=" + digits(Math.min(1, seen.use())) + ",named_metrics.x1="
-                                    + digits(seen.uplink()));
+                            "TEXT named_metrics.util=" + formatMetric(Math.min(1, report.linkUtilization()))
+                                    + ",named_metrics.x1=" + formatMetric(report.uplinkUtilization()));
         }
 
-        private String digits(double value) {
+        private String formatMetric(double value) {
             return String.format(Locale.ROOT, "%.4f", value);
         }
 
-        private void refresh() {
-            reports.addLast(new Report(now(), model.use(), model.uplinkUse()));
+        private void recordLoad() {
+            reports.addLast(new LoadReport(nowMs(), model.linkUtilization(), model.uplinkUtilization()));
             while (reports.size() > 100) {
                 reports.removeFirst();
             }
         }
 
-        private void setUp(Exchange x, boolean ghost) {
-            if (!model.arrive(now())) {
-                fallen = true;
-                LOG.warn("box {} was pushed over while cold", settings.id());
+        private void setUp(Exchange exchange, boolean ignorePeerClosed) {
+            if (!model.recordSetUp(nowMs())) {
+                crashedByOverload = true;
+                LOG.warn("box {} crashed because too many set-ups arrived while it was cold", settings.id());
                 crash();
                 return;
             }
             if (random.nextDouble() < faults.errors) {
-                x.problem(500, load(), "Internal Server Error", "a fault", "");
+                exchange.problem(500, loadHeaders(), "Internal Server Error", "a fault", "");
                 return;
             }
-            JsonNode n;
-            double[] ladder;
+            JsonNode request;
+            double[] ladderKb;
             try {
-                n = Documents.MAPPER.readTree(x.body());
+                request = Documents.MAPPER.readTree(exchange.body());
                 List<Double> rates = new ArrayList<>();
-                n.path("ladderKb").forEach(kb -> rates.add(kb.asDouble()));
-                ladder = rates.stream().mapToDouble(kb -> kb).toArray();
-                int rung = n.path("rung").asInt(-1);
-                if (rung < 0 || rung >= ladder.length || !n.path("key").asText().matches("[A-Za-z0-9.~_-]{1,100}")) {
+                request.path("ladderKb").forEach(kb -> rates.add(kb.asDouble()));
+                ladderKb = rates.stream().mapToDouble(kb -> kb).toArray();
+                int rung = request.path("rung").asInt(-1);
+                if (rung < 0
+                        || rung >= ladderKb.length
+                        || !request.path("key").asText().matches("[A-Za-z0-9.~_-]{1,100}")) {
                     throw new IllegalArgumentException("rung, ladderKb and key are expected");
                 }
             } catch (IOException | IllegalArgumentException e) {
-                x.problem(400, "Bad Request", e.getMessage());
+                exchange.problem(400, "Bad Request", e.getMessage());
                 return;
             }
-            String key = n.path("key").asText();
+            String key = request.path("key").asText();
             if (model.get(key) != null) {
-                x.problem(409, load(), "Conflict", "this attempt is known", "");
+                exchange.problem(409, loadHeaders(), "Conflict", "this attempt is known", "");
                 return;
             }
-            if (!lectures.holds(n.path("title").asText())) {
-                x.problem(404, load(), "Not Found", "no such title here", "");
+            if (!boxContent.holds(request.path("title").asText())) {
+                exchange.problem(404, loadHeaders(), "Not Found", "no such title here", "");
                 return;
             }
-            if (model.full()) {
-                x.problem(429, load(), "Too Many Requests", "full", "");
+            if (model.isFull()) {
+                exchange.problem(429, loadHeaders(), "Too Many Requests", "full", "");
                 return;
             }
             byte[] secret = new byte[12];
             random.nextBytes(secret);
             String token = incarnation + "." + HexFormat.of().formatHex(secret);
-            Held held = new Held(
+            BoxSession session = new BoxSession(
                     key,
-                    n.path("manager").asText(),
+                    request.path("manager").asText(),
                     token,
-                    n.path("title").asText(),
-                    ladder,
-                    n.path("rung").asInt());
-            held.leaseUntil =
-                    now() + settings.setUpMs() * faults.slow + n.path("leaseMs").asDouble(1000);
-            held.askedAt = now();
-            model.add(held);
-            x.onPeerClosed(() -> {
-                if (!ghost && !faults.deaf && !gone()) {
-                    model.remove(held);
+                    request.path("title").asText(),
+                    ladderKb,
+                    request.path("rung").asInt());
+            session.leaseUntilMs = nowMs()
+                    + settings.setUpMs() * faults.slow
+                    + request.path("leaseMs").asDouble(1000);
+            session.lastRequestMs = nowMs();
+            model.add(session);
+            exchange.onPeerClosed(() -> {
+                if (!ignorePeerClosed && !faults.deaf && !isStopped()) {
+                    model.remove(session);
                 }
             });
-            double takes = settings.setUpMs() * faults.slow * (0.7 + 0.6 * random.nextDouble());
-            loop.schedule(takes, () -> started(x, held));
+            // varies by up to 30 % around the mean
+            double durationMs = settings.setUpMs() * faults.slow * (0.7 + 0.6 * random.nextDouble());
+            loop.schedule(durationMs, () -> finishSetUp(exchange, session));
         }
 
-        private void started(Exchange x, Held held) {
-            if (gone() || model.get(held.key) != held) {
+        private void finishSetUp(Exchange exchange, BoxSession session) {
+            if (isStopped() || model.get(session.key) != session) {
                 return;
             }
-            if (x.peerClosed()) {
-                // nobody hears that it plays: its lease ends it
-                LOG.info("box {}: set-up {} came to play unheard", settings.id(), held.key);
+            if (exchange.peerClosed()) {
+                // no client learns that the session plays, so it ends when its lease expires
+                LOG.info(
+                        "box {}: the client of set-up {} disconnected before the response; its lease will end it",
+                        settings.id(),
+                        session.key);
                 return;
             }
             if (faults.hang) {
-                hung.add(() -> started(x, held));
+                deferredTasks.add(() -> finishSetUp(exchange, session));
                 return;
             }
             if (random.nextDouble() < faults.resets) {
-                model.remove(held);
-                x.connection().write(ByteBuffer.wrap("HTTP/1.1 201 Crea".getBytes(StandardCharsets.ISO_8859_1)));
-                x.connection().reset(new IOException("a fault"));
+                model.remove(session);
+                exchange.connection().write(ByteBuffer.wrap("HTTP/1.1 201 Crea".getBytes(StandardCharsets.ISO_8859_1)));
+                exchange.connection().reset(new IOException("a fault"));
                 return;
             }
-            ObjectNode answer = Documents.MAPPER.createObjectNode().put("base", "/s/" + held.token + "/");
-            x.respond(
+            ObjectNode answer = Documents.MAPPER.createObjectNode().put("base", "/s/" + session.token + "/");
+            exchange.respond(
                     201,
-                    load().add("Content-Type", "application/json"),
+                    loadHeaders().add("Content-Type", "application/json"),
                     answer.toString().getBytes(StandardCharsets.UTF_8));
         }
 
-        private void change(Exchange x, String key) {
-            Held held = model.get(key);
-            if (held == null) {
-                x.problem(404, "Not Found", "no such session");
+        private void updateSession(Exchange exchange, String key) {
+            BoxSession session = model.get(key);
+            if (session == null) {
+                exchange.problem(404, "Not Found", "no such session");
                 return;
             }
             try {
-                JsonNode n = Documents.MAPPER.readTree(x.body());
-                if (n.path("confirmed").asBoolean()) {
-                    held.confirmed = true;
-                    held.askedAt = now();
-                    if (!streams.containsKey(held.manager)) {
-                        held.managerGoneAt = now();
+                JsonNode request = Documents.MAPPER.readTree(exchange.body());
+                if (request.path("confirmed").asBoolean()) {
+                    session.confirmed = true;
+                    session.lastRequestMs = nowMs();
+                    if (!streams.containsKey(session.manager)) {
+                        session.managerLostMs = nowMs();
                     }
                 }
-                if (n.has("rung")) {
-                    model.rung(held, n.path("rung").asInt(), n.path("change").asInt());
+                if (request.has("rung")) {
+                    model.setRung(
+                            session,
+                            request.path("rung").asInt(),
+                            request.path("change").asInt());
                 }
-                x.respond(204);
+                exchange.respond(204);
             } catch (IOException e) {
-                x.problem(400, "Bad Request", "JSON is expected");
+                exchange.problem(400, "Bad Request", "JSON is expected");
             }
         }
 
-        private void release(Exchange x, String key) {
-            Held held = model.get(key);
-            if (held != null) {
-                model.remove(held);
+        private void releaseSession(Exchange exchange, String key) {
+            BoxSession session = model.get(key);
+            if (session != null) {
+                model.remove(session);
             }
-            x.respond(204);
+            exchange.respond(204);
         }
 
-        private void events(Exchange x) {
-            String manager = x.head().queryParameter("manager");
+        private void openEventStream(Exchange exchange) {
+            String manager = exchange.head().queryParameter("manager");
             if (manager == null) {
-                x.problem(400, "Bad Request", "manager is expected");
+                exchange.problem(400, "Bad Request", "manager is expected");
                 return;
             }
-            BodyStream out = x.stream(200, new Headers().add("Content-Type", "text/event-stream"));
+            BodyStream stream = exchange.stream(200, new Headers().add("Content-Type", "text/event-stream"));
             ObjectNode hello = Documents.MAPPER.createObjectNode().put("incarnation", incarnation);
             ArrayNode keys = hello.putArray("held");
-            for (Held held : model.all()) {
-                if (held.manager.equals(manager)) {
-                    keys.add(held.key);
-                    held.managerGoneAt = -1;
+            for (BoxSession session : model.sessions()) {
+                if (session.manager.equals(manager)) {
+                    keys.add(session.key);
+                    session.managerLostMs = -1;
                 }
             }
-            BodyStream before = streams.put(manager, out);
-            if (before != null) {
-                before.end();
+            BodyStream previousStream = streams.put(manager, stream);
+            if (previousStream != null) {
+                previousStream.end();
             }
-            out.write(EventStream.event("hello", hello.toString()));
-            x.onPeerClosed(() -> {
-                if (streams.remove(manager, out)) {
-                    orphan(manager);
+            stream.write(EventStream.event("hello", hello.toString()));
+            exchange.onPeerClosed(() -> {
+                if (streams.remove(manager, stream)) {
+                    markManagerLost(manager);
                 }
             });
         }
 
-        private void orphan(String manager) {
-            for (Held held : model.all()) {
-                if (held.manager.equals(manager) && held.managerGoneAt < 0) {
-                    held.managerGoneAt = now();
+        private void markManagerLost(String manager) {
+            for (BoxSession session : model.sessions()) {
+                if (session.manager.equals(manager) && session.managerLostMs < 0) {
+                    session.managerLostMs = nowMs();
                 }
             }
         }
 
-        private void source(Exchange x, String[] parts) {
+        private void servePlaylist(Exchange exchange, String[] parts) {
             try {
-                boolean formed = parts.length == 2 && parts[1].matches("\\d{1,2}\\.m3u8");
-                String text = !formed
+                boolean wellFormed = parts.length == 2 && parts[1].matches("\\d{1,2}\\.m3u8");
+                String text = !wellFormed
                         ? null
-                        : lectures.playlist(parts[0], Integer.parseInt(parts[1].substring(0, parts[1].length() - 5)));
+                        : boxContent.playlist(parts[0], Integer.parseInt(parts[1].substring(0, parts[1].length() - 5)));
                 if (text == null) {
-                    x.problem(404, "Not Found", "no such lecture here");
+                    exchange.problem(404, "Not Found", "no such lecture here");
                 } else {
-                    x.respond(
+                    exchange.respond(
                             200,
-                            load().add("Content-Type", "application/vnd.apple.mpegurl"),
+                            loadHeaders().add("Content-Type", "application/vnd.apple.mpegurl"),
                             text.getBytes(StandardCharsets.UTF_8));
                 }
             } catch (IOException e) {
-                x.problem(500, "Internal Server Error", "unreadable");
+                exchange.problem(500, "Internal Server Error", "unreadable");
             }
         }
 
-        private void segment(Exchange x, String[] parts) {
+        private void serveSegment(Exchange exchange, String[] parts) {
             // TOKEN/RUNG/FILE of the lecture, or TOKEN/p/PIECE/RUNG/FILE
-            boolean piece = parts.length == 5 && parts[1].equals("p");
-            Held held = parts.length == 3 || piece ? model.byToken(parts[0]) : null;
-            if (held == null || !held.confirmed) {
-                // the token is of another process, or its session is over
-                x.problem(410, "Gone", "no such session here");
+            boolean ofPiece = parts.length == 5 && parts[1].equals("p");
+            BoxSession session = parts.length == 3 || ofPiece ? model.byToken(parts[0]) : null;
+            if (session == null || !session.confirmed) {
+                // the token belongs to an earlier process, or its session is not confirmed or has ended
+                exchange.problem(410, "Gone", "no such session here");
                 return;
             }
             try {
-                String at = parts[parts.length - 2];
+                String rungText = parts[parts.length - 2];
                 String file = parts[parts.length - 1];
-                String title = piece ? parts[2] : held.title;
-                int rung = at.matches("\\d{1,2}") ? Integer.parseInt(at) : -1;
-                byte[] content = rung < 0 || rung >= held.ladderKb.length
+                String title = ofPiece ? parts[2] : session.title;
+                int rung = rungText.matches("\\d{1,2}") ? Integer.parseInt(rungText) : -1;
+                byte[] content = rung < 0 || rung >= session.ladderKb.length
                         ? null
-                        : lectures.bytes(title, rung, file, held.ladderKb[rung]);
+                        : boxContent.bytes(title, rung, file, session.ladderKb[rung]);
                 if (content == null) {
-                    x.problem(404, "Not Found", "no such segment");
+                    exchange.problem(404, "Not Found", "no such segment");
                     return;
                 }
-                ByteRange range = ByteRange.of(x.head().headers().get("Range"), content.length);
-                Headers headers = load().add("Accept-Ranges", "bytes");
+                ByteRange range = ByteRange.of(exchange.head().headers().get("Range"), content.length);
+                Headers headers = loadHeaders().add("Accept-Ranges", "bytes");
                 if (!range.whole()) {
                     headers.add("Content-Range", range.contentRange(content.length));
                 }
                 if (range.length() == 0) {
-                    x.problem(
+                    exchange.problem(
                             416,
                             headers,
                             "Range Not Satisfiable",
@@ -509,152 +537,160 @@
                             "");
                     return;
                 }
-                byte[] part = range.whole()
+                byte[] body = range.whole()
                         ? content
                         : Arrays.copyOfRange(content, (int) range.first(), (int) (range.first() + range.length()));
-                held.askedAt = now();
-                held.sending++;
-                BodyStream out =
-                        x.stream(range.whole() ? 200 : 206, headers.add("Content-Type", "video/mp4"), part.length);
-                // a part tells nothing of the whole
-                String path =
+                session.lastRequestMs = nowMs();
+                session.activeTransfers++;
+                BodyStream stream = exchange.stream(
+                        range.whole() ? 200 : 206, headers.add("Content-Type", "video/mp4"), body.length);
+                // a range is not reported, because it does not mean that the whole segment was delivered
+                String servedPath =
                         range.whole() ? String.join("/", Arrays.asList(parts).subList(1, parts.length)) : null;
-                boolean last = range.whole() && !piece && lectures.last(title, file);
-                Transfer t = new Transfer(held, path, out, part, last, held.ladderKb[rung]);
-                transfers.add(t);
-                x.onPeerClosed(() -> {
-                    if (transfers.remove(t)) {
-                        held.sending--;
-                        held.askedAt = now();
+                boolean lastSegment = range.whole() && !ofPiece && boxContent.isLastSegment(title, file);
+                Transfer transfer =
+                        new Transfer(session, servedPath, stream, body, lastSegment, session.ladderKb[rung]);
+                transfers.add(transfer);
+                exchange.onPeerClosed(() -> {
+                    if (transfers.remove(transfer)) {
+                        session.activeTransfers--;
+                        session.lastRequestMs = nowMs();
                     }
                 });
             } catch (IOException e) {
-                x.problem(500, "Internal Server Error", "unreadable");
+                exchange.problem(500, "Internal Server Error", "unreadable");
             }
         }
 
-        /** Gives each transfer its part of the link: all the same share of their rates. */
-        private void pace() {
+        /** Writes the next bytes of all transfers. Each gets the same fraction or multiple of its rate. */
+        private void paceTransfers() {
             if (transfers.isEmpty() || faults.hang) {
                 return;
             }
-            double asked = 0;
-            for (Transfer t : transfers) {
-                asked += t.rateKb;
-            }
-            double uplink = model.uplinkUse();
-            double times = Math.min(BURST, model.linkKb() / Math.max(1, asked));
-            if (uplink > 1) {
-                times = Math.min(times, 1 / uplink);
-            }
-            if (model.use() > 1) {
-                times = Math.min(times, 1 / model.use());
-            }
-            for (Transfer t : new ArrayList<>(transfers)) {
-                t.credit += t.rateKb * times * PACE_MS;
-                int room = MOST_PENDING - t.out.pendingBytes();
-                int count = (int) Math.min(Math.min(t.credit, t.content.length - t.sent), Math.max(0, room));
-                if (count > 0) {
-                    t.credit -= count;
-                    t.out.write(Arrays.copyOfRange(t.content, t.sent, t.sent + count));
-                    t.sent += count;
+            double demandKb = 0;
+            for (Transfer transfer : transfers) {
+                demandKb += transfer.rateKb;
+            }
+            double uplinkUtilization = model.uplinkUtilization();
+            double rateFactor = Math.min(MAX_RATE_FACTOR, model.linkKb() / Math.max(1, demandKb));
+            if (uplinkUtilization > 1) {
+                rateFactor = Math.min(rateFactor, 1 / uplinkUtilization);
+            }
+            if (model.linkUtilization() > 1) {
+                rateFactor = Math.min(rateFactor, 1 / model.linkUtilization());
+            }
+            for (Transfer transfer : new ArrayList<>(transfers)) {
+                transfer.creditBytes += transfer.rateKb * rateFactor * PACING_INTERVAL_MS;
+                int freeBytes = MAX_PENDING_BYTES - transfer.stream.pendingBytes();
+                int byteCount = (int) Math.min(
+                        Math.min(transfer.creditBytes, transfer.content.length - transfer.sentBytes),
+                        Math.max(0, freeBytes));
+                if (byteCount > 0) {
+                    transfer.creditBytes -= byteCount;
+                    transfer.stream.write(
+                            Arrays.copyOfRange(transfer.content, transfer.sentBytes, transfer.sentBytes + byteCount));
+                    transfer.sentBytes += byteCount;
                 }
-                t.credit = Math.min(t.credit, MOST_PENDING);
-                if (t.sent == t.content.length && transfers.remove(t)) {
-                    t.held.sending--;
-                    t.held.askedAt = now();
-                    t.out.end();
-                    if (t.path != null) {
-                        served.computeIfAbsent(t.held.manager, m -> new LinkedHashMap<>())
-                                .put(t.held.key, t.path);
+                transfer.creditBytes = Math.min(transfer.creditBytes, MAX_PENDING_BYTES);
+                if (transfer.sentBytes == transfer.content.length && transfers.remove(transfer)) {
+                    transfer.session.activeTransfers--;
+                    transfer.session.lastRequestMs = nowMs();
+                    transfer.stream.end();
+                    if (transfer.servedPath != null) {
+                        servedPaths
+                                .computeIfAbsent(transfer.session.manager, m -> new LinkedHashMap<>())
+                                .put(transfer.session.key, transfer.servedPath);
                     }
-                    if (t.last && model.get(t.held.key) == t.held) {
-                        end(t.held, "done");
+                    if (transfer.lastSegment && model.get(transfer.session.key) == transfer.session) {
+                        endSession(transfer.session, "done");
                     }
                 }
             }
         }
 
-        private void end(Held held, String reason) {
-            model.remove(held);
-            BodyStream out = streams.get(held.manager);
-            if (out != null && !faults.mute) {
-                ObjectNode n = Documents.MAPPER
+        private void endSession(BoxSession session, String reason) {
+            model.remove(session);
+            BodyStream stream = streams.get(session.manager);
+            if (stream != null && !faults.mute) {
+                ObjectNode message = Documents.MAPPER
                         .createObjectNode()
-                        .put("key", held.key)
+                        .put("key", session.key)
                         .put("reason", reason)
-                        .put("load", load().get("endpoint-load-metrics"));
-                out.write(EventStream.event("ended", n.toString()));
+                        .put("load", loadHeaders().get("endpoint-load-metrics"));
+                stream.write(EventStream.event("ended", message.toString()));
             }
         }
 
-        private void tellServed() {
+        private void sendServedEvents() {
             if (faults.mute || faults.hang) {
                 return;
             }
-            served.forEach((manager, last) -> {
-                BodyStream out = streams.get(manager);
-                if (out != null) {
-                    ObjectNode n = Documents.MAPPER.createObjectNode();
-                    ObjectNode of = n.putObject("last");
-                    last.forEach(of::put);
-                    out.write(EventStream.event("served", n.toString()));
+            servedPaths.forEach((manager, last) -> {
+                BodyStream stream = streams.get(manager);
+                if (stream != null) {
+                    ObjectNode message = Documents.MAPPER.createObjectNode();
+                    ObjectNode pathsBySession = message.putObject("last");
+                    last.forEach(pathsBySession::put);
+                    stream.write(EventStream.event("served", message.toString()));
                 }
             });
-            served.clear();
+            servedPaths.clear();
         }
 
-        private void expire() {
+        private void endExpiredSessions() {
             if (!faults.hang) {
-                model.due(now()).forEach(this::end);
+                model.expiredSessions(nowMs()).forEach(this::endSession);
             }
         }
 
-        private void beat() {
+        private void sendKeepAlives() {
             if (!faults.mute && !faults.hang) {
                 new ArrayList<>(streams.values()).forEach(out -> out.write(EventStream.keepAliveComment()));
             }
         }
 
-        private void tell() {
-            note("link", model.use());
+        private void sendUtilizationNotes() {
+            sendNote("link", model.linkUtilization());
             if (settings.uplinkNotes()) {
-                note("uplink", model.uplinkUse());
+                sendNote("uplink", model.uplinkUtilization());
             }
         }
 
-        private void tellShare() {
-            double share = model.share();
+        private void sendShareNote() {
+            double share = model.rateShare();
             if (share < 0.98) {
-                note("share", share);
+                sendNote("share", share);
             }
         }
 
-        /** Tells each manager with sessions here, late, by way of its oldest session. */
-        private void note(String kind, double value) {
-            Map<String, String> oldest = new LinkedHashMap<>();
-            for (Held held : model.all()) {
-                if (held.confirmed) {
-                    oldest.putIfAbsent(held.manager, held.key.substring(0, held.key.lastIndexOf('.')));
+        /**
+         * Sends a note to each manager with confirmed sessions, after a delay. A note names the manager's oldest
+         * session.
+         */
+        private void sendNote(String kind, double value) {
+            Map<String, String> oldestSessions = new LinkedHashMap<>();
+            for (BoxSession session : model.sessions()) {
+                if (session.confirmed) {
+                    oldestSessions.putIfAbsent(session.manager, session.key.substring(0, session.key.lastIndexOf('.')));
                 }
             }
             loop.schedule(
                     settings.noteDelayMs() + faults.reportLateMs,
-                    () -> oldest.forEach((manager, session) -> {
-                        BodyStream out = streams.get(manager);
-                        if (!gone() && out != null && !faults.mute && !faults.hang) {
-                            ObjectNode n = Documents.MAPPER
+                    () -> oldestSessions.forEach((manager, session) -> {
+                        BodyStream stream = streams.get(manager);
+                        if (!isStopped() && stream != null && !faults.mute && !faults.hang) {
+                            ObjectNode message = Documents.MAPPER
                                     .createObjectNode()
                                     .put("session", session)
                                     .put("kind", kind)
                                     .put("value", value);
-                            out.write(EventStream.event("note", n.toString()));
+                            stream.write(EventStream.event("note", message.toString()));
                         }
                     }));
         }
     }
 
-    /** Starts it or says why not, for owners that can't go on without it. */
+    /** Starts the box as {@link #start} does, but throws an unchecked exception if it cannot listen. */
     public InetSocketAddress startOrThrow(boolean cold) {
         try {
             return start(cold);
--- a/standin/src/main/java/calicovale/standin/Rack.java
+++ b/standin/src/main/java/calicovale/standin/Rack.java
@@ -3,36 +3,40 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Owns one rack's uplink, shared by boxes on different loops: what each asks of it, and what it gives. */
+/** One rack's uplink, which boxes on different loops share. Sums the boxes' demand. Thread-safe. */
 public final class Rack {
     private final double uplinkKb;
-    private final Map<Long, Double> asked = new ConcurrentHashMap<>();
-    private volatile double divide = 1;
+    private final Map<Long, Double> demandKbByBox = new ConcurrentHashMap<>();
+    private volatile double uplinkDivisor = 1;
 
-    /** {@code uplinkKb} 0: it never binds. */
+    /**
+     * Creates a rack without demand.
+     *
+     * @param uplinkKb capacity of the uplink in kB/s; 0 if it is unlimited
+     */
     public Rack(double uplinkKb) {
         this.uplinkKb = uplinkKb;
     }
 
-    /** A fault: it gives {@code times} less; 1 ends the fault. */
-    public void sag(double times) {
-        divide = times;
+    /** Injects a fault that divides the uplink's capacity; a divisor of 1 ends the fault. */
+    public void sag(double divisor) {
+        uplinkDivisor = divisor;
     }
 
-    /** A box asks so much, kB a second. */
-    public void ask(long box, double kb) {
-        asked.put(box, kb);
+    /** Sets the demand of a box, in kB/s. */
+    public void setDemand(long boxId, double kbPerSecond) {
+        demandKbByBox.put(boxId, kbPerSecond);
     }
 
-    /** What is asked of it over what it gives; also above 1. */
-    public double use() {
+    /** Returns the demand divided by the capacity, which may exceed 1; 0 if the uplink is unlimited. */
+    public double utilization() {
         if (uplinkKb <= 0) {
             return 0;
         }
-        double sum = 0;
-        for (double kb : asked.values()) {
-            sum += kb;
+        double demandKb = 0;
+        for (double boxDemandKb : demandKbByBox.values()) {
+            demandKb += boxDemandKb;
         }
-        return sum * divide / uplinkKb;
+        return demandKb * uplinkDivisor / uplinkKb;
     }
 }
--- a/standin/src/main/java/calicovale/standin/package-info.java
+++ b/standin/src/main/java/calicovale/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns stand-ins of the outside systems: media boxes and the box directory, and the faults they can be told to have. It must
- * not know the session manager's code, only the protocol that both speak.
+ * Stand-ins for external systems, which are media boxes and the box directory, and the faults that can be injected into
+ * them. This package must not depend on the session manager's code; it only implements the same protocol.
  */
 package calicovale.standin;
--- a/standin/src/test/java/calicovale/standin/MediaBoxTest.java
+++ b/standin/src/test/java/calicovale/standin/MediaBoxTest.java
@@ -27,28 +27,28 @@
     private final EventLoop loop = new EventLoop("boxes", Clock.system()).start();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
     @TempDir
     private Path folder;
 
     @AfterEach
-    void end() {
+    void closeLoop() {
         loop.close();
     }
 
-    private MediaBox box(String more) throws InvalidDocumentException {
+    private MediaBox startBox(String otherMembers) throws InvalidDocumentException {
         BoxSettings settings = BoxSettings.parse(
                 "box",
                 "{\"id\":3,\"listen\":{\"host\":\"127.0.0.1\",\"port\":0},\"streams\":4,"
-                        + "\"linkKb\":200,\"setUpMs\":1,\"beatMs\":50" + more + "}");
+                        + "\"linkKb\":200,\"setUpMs\":1,\"beatMs\":50" + otherMembers + "}");
         MediaBox box = new MediaBox(loop, settings, new Rack(0), new SplittableRandom(1));
-        at = loop.call(() -> box.start(false));
+        address = loop.call(() -> box.start(false));
         return box;
     }
 
     private HttpResponse<String> send(String method, String path, String body) throws Exception {
-        URI uri = URI.create("http://127.0.0.1:" + at.getPort() + path);
+        URI uri = URI.create("http://127.0.0.1:" + address.getPort() + path);
         return client.send(
                 HttpRequest.newBuilder(uri)
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
@@ -64,13 +64,13 @@
                         + ",\"ladderKb\":[10,20,40],\"leaseMs\":60000}");
     }
 
-    private static String base(HttpResponse<String> answer) {
-        return answer.body().replaceAll(".*\"base\":\"([^\"]*)\".*", "$1");
+    private static String baseUrl(HttpResponse<String> response) {
+        return response.body().replaceAll(".*\"base\":\"([^\"]*)\".*", "$1");
     }
 
     @Test
-    void turnsAwayWhatItCannotRunAndTellsItsLoad() throws Exception {
-        box(",\"fullFrom\":0.5");
+    void refusesSetUpsBeyondItsLimitsAndReportsItsLoad() throws Exception {
+        startBox(",\"fullFrom\":0.5");
         HttpResponse<String> first = setUp("a.0", 2);
         assertEquals(201, first.statusCode());
         assertTrue(
@@ -79,16 +79,16 @@
         assertEquals(400, setUp("b.0", 7).statusCode());
         assertEquals(201, setUp("b.0", 2).statusCode());
         assertEquals(201, setUp("c.0", 1).statusCode());
-        // half of the link is asked for from here on
+        // from here on the sessions' demand is half of the link or more
         assertEquals(429, setUp("d.0", 0).statusCode());
         assertEquals(204, send("DELETE", "/v1/sessions/a.0", "").statusCode());
         assertEquals(201, setUp("d.0", 0).statusCode());
     }
 
     @Test
-    void aSessionsUrlsAreGoodOnceConfirmedAndForOneProcess() throws Exception {
-        MediaBox box = box("");
-        String base = base(setUp("a.0", 1));
+    void sessionUrlsAreValidOnceConfirmedAndForOneProcess() throws Exception {
+        MediaBox box = startBox("");
+        String base = baseUrl(setUp("a.0", 1));
         assertEquals(410, send("GET", base + "1/0.m4s", "").statusCode());
         assertEquals(
                 204, send("PUT", "/v1/sessions/a.0", "{\"confirmed\":true}").statusCode());
@@ -102,16 +102,16 @@
             return true;
         });
         assertFalse(loop.call(box::running));
-        assertEquals(at, loop.call(() -> box.start(true)));
+        assertEquals(address, loop.call(() -> box.start(true)));
         assertEquals(410, send("GET", base + "1/0.m4s", "").statusCode());
         assertEquals(
                 404, send("PUT", "/v1/sessions/a.0", "{\"confirmed\":true}").statusCode());
-        assertNotEquals(base, base(setUp("a.0", 1)));
+        assertNotEquals(base, baseUrl(setUp("a.0", 1)));
     }
 
     @Test
-    void aColdBoxThatIsPushedFallsOverAndStaysDown() throws Exception {
-        MediaBox box = box(",\"warmAfterMs\":60000,\"tipMultiple\":1,\"tipMs\":60000");
+    void overloadedColdBoxCrashesAndStaysDown() throws Exception {
+        MediaBox box = startBox(",\"warmAfterMs\":60000,\"tipMultiple\":1,\"tipMs\":60000");
         loop.call(() -> {
             box.crash();
             return box.start(true);
@@ -127,58 +127,58 @@
     }
 
     @Test
-    void servesAFolderOfRealContentAndNothingOutsideIt() throws Exception {
+    void servesContentFolderAndNothingOutsideIt() throws Exception {
         Path title = Files.createDirectories(folder.resolve("content/t"));
         Files.createDirectories(title.resolve("1"));
         Files.writeString(folder.resolve("secret"), "secret");
         Files.writeString(
                 title.resolve("1.m3u8"), "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXTINF:2,\na.m4s\n#EXT-X-ENDLIST\n");
         Files.writeString(title.resolve("1/a.m4s"), "real content");
-        box(",\"content\":\"" + folder.resolve("content") + "\"");
+        startBox(",\"content\":\"" + folder.resolve("content") + "\"");
         assertTrue(send("GET", "/v1/titles/t/1.m3u8", "").body().contains("a.m4s"));
         assertEquals(404, send("GET", "/v1/titles/none/1.m3u8", "").statusCode());
-        String base = base(setUp("a.0", 1));
+        String base = baseUrl(setUp("a.0", 1));
         send("PUT", "/v1/sessions/a.0", "{\"confirmed\":true}");
         assertEquals("real content", send("GET", base + "1/a.m4s", "").body());
         assertEquals(404, send("GET", base + "1/..%2f..%2f..%2fsecret", "").statusCode());
     }
 
     @Test
-    void theModelKeepsLeasesAndSharesTheLink() throws Exception {
+    void modelExpiresSessionsAndSharesTheLink() throws Exception {
         BoxSettings settings = BoxSettings.parse(
                 "box",
                 "{\"id\":1,\"listen\":{\"host\":\"127.0.0.1\",\"port\":0},\"streams\":9,"
                         + "\"linkKb\":100,\"idleMs\":1000,\"graceMs\":500}");
         Rack rack = new Rack(50);
         BoxModel model = new BoxModel(settings, rack, 0);
-        BoxModel.Held held = new BoxModel.Held("a.0", "m", "token", "t", new double[] {10, 80}, 1);
-        held.leaseUntil = 100;
-        model.add(held);
-        assertEquals(0.8, model.use(), 1e-9);
-        assertEquals(50 / 80.0, model.share(), 1e-9, "the uplink is the narrower");
+        BoxModel.BoxSession session = new BoxModel.BoxSession("a.0", "m", "token", "t", new double[] {10, 80}, 1);
+        session.leaseUntilMs = 100;
+        model.add(session);
+        assertEquals(0.8, model.linkUtilization(), 1e-9);
+        assertEquals(50 / 80.0, model.rateShare(), 1e-9, "the uplink limits more than the link");
         rack.sag(2);
-        assertEquals(25 / 80.0, model.share(), 1e-9);
-        assertTrue(model.due(100).isEmpty());
-        assertEquals("lease", model.due(101).get(held));
-        held.confirmed = true;
-        held.askedAt = 100;
-        assertTrue(model.due(1000).isEmpty());
-        assertEquals("idle", model.due(1101).get(held));
-        held.managerGoneAt = 100;
-        assertEquals("manager-lost", model.due(601).get(held));
-        model.rung(held, 0, 2);
-        model.rung(held, 1, 1);
-        assertEquals(0.1, model.use(), 1e-9, "an older message must not undo a newer one");
-        model.remove(held);
-        assertEquals(0, rack.use(), 1e-9);
+        assertEquals(25 / 80.0, model.rateShare(), 1e-9);
+        assertTrue(model.expiredSessions(100).isEmpty());
+        assertEquals("lease", model.expiredSessions(101).get(session));
+        session.confirmed = true;
+        session.lastRequestMs = 100;
+        assertTrue(model.expiredSessions(1000).isEmpty());
+        assertEquals("idle", model.expiredSessions(1101).get(session));
+        session.managerLostMs = 100;
+        assertEquals("manager-lost", model.expiredSessions(601).get(session));
+        model.setRung(session, 0, 2);
+        model.setRung(session, 1, 1);
+        assertEquals(0.1, model.linkUtilization(), 1e-9, "an older message must not undo a newer one");
+        model.remove(session);
+        assertEquals(0, rack.utilization(), 1e-9);
     }
 
     @Test
-    void partsOfSegmentsAndPagesOfOtherOrigins() throws Exception {
-        box(",\"origins\":[\"https://page\"]");
-        String base = base(setUp("s.0", 1));
+    void servesRangesAndAllowsConfiguredOrigins() throws Exception {
+        startBox(",\"origins\":[\"https://page\"]");
+        String base = baseUrl(setUp("s.0", 1));
         send("PUT", "/v1/sessions/s.0", "{\"confirmed\":true}");
-        URI segment = URI.create("http://127.0.0.1:" + at.getPort() + base + "1/0.m4s");
+        URI segment = URI.create("http://127.0.0.1:" + address.getPort() + base + "1/0.m4s");
         HttpResponse<byte[]> part = client.send(
                 HttpRequest.newBuilder(segment)
                         .header("Range", "bytes=10-19")
