--- a/cli/src/main/java/calicovale/cli/BenchCommand.java
+++ b/cli/src/main/java/calicovale/cli/BenchCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Owns {@code calicovale bench}: the measurements, each beside its floor in the same run. */
+/** The command {@code calicovale bench}, which runs measurements, each together with its floor. */
 @Command(
         name = "bench",
         description = "Runs measurements, each beside its floor in the same run.",
@@ -47,6 +47,6 @@
         }
         spec.commandLine().getOut().print(bench.table());
         spec.commandLine().getOut().flush();
-        return Main.WELL;
+        return Main.OK;
     }
 }
--- a/cli/src/main/java/calicovale/cli/BoxCommand.java
+++ b/cli/src/main/java/calicovale/cli/BoxCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Owns {@code calicovale box}: one stand-in media box, with a rack of its own that never binds. */
+/** The command {@code calicovale box}, which runs one stand-in media box. Its rack's uplink is unlimited. */
 @Command(name = "box", description = "Runs one stand-in media box.", mixinStandardHelpOptions = true)
 final class BoxCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "settings, a JSON file")
@@ -25,6 +25,6 @@
         MediaBox box = new MediaBox(loop, settings, new Rack(0), new SecureRandom());
         System.out.println("listening on " + loop.call(() -> box.start(false)));
         Thread.currentThread().join();
-        return Main.WELL;
+        return Main.OK;
     }
 }
--- a/cli/src/main/java/calicovale/cli/ChangeCommand.java
+++ b/cli/src/main/java/calicovale/cli/ChangeCommand.java
@@ -24,13 +24,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Owns {@code calicovale change}: programme changes told to, listed from and withdrawn from session managers. */
+/** The command {@code calicovale change}, which adds, lists and withdraws programme changes at session managers. */
 @Command(
         name = "change",
         description = "Adds, lists or withdraws programme changes at session managers.",
         mixinStandardHelpOptions = true)
 final class ChangeCommand implements Callable<Integer> {
-    private static final Duration WAIT = Duration.ofSeconds(10);
+    /** Timeout of each connection and of each request. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
     @Spec
     private CommandSpec spec;
@@ -40,14 +41,14 @@
         throw new ParameterException(spec.commandLine(), "one of add, list, show, withdraw, key, sign is expected");
     }
 
-    /** Sends one request to every manager; the status is that of the worst. */
-    private int send(List<String> managers, String method, String path, String body)
+    /** Sends a request to each manager. Returns the highest exit status. */
+    private int sendToAll(List<String> managers, String method, String path, String body)
             throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(WAIT)
+                .connectTimeout(REQUEST_TIMEOUT)
                 .build();
-        int result = Main.WELL;
+        int status = Main.OK;
         for (String manager : managers) {
             if (!manager.matches("127(\\.\\d{1,3}){3}:\\d{1,5}")) {
                 throw new ParameterException(
@@ -56,23 +57,24 @@
         }
         for (String manager : managers) {
             HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + manager + path))
-                    .timeout(WAIT)
+                    .timeout(REQUEST_TIMEOUT)
                     .method(method, HttpRequest.BodyPublishers.ofString(body))
                     .build();
             try {
-                HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
-                boolean well = answer.statusCode() < 300;
-                (well ? spec.commandLine().getOut() : spec.commandLine().getErr())
-                        .println(manager + ": " + answer.statusCode() + " " + answer.body());
-                // a manager that was told before and lists the change alike is no reason to stop telling the others
-                result = Math.max(result, well ? Main.WELL : answer.statusCode() == 422 ? Main.BAD_INPUT : Main.BROKEN);
+                HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+                boolean succeeded = response.statusCode() < 300;
+                (succeeded ? spec.commandLine().getOut() : spec.commandLine().getErr())
+                        .println(manager + ": " + response.statusCode() + " " + response.body());
+                // a failure at one manager, such as one that already lists the change, must not keep it from the others
+                status = Math.max(
+                        status, succeeded ? Main.OK : response.statusCode() == 422 ? Main.BAD_INPUT : Main.FAILED);
             } catch (IOException e) {
                 spec.commandLine().getErr().println(manager + ": " + e);
-                result = Math.max(result, Main.BROKEN);
+                status = Math.max(status, Main.FAILED);
             }
         }
         spec.commandLine().getOut().flush();
-        return result;
+        return status;
     }
 
     @Command(name = "add", description = "Tells a change to each manager named.", mixinStandardHelpOptions = true)
@@ -88,9 +90,9 @@
             throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected"));
         }
         String text = Files.readString(file);
-        // a bad document is told before any manager hears of it
+        // reports an invalid document before any manager receives it
         Change.parse(file.toString(), text);
-        return send(managers, "POST", "/v1/changes", text);
+        return sendToAll(managers, "POST", "/v1/changes", text);
     }
 
     @Command(name = "list", description = "Lists the changes of each manager named.", mixinStandardHelpOptions = true)
@@ -101,7 +103,7 @@
                             description = "operators' address of a manager, again for each")
                     List<String> managers)
             throws IOException, InterruptedException {
-        return send(managers, "GET", "/v1/changes", "");
+        return sendToAll(managers, "GET", "/v1/changes", "");
     }
 
     @Command(
@@ -116,7 +118,7 @@
                     List<String> managers,
             @Parameters(description = "the change's id") String id)
             throws IOException, InterruptedException {
-        return send(managers, "DELETE", "/v1/changes/" + id, "");
+        return sendToAll(managers, "DELETE", "/v1/changes/" + id, "");
     }
 
     @Command(
@@ -131,7 +133,7 @@
                     List<String> managers,
             @Parameters(description = "the change's id") String id)
             throws IOException, InterruptedException {
-        return send(managers, "GET", "/v1/changes/" + id, "");
+        return sendToAll(managers, "GET", "/v1/changes/" + id, "");
     }
 
     @Command(
@@ -152,7 +154,7 @@
         }
         spec.commandLine().getOut().println(pair.publicKey());
         spec.commandLine().getOut().flush();
-        return Main.WELL;
+        return Main.OK;
     }
 
     @Command(
@@ -165,9 +167,9 @@
                     String name,
             @Parameters(description = "the change's document") Path file)
             throws IOException, InvalidDocumentException {
-        for (Path needed : List.of(key, file)) {
-            if (!Files.isReadable(needed)) {
-                throw new InvalidDocumentException(List.of(needed + ": /: a readable file is expected"));
+        for (Path input : List.of(key, file)) {
+            if (!Files.isReadable(input)) {
+                throw new InvalidDocumentException(List.of(input + ": /: a readable file is expected"));
             }
         }
         String text = Files.readString(file);
@@ -181,6 +183,6 @@
         }
         spec.commandLine().getOut().println(signed);
         spec.commandLine().getOut().flush();
-        return Main.WELL;
+        return Main.OK;
     }
 }
--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -8,6 +8,7 @@
 import calicovale.standin.DirectorySettings;
 import calicovale.stitch.Change;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.exc.MismatchedInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,7 +20,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Owns {@code calicovale check}: files of any kind against their schemas, told apart by their member {@code schema}. */
+/**
+ * The command {@code calicovale check}, which validates files against the schemas that their members {@code schema}
+ * name.
+ */
 @Command(
         name = "check",
         description = "Validates settings and day files against their JSON Schemas.",
@@ -36,30 +40,30 @@
         List<String> faults = new ArrayList<>();
         for (Path file : files) {
             try {
-                check(file);
+                checkFile(file);
             } catch (InvalidDocumentException e) {
                 faults.addAll(e.faults());
             }
         }
         faults.forEach(fault -> spec.commandLine().getErr().println(fault));
-        return faults.isEmpty() ? Main.WELL : Main.BAD_INPUT;
+        return faults.isEmpty() ? Main.OK : Main.BAD_INPUT;
     }
 
-    private static void check(Path file) throws InvalidDocumentException {
+    private static void checkFile(Path file) throws InvalidDocumentException {
         String schema;
         try {
-            JsonNode n = Documents.MAPPER.readTree(Files.readString(file));
-            schema = n.path("schema").asText();
+            JsonNode document = Documents.MAPPER.readTree(Files.readString(file));
+            schema = document.path("schema").asText();
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": /: a readable JSON file is expected ("
-                    + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + ")"));
+            throw new InvalidDocumentException(
+                    List.of(file + ": /: a readable JSON file is expected (" + reason(e) + ")"));
         }
         switch (schema) {
             case "calicovale/front/1" -> FrontSettings.read(file);
             case "calicovale/box/1" -> BoxSettings.read(file);
             case "calicovale/directory/1" -> DirectorySettings.read(file);
             case "calicovale/day/1" -> Day.read(file);
-            case "calicovale/change/1" -> change(file);
+            case "calicovale/change/1" -> checkChange(file);
             default ->
                 throw new InvalidDocumentException(
                         List.of(
@@ -68,7 +72,17 @@
         }
     }
 
-    private static void change(Path file) throws InvalidDocumentException {
+    /**
+     * Returns why a file could not be read. A mismatch can only be text after the document; its own message names
+     * classes.
+     */
+    private static String reason(IOException e) {
+        return e instanceof MismatchedInputException
+                ? "more text follows the document"
+                : String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+    }
+
+    private static void checkChange(Path file) throws InvalidDocumentException {
         try {
             Change.parse(file.toString(), Files.readString(file));
         } catch (IOException e) {
--- a/cli/src/main/java/calicovale/cli/DirectoryCommand.java
+++ b/cli/src/main/java/calicovale/cli/DirectoryCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Owns {@code calicovale directory}: one stand-in box directory with the list of its settings. */
+/** The command {@code calicovale directory}, which runs one stand-in box directory with the boxes in its settings. */
 @Command(name = "directory", description = "Runs one stand-in box directory.", mixinStandardHelpOptions = true)
 final class DirectoryCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "settings, a JSON file")
@@ -27,6 +27,6 @@
                     return directory.start();
                 }));
         Thread.currentThread().join();
-        return Main.WELL;
+        return Main.OK;
     }
 }
--- a/cli/src/main/java/calicovale/cli/FrontCommand.java
+++ b/cli/src/main/java/calicovale/cli/FrontCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Owns {@code calicovale front}: one session manager until SIGTERM, which drains it. */
+/** The command {@code calicovale front}, which runs one session manager until SIGTERM drains it. */
 @Command(
         name = "front",
         description = "Runs one session manager; SIGTERM drains and ends it.",
@@ -35,6 +35,6 @@
                 "drain");
         Runtime.getRuntime().addShutdownHook(hook);
         ended.await();
-        return Main.WELL;
+        return Main.OK;
     }
 }
--- a/cli/src/main/java/calicovale/cli/KeyCommand.java
+++ b/cli/src/main/java/calicovale/cli/KeyCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Owns {@code calicovale key}: the keys by which managers of a group know each other. */
+/** The command {@code calicovale key}, which manages the keys by which managers of a group authenticate each other. */
 @Command(
         name = "key",
         description = "Makes, certifies and revokes the keys of a group's members.",
@@ -34,7 +34,7 @@
         throw new ParameterException(spec.commandLine(), "one of new, sign, revoke is expected");
     }
 
-    private static String name(CommandSpec spec, String member) {
+    private static String checkMemberName(CommandSpec spec, String member) {
         if (!member.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
             throw new ParameterException(
                     spec.commandLine(), "--member: letters, digits, dots, dashes, at most 64, are expected");
@@ -42,14 +42,14 @@
         return member;
     }
 
-    /** A file of a roster appears whole or not at all: members read the folder at any time. */
-    private static void place(Path file, String text) throws IOException {
-        Path next = file.resolveSibling(file.getFileName() + ".next");
-        Files.writeString(next, text + "\n");
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Writes a file of a roster atomically, because members read the folder at any time. */
+    private static void writeAtomically(Path file, String text) throws IOException {
+        Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
+        Files.writeString(temporaryFile, text + "\n");
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static String id(byte[] key) {
+    private static String keyId(byte[] key) {
         return Long.toHexString(Ed25519.keyId(key));
     }
 
@@ -58,7 +58,7 @@
             description = "Makes a pair: the private key goes into the file, the public one is listed in the roster's "
                     + "folder or, without one, printed.",
             mixinStandardHelpOptions = true)
-    int make(
+    int newKey(
             @Option(
                             names = "--member",
                             required = true,
@@ -68,7 +68,7 @@
             @Option(names = "--roster", description = "the roster's folder, where keys count by themselves")
                     Path roster)
             throws IOException, GeneralSecurityException, InvalidDocumentException {
-        List<String> made = KeyDocuments.make(name(spec, member));
+        List<String> documents = KeyDocuments.make(checkMemberName(spec, member));
         if (roster != null && !Files.isDirectory(roster)) {
             throw new ParameterException(spec.commandLine(), "--roster: a folder is expected: " + roster);
         }
@@ -76,21 +76,23 @@
             Files.writeString(
                     Files.createFile(
                             out, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"))),
-                    made.get(0) + "\n");
+                    documents.get(0) + "\n");
         } catch (FileAlreadyExistsException e) {
             throw new ParameterException(spec.commandLine(), "--out: a file that is not there yet is expected: " + out);
         }
         if (roster != null) {
-            place(roster.resolve(member + "-" + id(KeyDocuments.pair(out).publicKey()) + ".json"), made.get(1));
+            writeAtomically(
+                    roster.resolve(member + "-" + keyId(KeyDocuments.pair(out).publicKey()) + ".json"),
+                    documents.get(1));
         }
         spec.commandLine()
                 .getOut()
                 .println(Ed25519.toBase64Url(KeyDocuments.pair(out).publicKey()));
         spec.commandLine().getOut().flush();
-        return Main.WELL;
+        return Main.OK;
     }
 
-    private byte[] publicKey(String text) {
+    private byte[] parsePublicKey(String text) {
         try {
             return Ed25519.rawPublicKey(Ed25519.publicKey(text));
         } catch (IllegalArgumentException e) {
@@ -119,19 +121,19 @@
         if (days < 1 || days > 10_000) {
             throw new ParameterException(spec.commandLine(), "--days: 1 to 10000 are expected");
         }
-        byte[] raw = publicKey(key);
-        long now = System.currentTimeMillis();
-        // members' clocks differ: one that is behind must take it from now on, too
-        place(
-                roster.resolve(name(spec, member) + "-" + id(raw) + ".json"),
+        byte[] publicKey = parsePublicKey(key);
+        long nowMs = System.currentTimeMillis();
+        // valid from an hour ago, so that members whose clocks are behind accept the certificate at once
+        writeAtomically(
+                roster.resolve(checkMemberName(spec, member) + "-" + keyId(publicKey) + ".json"),
                 KeyDocuments.certificate(
                         KeyDocuments.pair(authority).privateKey(),
                         group,
                         member,
-                        raw,
-                        now - TimeUnit.HOURS.toMillis(1),
-                        now + TimeUnit.DAYS.toMillis(days)));
-        return Main.WELL;
+                        publicKey,
+                        nowMs - TimeUnit.HOURS.toMillis(1),
+                        nowMs + TimeUnit.DAYS.toMillis(days)));
+        return Main.OK;
     }
 
     @Command(
@@ -144,11 +146,11 @@
             @Option(names = "--roster", required = true, description = "the roster's folder") Path roster,
             @Parameters(description = "the public key") String key)
             throws IOException, InvalidDocumentException {
-        byte[] raw = publicKey(key);
-        place(
-                roster.resolve("revoked-" + id(raw) + ".json"),
+        byte[] publicKey = parsePublicKey(key);
+        writeAtomically(
+                roster.resolve("revoked-" + keyId(publicKey) + ".json"),
                 KeyDocuments.revocation(
-                        authority == null ? null : KeyDocuments.pair(authority).privateKey(), raw));
-        return Main.WELL;
+                        authority == null ? null : KeyDocuments.pair(authority).privateKey(), publicKey));
+        return Main.OK;
     }
 }
--- a/cli/src/main/java/calicovale/cli/Main.java
+++ b/cli/src/main/java/calicovale/cli/Main.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Owns the command line: {@code bin/calicovale}. */
+/** Entry point of the command line {@code bin/calicovale}. */
 @Command(
         name = "calicovale",
         description = "A session front: places video sessions and shapes them.",
@@ -27,11 +27,11 @@
             MembersCommand.class
         })
 public final class Main implements Callable<Integer> {
-    /** All is well. */
-    public static final int WELL = 0;
-    /** A rule was broken or a run failed. */
-    public static final int BROKEN = 1;
-    /** Bad input or usage. */
+    /** Exit status if the command succeeded. */
+    public static final int OK = 0;
+    /** Exit status if a rule was broken or the command failed. */
+    public static final int FAILED = 1;
+    /** Exit status if the input or the usage is invalid. */
     public static final int BAD_INPUT = 2;
 
     @Spec
@@ -42,21 +42,21 @@
         throw new ParameterException(spec.commandLine(), "a command is expected");
     }
 
-    /** Runs the command line and gives its exit status. */
+    /** Runs a command line and returns its exit status. */
     public static int run(String... args) {
-        CommandLine line = new CommandLine(new Main());
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
+        CommandLine commandLine = new CommandLine(new Main());
+        commandLine.setExecutionExceptionHandler((e, command, parsed) -> {
             if (e instanceof InvalidDocumentException invalid) {
                 invalid.faults().forEach(fault -> command.getErr().println(fault));
                 return BAD_INPUT;
             }
             command.getErr().println(command.getCommandName() + ": " + e);
-            return BROKEN;
+            return FAILED;
         });
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
-    /** Ends the process with the exit status. */
+    /** Runs a command line and exits the process with its exit status. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
--- a/cli/src/main/java/calicovale/cli/ManagerCommand.java
+++ b/cli/src/main/java/calicovale/cli/ManagerCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Owns {@code calicovale manager}: one live session manager until SIGTERM, which drains it. */
+/** The command {@code calicovale manager}, which runs one live session manager until SIGTERM drains it. */
 @Command(
         name = "manager",
         description = "Runs one live session manager; SIGHUP reads its configuration again, SIGTERM drains it.",
--- a/cli/src/main/java/calicovale/cli/MembersCommand.java
+++ b/cli/src/main/java/calicovale/cli/MembersCommand.java
@@ -17,14 +17,17 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Owns {@code calicovale members}: a running manager's view of its group, and what the group says of boxes. */
+/**
+ * The command {@code calicovale members}, which prints a running manager's view of its group and of claims on boxes.
+ */
 @Command(
         name = "members",
         description = "Prints a running manager's view of its group: members, claims on boxes, what it "
                 + "believes of them.",
         mixinStandardHelpOptions = true)
 final class MembersCommand implements Callable<Integer> {
-    private static final Duration WAIT = Duration.ofSeconds(10);
+    /** Timeout of the connection and of the request. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
     @Option(names = "--manager", required = true, description = "operators' address of the manager")
     private String manager;
@@ -41,46 +44,46 @@
             throw new ParameterException(
                     spec.commandLine(), "--manager: a loopback address and port are expected, not " + manager);
         }
-        HttpResponse<String> answer;
+        HttpResponse<String> response;
         try {
-            answer = HttpClient.newBuilder()
+            response = HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(WAIT)
+                    .connectTimeout(REQUEST_TIMEOUT)
                     .build()
                     .send(
                             HttpRequest.newBuilder(URI.create("http://" + manager + "/v1/members"))
-                                    .timeout(WAIT)
+                                    .timeout(REQUEST_TIMEOUT)
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
         } catch (IOException e) {
             spec.commandLine().getErr().println(manager + ": " + e);
-            return Main.BROKEN;
+            return Main.FAILED;
         }
-        if (answer.statusCode() != 200) {
-            spec.commandLine().getErr().println(manager + ": " + answer.statusCode() + " " + answer.body());
-            return Main.BROKEN;
+        if (response.statusCode() != 200) {
+            spec.commandLine().getErr().println(manager + ": " + response.statusCode() + " " + response.body());
+            return Main.FAILED;
         }
-        JsonNode n = Documents.MAPPER.readTree(answer.body());
+        JsonNode view = Documents.MAPPER.readTree(response.body());
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
-            out.println(n.toPrettyString());
+            out.println(view.toPrettyString());
         } else {
-            print(n, out);
+            printView(view, out);
         }
         out.flush();
-        return Main.WELL;
+        return Main.OK;
     }
 
-    private static void print(JsonNode n, PrintWriter out) {
+    private static void printView(JsonNode view, PrintWriter out) {
         out.printf(
                 Locale.ROOT,
                 "group %s as %s sees it from %s: %d present, quorum %d, health %d%n",
-                n.get("group").asText(),
-                n.get("member").asText(),
-                n.get("address").asText(),
-                n.get("present").asInt(),
-                n.get("quorum").asInt(),
-                n.get("health").asInt());
+                view.get("group").asText(),
+                view.get("member").asText(),
+                view.get("address").asText(),
+                view.get("present").asInt(),
+                view.get("quorum").asInt(),
+                view.get("health").asInt());
         out.printf(
                 Locale.ROOT,
                 "%-24s%-22s%-9s%10s%16s%7s%n",
@@ -90,28 +93,28 @@
                 "since s",
                 "incarnation",
                 "voice");
-        for (JsonNode m : n.get("members")) {
+        for (JsonNode member : view.get("members")) {
             out.printf(
                     Locale.ROOT,
                     "%-24s%-22s%-9s%10.1f%16d%7.2f%n",
-                    m.get("id").asText(),
-                    m.get("address").asText(),
-                    m.get("state").asText(),
-                    m.get("sinceS").asDouble(),
-                    m.get("incarnation").asLong(),
-                    m.get("voice").asDouble());
+                    member.get("id").asText(),
+                    member.get("address").asText(),
+                    member.get("state").asText(),
+                    member.get("sinceS").asDouble(),
+                    member.get("incarnation").asLong(),
+                    member.get("voice").asDouble());
         }
-        for (JsonNode c : n.get("claims")) {
+        for (JsonNode claim : view.get("claims")) {
             out.printf(
                     Locale.ROOT,
                     "box %d: %s claims %s, strength %.2f, seen %.1f s ago%n",
-                    c.get("box").asLong(),
-                    c.get("by").asText(),
-                    c.get("kind").asText(),
-                    c.get("strength").asDouble(),
-                    c.get("seenS").asDouble());
+                    claim.get("box").asLong(),
+                    claim.get("by").asText(),
+                    claim.get("kind").asText(),
+                    claim.get("strength").asDouble(),
+                    claim.get("seenS").asDouble());
         }
-        n.get("evidence")
+        view.get("evidence")
                 .properties()
                 .forEach(e -> out.printf(
                         Locale.ROOT,
--- a/cli/src/main/java/calicovale/cli/RehearseCommand.java
+++ b/cli/src/main/java/calicovale/cli/RehearseCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Owns {@code calicovale rehearse}: a scripted day through real sockets, judged by what crossed them. */
+/** The command {@code calicovale rehearse}, which runs a scripted day over real sockets and judges the traffic. */
 @Command(
         name = "rehearse",
         description = "Runs a scripted day through real sockets and judges the six rules.",
@@ -39,27 +39,29 @@
         if (seed != null) {
             day = day.withSeed(seed);
         }
-        Path folder = out != null ? out : Files.createTempDirectory("calicovale-rehearsal");
-        Files.createDirectories(folder);
+        Path outputFolder = out != null ? out : Files.createTempDirectory("calicovale-rehearsal");
+        Files.createDirectories(outputFolder);
         Report report;
-        // what managers keep is this run's alone: left behind by another it would tell of changes that this day does
-        // not have
-        Path state = Files.createTempDirectory("calicovale-state");
-        try (Rehearsal run = new Rehearsal(day, state)) {
-            run.start();
-            run.play();
-            run.counters().forEach((name, count) -> spec.commandLine().getErr().println(name + " " + count));
-            run.finish();
-            report = run.report();
+        // the managers' state is new for each run, because state of another run could contain changes that this day
+        // does not have
+        Path stateFolder = Files.createTempDirectory("calicovale-state");
+        try (Rehearsal rehearsal = new Rehearsal(day, stateFolder)) {
+            rehearsal.start();
+            rehearsal.play();
+            rehearsal
+                    .counters()
+                    .forEach((name, count) -> spec.commandLine().getErr().println(name + " " + count));
+            rehearsal.finish();
+            report = rehearsal.report();
             if (out != null) {
-                run.tape().write(folder.resolve("tape.jsonl"));
+                rehearsal.tape().write(outputFolder.resolve("tape.jsonl"));
                 Files.writeString(
-                        folder.resolve("report.json"),
+                        outputFolder.resolve("report.json"),
                         Documents.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(report.json()) + "\n");
             }
         }
         spec.commandLine().getOut().print(report.table());
         spec.commandLine().getOut().flush();
-        return report.kept() ? Main.WELL : Main.BROKEN;
+        return report.kept() ? Main.OK : Main.FAILED;
     }
 }
--- a/cli/src/main/java/calicovale/cli/package-info.java
+++ b/cli/src/main/java/calicovale/cli/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns the command line and the set-up of logs. It must not know more of the other modules than how to start them.
+ * The command line and the configuration of logs. This package must not depend on other modules more than it needs to
+ * start them.
  */
 package calicovale.cli;
--- a/cli/src/test/java/calicovale/cli/ArrowsTest.java
+++ b/cli/src/test/java/calicovale/cli/ArrowsTest.java
@@ -10,15 +10,15 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Arrows between modules point only downward, and what decides has no I/O. */
+/** Checks that modules depend only on lower modules, and that packages that make decisions do no I/O. */
 class ArrowsTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses MAIN_CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("calicovale");
 
     @Test
-    void modulesUseOnlyThoseBelow() {
-        assertTrue(ALL.size() > 60, "only " + ALL.size() + " classes were found");
+    void modulesDependOnlyOnLowerModules() {
+        assertTrue(MAIN_CLASSES.size() > 60, "only " + MAIN_CLASSES.size() + " classes were found");
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("calicovale..")
                 .layer("controller")
@@ -61,11 +61,11 @@
                 .mayOnlyAccessLayers("protocols")
                 .whereLayer("rehearsal")
                 .mayOnlyAccessLayers("controller", "host", "protocols", "front", "standin", "gossip")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
-    void whatDecidesHasNoInputAndOutput() {
+    void decisionPackagesDoNotDependOnInputAndOutput() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -84,11 +84,11 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "java.net..", "java.nio.channels..", "java.nio.file..", "calicovale.protocols.net..")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
-    void insideTheFrontTheBoxAndDirectorySidesDoNotKnowPlayers() {
+    void frontPackagesForBoxesAndDirectoryDoNotDependOnPlayers() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -102,11 +102,11 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("calicovale.front.player")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
-    void insideTheManagerTheServersAndTheBusDoNotKnowViewers() {
+    void managerPackagesForServersAndBusDoNotDependOnViewers() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -117,25 +117,25 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("calicovale.manager.viewers")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
-    void protocolsDoNotKnowEachOther() {
+    void protocolPackagesDoNotDependOnEachOther() {
         classes()
                 .that()
                 .resideInAPackage("calicovale.protocols.hls")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("calicovale.protocols.hls", "java..")
-                .check(ALL);
+                .check(MAIN_CLASSES);
         classes()
                 .that()
                 .resideInAPackage("calicovale.protocols.signal")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("calicovale.protocols.signal", "java..")
-                .check(ALL);
+                .check(MAIN_CLASSES);
         noClasses()
                 .that()
                 .resideInAPackage("calicovale.protocols.net")
@@ -143,6 +143,6 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "calicovale.protocols.http", "calicovale.protocols.hls", "calicovale.protocols.signal")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 }
--- a/cli/src/test/java/calicovale/cli/KeysAndMembersTest.java
+++ b/cli/src/test/java/calicovale/cli/KeysAndMembersTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The way of operators with keys: made, certified, used by a manager whose view is then printed, revoked. */
+/** Tests the life cycle of keys: generated, certified, used by a manager whose view is printed, and revoked. */
 class KeysAndMembersTest {
     @TempDir
     private Path folder;
@@ -32,13 +32,13 @@
     private int run(Object command, Object... args) {
         out.getBuffer().setLength(0);
         err.getBuffer().setLength(0);
-        CommandLine line =
+        CommandLine commandLine =
                 new CommandLine(command).setOut(new PrintWriter(out, true)).setErr(new PrintWriter(err, true));
-        List<String> texts = new ArrayList<>();
+        List<String> arguments = new ArrayList<>();
         for (Object arg : args) {
-            texts.add(arg.toString());
+            arguments.add(arg.toString());
         }
-        return line.execute(texts.toArray(String[]::new));
+        return commandLine.execute(arguments.toArray(String[]::new));
     }
 
     private FrontSettings settings(String authority) throws InvalidDocumentException {
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aCertifiedMembersViewIsPrintedAndARevokedOneDoesNotStart() throws Exception {
+    void viewOfCertifiedMemberIsPrintedAndRevokedMemberDoesNotStart() throws Exception {
         Path roster = Files.createDirectory(folder.resolve("roster"));
         assertEquals(
                 0, run(new KeyCommand(), "new", "--member", "operators", "--out", folder.resolve("operators.key")));
@@ -80,12 +80,12 @@
                         "--roster",
                         roster,
                         "short"));
-        InvalidDocumentException without = assertThrows(
+        InvalidDocumentException uncertified = assertThrows(
                 InvalidDocumentException.class,
                 () -> new FrontProcess(settings(authority), Clock.system(), new SplittableRandom(1), Tap.NONE));
         assertTrue(
-                without.faults().get(0).contains("a certificate, in force"),
-                without.faults().toString());
+                uncertified.faults().get(0).contains("a certificate, in force"),
+                uncertified.faults().toString());
         assertEquals(
                 0,
                 run(
@@ -102,13 +102,13 @@
                         key));
         try (FrontProcess front =
                 new FrontProcess(settings(authority), Clock.system(), new SplittableRandom(1), Tap.NONE)) {
-            String at = "127.0.0.1:" + front.operatorsAddress().getPort();
-            assertEquals(0, run(new MembersCommand(), "--manager", at));
+            String operatorsAddress = "127.0.0.1:" + front.operatorsAddress().getPort();
+            assertEquals(0, run(new MembersCommand(), "--manager", operatorsAddress));
             assertTrue(out.toString().startsWith("group river as north-1 sees it"), out.toString());
             assertTrue(
                     out.toString().lines().anyMatch(l -> l.startsWith("north-1 ") && l.contains(" alive ")),
                     out.toString());
-            assertEquals(0, run(new MembersCommand(), "--json", "--manager", at));
+            assertEquals(0, run(new MembersCommand(), "--json", "--manager", operatorsAddress));
             assertTrue(out.toString().contains("\"dropped-signature\" : 0"), out.toString());
             assertEquals(
                     1,
@@ -131,7 +131,7 @@
         assertThrows(
                 InvalidDocumentException.class,
                 () -> new FrontProcess(settings(authority), Clock.system(), new SplittableRandom(1), Tap.NONE));
-        // one that the operators did not sign revokes nothing
+        // a revocation that the operators did not sign has no effect
         assertEquals(0, run(new KeyCommand(), "revoke", "--roster", roster, key));
         new FrontProcess(settings(authority), Clock.system(), new SplittableRandom(1), Tap.NONE).close();
         assertEquals(
@@ -151,19 +151,19 @@
     }
 
     @Test
-    void badSettingsOfAGroupAreToldAllAtOnce() {
-        InvalidDocumentException e = assertThrows(
+    void allFaultsOfGossipSettingsAreReportedAtOnce() {
+        InvalidDocumentException invalid = assertThrows(
                 InvalidDocumentException.class,
                 () -> FrontSettings.parse(
                         "front", Files.readString(Path.of("src", "test", "resources", "bad-gossip.json"))));
-        for (String place :
+        for (String location :
                 List.of("/gossip: /seeds/0", "/gossip: /member", "/gossip: /keyFile", "/gossip: /claims/quorumPart")) {
             assertTrue(
-                    e.faults().stream()
-                            .anyMatch(f -> f.contains(place.substring(0, place.lastIndexOf('/')))
-                                    && f.contains(place.substring(place.lastIndexOf('/') + 1))),
-                    place + " in " + e.faults());
+                    invalid.faults().stream()
+                            .anyMatch(f -> f.contains(location.substring(0, location.lastIndexOf('/')))
+                                    && f.contains(location.substring(location.lastIndexOf('/') + 1))),
+                    location + " in " + invalid.faults());
         }
-        assertFalse(e.faults().stream().anyMatch(f -> f.contains("rosterFolder")));
+        assertFalse(invalid.faults().stream().anyMatch(f -> f.contains("rosterFolder")));
     }
 }
--- a/cli/src/test/java/calicovale/cli/MainTest.java
+++ b/cli/src/test/java/calicovale/cli/MainTest.java
@@ -32,28 +32,28 @@
     private Path folder;
 
     @AfterEach
-    void end() {
+    void stopProcesses() {
         started.forEach(Process::destroyForcibly);
     }
 
     @Test
-    void usageAndBadInputEndWithTwo() throws Exception {
+    void usageErrorsAndBadInputExitWithTwo() throws Exception {
         assertEquals(2, Main.run());
         assertEquals(2, Main.run("none"));
         assertEquals(2, Main.run("rehearse", folder.resolve("absent.json").toString()));
         Path file = Files.writeString(
                 folder.resolve("bad.json"), "{\"schema\":\"calicovale/box/1\",\"id\":-1,\"streams\":0}");
         StringWriter err = new StringWriter();
-        CommandLine line = new CommandLine(new CheckCommand()).setErr(new PrintWriter(err, true));
-        assertEquals(2, line.execute(file.toString()));
-        for (String place : List.of("/id", "/streams", "linkKb", "listen")) {
-            assertTrue(err.toString().contains(place), place + " in " + err);
+        CommandLine commandLine = new CommandLine(new CheckCommand()).setErr(new PrintWriter(err, true));
+        assertEquals(2, commandLine.execute(file.toString()));
+        for (String location : List.of("/id", "/streams", "linkKb", "listen")) {
+            assertTrue(err.toString().contains(location), location + " in " + err);
         }
         assertTrue(err.toString().lines().allMatch(l -> l.startsWith(file.toString())));
     }
 
     @Test
-    void theDaysOfThisRepositoryAreWellFormed() throws Exception {
+    void scriptedDaysOfThisRepositoryAreValid() throws Exception {
         List<String> args = new ArrayList<>(List.of("check"));
         try (var days = Files.list(Path.of("..", "days"))) {
             days.map(Path::toString).forEach(args::add);
@@ -62,10 +62,10 @@
         assertEquals(0, Main.run(args.toArray(String[]::new)));
     }
 
-    private record Running(Process process, String address, BufferedReader out) {}
+    private record RunningProcess(Process process, String address, BufferedReader out) {}
 
-    /** Starts the program as a process of its own and waits until it listens. */
-    private Running start(String... args) throws Exception {
+    /** Starts the program as a separate process and waits until it listens. */
+    private RunningProcess start(String... args) throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -80,26 +80,27 @@
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         String line = out.readLine();
         assertTrue(line != null && line.startsWith("listening on "), line);
-        return new Running(process, line.substring(line.indexOf('/') + 1), out);
+        return new RunningProcess(process, line.substring(line.indexOf('/') + 1), out);
     }
 
     @Test
-    void processesOfTheirOwnServeASessionAndSigtermAnswersWhatIsOwed() throws Exception {
+    void separateProcessesServeASessionAndSigtermAnswersPendingRequests() throws Exception {
         Path box = Files.writeString(
                 folder.resolve("box.json"),
                 "{\"id\":1,\"listen\":{\"host\":\"127.0.0.1\",\"port\":0},"
                         + "\"streams\":40,\"linkKb\":900,\"setUpMs\":400}");
-        String boxAt = start("box", "--config", box.toString()).address();
+        String boxAddress = start("box", "--config", box.toString()).address();
         Path directory = Files.writeString(
                 folder.resolve("directory.json"),
-                "{\"listen\":{\"host\":\"127.0.0.1\",\"port\":0}," + "\"boxes\":[{\"id\":1,\"address\":\"" + boxAt
+                "{\"listen\":{\"host\":\"127.0.0.1\",\"port\":0}," + "\"boxes\":[{\"id\":1,\"address\":\"" + boxAddress
                         + "\"}]}");
-        String directoryAt =
+        String directoryAddress =
                 start("directory", "--config", directory.toString()).address();
-        String port = directoryAt.substring(directoryAt.indexOf(':') + 1);
-        int operators;
-        try (java.net.ServerSocket free = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            operators = free.getLocalPort();
+        String directoryPort = directoryAddress.substring(directoryAddress.indexOf(':') + 1);
+        int operatorsPort;
+        try (java.net.ServerSocket freePort =
+                new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+            operatorsPort = freePort.getLocalPort();
         }
         Path front = Files.writeString(folder.resolve("front.json"), """
                 {"manager": {"number": 0, "of": 1}, "operators": {"host": "127.0.0.1", "port": %s}, "listen": {"host": "127.0.0.1", "port": 0},
@@ -109,53 +110,55 @@
                  "rules": {"coldFrom": 0.3, "warmAfterMs": 6000, "tipMultiple": 4, "tipMs": 1000, "drainGraceMs": 2000},
                  "media": {"rungKb": [10, 20, 45], "rungWorth": [0.3, 0.6, 1], "linkKbPerWeight": 900, "kindStreams": [40],
                    "noteDelayMs": 700, "noteEveryMs": 3000}}
-                """.formatted(operators, port));
-        Running manager = start("front", "--config", front.toString());
+                """.formatted(operatorsPort, directoryPort));
+        RunningProcess manager = start("front", "--config", front.toString());
         HttpClient client =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         URI uri = URI.create("http://" + manager.address() + "/v1/lectures/t/index.m3u8?class=talk");
         HttpRequest request = HttpRequest.newBuilder(uri).build();
-        HttpResponse<String> first = client.send(request, HttpResponse.BodyHandlers.ofString());
-        for (int i = 0; first.statusCode() == 503 && i < 100; i++) {
-            // the list may still be on its way
+        HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+        for (int i = 0; response.statusCode() == 503 && i < 100; i++) {
+            // the manager may not have received the list of boxes yet
             Thread.sleep(20);
-            first = client.send(request, HttpResponse.BodyHandlers.ofString());
+            response = client.send(request, HttpResponse.BodyHandlers.ofString());
         }
-        assertEquals(200, first.statusCode(), first.body());
+        assertEquals(200, response.statusCode(), response.body());
         Path change = Files.writeString(
                 folder.resolve("change.json"),
                 "{\"schema\":\"calicovale/change/1\",\"id\":\"c1\","
                         + "\"piece\":{\"title\":\"p\",\"renditions\":[{\"rung\":0,\"rateKb\":5,\"durationsS\":[2]}]},"
                         + "\"start\":{\"lectureS\":4},\"validUntilMs\":9e12}");
-        String to = "127.0.0.1:" + operators;
+        String operatorsAddress = "127.0.0.1:" + operatorsPort;
         assertEquals(0, Main.run("check", change.toString()));
-        assertEquals(0, Main.run("change", "add", "--manager", to, change.toString()));
-        assertEquals(0, Main.run("change", "list", "--manager", to));
-        assertEquals(0, Main.run("change", "show", "--manager", to, "c1"));
-        assertEquals(1, Main.run("change", "show", "--manager", to, "c2"));
+        assertEquals(0, Main.run("change", "add", "--manager", operatorsAddress, change.toString()));
+        assertEquals(0, Main.run("change", "list", "--manager", operatorsAddress));
+        assertEquals(0, Main.run("change", "show", "--manager", operatorsAddress, "c1"));
+        assertEquals(1, Main.run("change", "show", "--manager", operatorsAddress, "c2"));
         String key = folder.resolve("key").toString();
         assertEquals(0, Main.run("change", "key", "--out", key));
-        assertEquals(2, Main.run("change", "key", "--out", key), "a key is never written over");
+        assertEquals(2, Main.run("change", "key", "--out", key), "an existing key file is never overwritten");
         assertEquals(0, Main.run("change", "sign", "--key", key, "--name", "ops", change.toString()));
         assertEquals(2, Main.run("change", "sign", "--key", change.toString(), "--name", "ops", change.toString()));
-        assertEquals(0, Main.run("change", "withdraw", "--manager", to, "c1"));
-        assertEquals(1, Main.run("change", "withdraw", "--manager", to, "c1"));
+        assertEquals(0, Main.run("change", "withdraw", "--manager", operatorsAddress, "c1"));
+        assertEquals(1, Main.run("change", "withdraw", "--manager", operatorsAddress, "c1"));
         Files.writeString(change, "{\"schema\":\"calicovale/change/1\"}");
-        assertEquals(2, Main.run("change", "add", "--manager", to, change.toString()));
+        assertEquals(2, Main.run("change", "add", "--manager", operatorsAddress, change.toString()));
         assertEquals(2, Main.run("change", "list", "--manager", "192.0.2.1:80"));
-        CompletableFuture<HttpResponse<String>> owed = client.sendAsync(request, HttpResponse.BodyHandlers.ofString());
-        URI status = URI.create("http://" + manager.address() + "/v1/status");
-        String text = "";
-        for (int i = 0; !text.contains("\"pending\":1") && !owed.isDone() && i < 1000; i++) {
-            text = client.send(HttpRequest.newBuilder(status).build(), HttpResponse.BodyHandlers.ofString())
+        CompletableFuture<HttpResponse<String>> pendingResponse =
+                client.sendAsync(request, HttpResponse.BodyHandlers.ofString());
+        URI statusUri = URI.create("http://" + manager.address() + "/v1/status");
+        String statusText = "";
+        for (int i = 0; !statusText.contains("\"pending\":1") && !pendingResponse.isDone() && i < 1000; i++) {
+            statusText = client.send(HttpRequest.newBuilder(statusUri).build(), HttpResponse.BodyHandlers.ofString())
                     .body();
         }
         manager.process().destroy();
-        int answer = owed.get(30, TimeUnit.SECONDS).statusCode();
-        assertTrue(answer == 200 || answer == 503, "" + answer);
+        int finalStatus = pendingResponse.get(30, TimeUnit.SECONDS).statusCode();
+        assertTrue(finalStatus == 200 || finalStatus == 503, "" + finalStatus);
         assertTrue(manager.process().waitFor(30, TimeUnit.SECONDS));
         List<String> log = Files.readAllLines(folder.resolve("err-2"));
         assertTrue(log.stream().allMatch(l -> l.startsWith("{")), "logs are JSON lines");
-        assertTrue(log.stream().anyMatch(l -> l.contains("\"session\":\"m0-")), "a session's lines carry its id");
+        assertTrue(
+                log.stream().anyMatch(l -> l.contains("\"session\":\"m0-")), "log lines of a session contain its id");
     }
 }
