--- a/stitch/src/main/java/calicovale/stitch/ChangeBook.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeBook.java
@@ -182,7 +182,7 @@
         return keys;
     }
 
-    /** Restores a showing by a key that {@link #shown(Change, Facts)} returned. Returns false at the maximum. */
+    /** Restores a showing by a key that {@link #shown} returned. Returns false at the maximum. */
     public boolean remember(String changeId, String showingKey) {
         if (showingCount >= maxShowings) {
             return false;
--- a/stitch/src/main/java/calicovale/stitch/SessionLedger.java
+++ b/stitch/src/main/java/calicovale/stitch/SessionLedger.java
@@ -52,7 +52,7 @@
      * A record that a change was shown.
      *
      * @param change id of the change
-     * @param name key that {@link ChangeBook#shown(Change, ChangeBook.Facts)} returned
+     * @param name key that {@link ChangeBook#shown} returned
      */
     public record Showing(String change, String name) {}
 
