--- /dev/null
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
@@ -0,0 +1,387 @@
+package calicovale.manager.viewers;
+
+import calicovale.manager.RateLimitedLog;
+import calicovale.manager.sessions.Session;
+import calicovale.manager.sessions.Session.State;
+import calicovale.manager.sessions.SessionStateTable;
+import calicovale.protocols.net.Connection;
+import calicovale.protocols.net.EventLoop;
+import calicovale.protocols.signal.Cause;
+import calicovale.protocols.signal.Message;
+import calicovale.protocols.signal.MessageType;
+import calicovale.protocols.signal.Parameter;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/**
+ * Accepts connections of viewers' fronts, bounds their number, and makes sure that each valid set-up gets exactly
+ * one answer. Invalid messages are answered with an error of the protocol or by closing the connection; other
+ * connections are not affected.
+ */
+public final class ViewerGateway {
+    /** Kind that the event loop gets for viewers' connections. */
+    private static final String CONNECTION_KIND = "viewer";
+    /** Interval, in ms, between checks for connections without valid messages. */
+    private static final double SWEEP_INTERVAL_MS = 200;
+    /** Time, in ms, for which a release waits for a connection to be sent on; it is due after 8 s. */
+    private static final double RELEASE_QUEUE_TIMEOUT_MS = 7000;
+    /**
+     * Number of protocol faults after which a connection is closed if they outnumber its valid messages. This stops
+     * a peer that sends only invalid messages at full speed, and keeps a front's connection open when one of its many
+     * viewers is faulty.
+     */
+    private static final int MAX_PROTOCOL_FAULTS = 8;
+    /** Upper bound of releases that wait for a connection. */
+    private static final int MAX_QUEUED_RELEASES = 4096;
+
+    /** Receives the requests of viewers. */
+    public interface Listener {
+        /** Reports a valid set-up. */
+        void sessionRequested(Session session, Request request);
+
+        /** Reports a hand-over: the session already plays at {@code server}. */
+        void sessionHandedOver(long sessionId, Session.Requester requester, Request request, String server);
+
+        /** Reports that a viewer gave up a set-up that was not answered yet. */
+        void setUpAbandoned(Session session);
+
+        /** Reports that a viewer ended a playing session. */
+        void sessionReleased(Session session);
+
+        /** Reports that a viewer released a session that this manager does not hold. */
+        void unknownSessionReleased(long sessionId);
+    }
+
+    /**
+     * The parameters of a set-up for the controller.
+     *
+     * @param classIndex index of the class in the settings
+     * @param giveUpMs clock time at which the viewer gives up, in ms
+     * @param homeCell first cell that holds the title
+     * @param span number of consecutive cells that hold it
+     * @param topRung highest rung that the viewer can use
+     * @param retry whether the set-up is a repeat
+     * @param returning whether the viewer comes again
+     */
+    public record Request(
+            int classIndex,
+            String title,
+            String viewer,
+            double giveUpMs,
+            int homeCell,
+            int span,
+            int topRung,
+            boolean retry,
+            boolean returning) {}
+
+    private record QueuedRelease(Message message, double untilMs) {}
+
+    private final EventLoop loop;
+    private final ViewerSettings settings;
+    private final SessionStateTable table;
+    private final RateLimitedLog log;
+    private final Listener listener;
+    private final Set<ViewerLink> links = new LinkedHashSet<>();
+    private final ArrayDeque<QueuedRelease> queuedReleases = new ArrayDeque<>();
+    private EventLoop.Listener listeningSocket;
+    private double answerDeadlineMs = Double.MAX_VALUE;
+
+    /** Creates a gateway, which listens after {@link #open}. */
+    public ViewerGateway(
+            EventLoop loop, ViewerSettings settings, SessionStateTable table, RateLimitedLog log, Listener listener) {
+        this.loop = loop;
+        this.settings = settings;
+        this.table = table;
+        this.log = log;
+        this.listener = listener;
+    }
+
+    double nowMs() {
+        return loop.clock().millis();
+    }
+
+    /** Listens and returns the bound address. Must be called on the loop. */
+    public InetSocketAddress open(InetSocketAddress address) throws IOException {
+        listeningSocket = loop.listen(address, CONNECTION_KIND, this::accept);
+        loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
+        return listeningSocket.address();
+    }
+
+    /**
+     * Returns whether nothing is left to do for viewers: all connections are accepted, no message is incomplete, no
+     * answer waits to be written and no release waits for a connection.
+     */
+    public boolean isQuiet() {
+        double nowMs = nowMs();
+        return listeningSocket.acceptQueueDrained()
+                && queuedReleases.isEmpty()
+                && links.stream()
+                        .allMatch(link -> link.connection.pendingBytes() == 0
+                                && (link.partialSinceMs == 0
+                                        || nowMs - link.partialSinceMs > settings.validMessageTimeoutMs()));
+    }
+
+    /** Sets the clock time, in ms, by which all further set-ups must be answered. */
+    public void setAnswerDeadline(double deadlineMs) {
+        answerDeadlineMs = deadlineMs;
+    }
+
+    /** Closes the sending side of all connections, because a full close could discard answers that are not read yet. */
+    public void closeGracefully() {
+        listeningSocket.close();
+        for (ViewerLink link : links) {
+            link.connection.shutdownOutputWhenDrained();
+        }
+    }
+
+    /** Returns the number of connections. */
+    public int linkCount() {
+        return links.size();
+    }
+
+    private Connection.Handler accept(Connection connection) {
+        if (links.size() >= settings.maxLinks() && !evictLeastValuableLink()) {
+            log.warn("viewer.refused-connection", links.size() + " connections are open, none can be closed");
+            return null;
+        }
+        ViewerLink link = new ViewerLink(this, connection, nowMs());
+        links.add(link);
+        return link;
+    }
+
+    /**
+     * Closes the connection of the lowest {@link ViewerLink#retentionRank}, among equals the one idle for longest.
+     * Connections with unanswered set-ups stay. Returns whether one was closed.
+     */
+    private boolean evictLeastValuableLink() {
+        ViewerLink least = null;
+        for (ViewerLink link : links) {
+            boolean ranksLower = least == null
+                    || link.retentionRank() < least.retentionRank()
+                    || link.retentionRank() == least.retentionRank() && link.lastUsedAtMs < least.lastUsedAtMs;
+            least = link.awaitingAnswer.isEmpty() && ranksLower ? link : least;
+        }
+        if (least != null) {
+            log.count("viewer.evicted");
+            least.connection.close();
+        }
+        return least != null;
+    }
+
+    // --- Received messages ---
+
+    void handle(ViewerLink link, Message message) {
+        switch (message.type()) {
+            case MessageType.IAM -> handleSetUp(link, message);
+            case MessageType.REL -> handleRelease(link, message);
+            case MessageType.UPT -> {
+                countValidMessage(link);
+                link.send(Message.of(MessageType.UPA, message.sessionId())
+                        .with(Parameter.CAUSE, new byte[] {Cause.PASSED}));
+            }
+            case MessageType.RLC, MessageType.ACM -> log.count("viewer.heard");
+            default ->
+                rejectMessage(
+                        link, message.sessionId(), Cause.TYPE_UNKNOWN, "unexpected message of type " + message.type());
+        }
+    }
+
+    private void countValidMessage(ViewerLink link) {
+        link.hasSentValidMessage = true;
+        link.validMessages++;
+    }
+
+    /** Counts a playing session of this connection, which shows that it belongs to a viewers' front. */
+    private void countPlayingSession(ViewerLink link) {
+        link.sessionsPlayed++;
+        sendQueuedReleases(link);
+    }
+
+    private void handleSetUp(ViewerLink link, Message message) {
+        SetUpRequest setUp = SetUpRequest.parse(message, settings);
+        if (setUp.rejectCause() != 0) {
+            rejectMessage(link, message.sessionId(), setUp.rejectCause(), setUp.rejectReason());
+            return;
+        }
+        Session held = table.get(message.sessionId());
+        double nowMs = nowMs();
+        Request request = new Request(
+                setUp.classIndex(),
+                setUp.title(),
+                setUp.viewer(),
+                Math.min(nowMs + setUp.waitMs(), answerDeadlineMs),
+                setUp.homeCell(),
+                setUp.span(),
+                setUp.topRung(),
+                setUp.retry(),
+                setUp.returning());
+        if (setUp.playingAt() != null) {
+            countValidMessage(link);
+            if (held == null && !table.isFull()) {
+                listener.sessionHandedOver(message.sessionId(), link, request, setUp.playingAt());
+            }
+            if (table.get(message.sessionId()) != null) {
+                countPlayingSession(link);
+            }
+            return;
+        }
+        if (held != null) {
+            rejectDuplicate(link, held);
+            return;
+        }
+        countValidMessage(link);
+        if (table.isFull() || link.awaitingAnswer.size() >= settings.maxSetUpsPerLink()) {
+            log.warn(
+                    table.isFull() ? "viewer.table-full" : "viewer.too-many-open",
+                    table.size() + " sessions are held, the set-up is refused");
+            Message refusal = Message.release(message.sessionId(), Cause.CONGESTION);
+            if (settings.retryAfterMs() > 0) {
+                refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) settings.retryAfterMs()));
+            }
+            link.send(refusal);
+            return;
+        }
+        Session session = table.request(
+                message.sessionId(),
+                link,
+                settings.classes().get(setUp.classIndex()),
+                setUp.title(),
+                setUp.description(),
+                request.giveUpMs());
+        link.awaitingAnswer.add(session);
+        // decided when all available input has been read, because a cancel or close may follow directly
+        loop.defer(EventLoop.Phase.DECISIONS, () -> {
+            if (session.state() == State.REQUESTED && !session.departed()) {
+                listener.sessionRequested(session, request);
+            }
+        });
+    }
+
+    /**
+     * Rejects a set-up with an id in use. On one connection both set-ups end, because their answers could not be told
+     * apart.
+     */
+    private void rejectDuplicate(ViewerLink link, Session held) {
+        if (held.requester() == link && link.awaitingAnswer.contains(held)) {
+            held.markDeparted();
+            link.awaitingAnswer.remove(held);
+            listener.setUpAbandoned(held);
+        }
+        rejectMessage(link, held.id(), Cause.INVALID_REFERENCE, "set-up with the id of a session that is already held");
+    }
+
+    private void handleRelease(ViewerLink link, Message message) {
+        Session session = table.get(message.sessionId());
+        link.send(Message.of(MessageType.RLC, message.sessionId()));
+        if (session == null) {
+            log.count("viewer.release-of-none");
+            listener.unknownSessionReleased(message.sessionId());
+        } else if (session.state() == State.PLAYING) {
+            listener.sessionReleased(session);
+        } else if (session.requester() == link && !session.departed()) {
+            link.awaitingAnswer.remove(session);
+            session.markDeparted();
+            listener.setUpAbandoned(session);
+        }
+    }
+
+    private void rejectMessage(ViewerLink link, long sessionId, int cause, String reason) {
+        log.warn("viewer.error", reason);
+        link.send(Message.release(sessionId, cause));
+        if (++link.protocolFaults >= MAX_PROTOCOL_FAULTS && link.protocolFaults > link.validMessages) {
+            log.count("viewer.too-many-faults");
+            link.connection.closeWhenDrained();
+        }
+    }
+
+    void rejectStream(ViewerLink link, String reason) {
+        log.warn("viewer.unreadable", reason);
+        link.send(Message.release(0, Cause.PROTOCOL_ERROR));
+        link.connection.closeWhenDrained();
+    }
+
+    /**
+     * Abandons the set-ups of a closed connection. The listener is called at the end of the loop's turn, because
+     * this may be called from within a write, during a decision.
+     */
+    void linkClosed(ViewerLink link) {
+        links.remove(link);
+        for (Session session : link.awaitingAnswer) {
+            session.markDeparted();
+            loop.defer(EventLoop.Phase.TERMINATIONS, () -> listener.setUpAbandoned(session));
+        }
+        link.awaitingAnswer.clear();
+    }
+
+    // --- Sent messages ---
+
+    /** Sends the one answer of a set-up. Returns false, without sending, if none is due any more. */
+    public boolean answer(Session session, Message message) {
+        ViewerLink link = (ViewerLink) session.requester();
+        if (!link.awaitingAnswer.remove(session)) {
+            return false;
+        }
+        link.lastUsedAtMs = nowMs();
+        link.send(message);
+        if (message.type() == MessageType.ANM) {
+            countPlayingSession(link);
+        }
+        return true;
+    }
+
+    /**
+     * Sends a message to the viewer of a session that was playing: on the session's own connection or, if that is
+     * closed, on another one that brought playing sessions, at once or when there is one. Connections without playing
+     * sessions are not used, because a message sent on them may reach no viewer.
+     */
+    public void notifyViewer(Session session, Message message) {
+        ViewerLink link = (ViewerLink) session.requester();
+        if (link.connection.isClosed()) {
+            link = null;
+            for (ViewerLink other : links) {
+                link = other.sessionsPlayed > 0 && (link == null || other.lastUsedAtMs > link.lastUsedAtMs)
+                        ? other
+                        : link;
+            }
+        }
+        if (link != null) {
+            link.send(message);
+        } else if (queuedReleases.size() < MAX_QUEUED_RELEASES) {
+            queuedReleases.add(new QueuedRelease(message, nowMs() + RELEASE_QUEUE_TIMEOUT_MS));
+        } else {
+            log.warn("viewer.release-dropped", session);
+        }
+    }
+
+    private void sendQueuedReleases(ViewerLink link) {
+        double nowMs = nowMs();
+        while (!queuedReleases.isEmpty()) {
+            QueuedRelease queued = queuedReleases.poll();
+            if (queued.untilMs() > nowMs) {
+                link.send(queued.message());
+            } else {
+                log.count("viewer.release-too-late");
+            }
+        }
+    }
+
+    private void sweep() {
+        loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
+        double nowMs = nowMs();
+        for (ViewerLink link : new ArrayList<>(links)) {
+            boolean noValidMessage =
+                    !link.hasSentValidMessage && nowMs - link.openedAtMs > settings.validMessageTimeoutMs();
+            boolean partialMessage = link.partialSinceMs > 0
+                    && nowMs - link.partialSinceMs > settings.validMessageTimeoutMs()
+                    && link.awaitingAnswer.isEmpty();
+            if (noValidMessage || partialMessage) {
+                log.count(noValidMessage ? "viewer.mute" : "viewer.half");
+                link.connection.close();
+            }
+        }
+    }
+}
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
@@ -10,36 +10,39 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Owns one connection of a viewers' front and the set-ups that wait for an answer on it. */
-final class ViewerLink implements Connection.Handler, Session.Origin {
+/** One connection of a viewers' front, with the set-ups that wait for an answer on it. */
+final class ViewerLink implements Connection.Handler, Session.Requester {
     final Connection connection;
     final double openedAtMs;
-    /** Sessions of this connection that are owed an answer. */
-    final Set<Session> owed = new LinkedHashSet<>();
-    /** Whether anything of use has come: a test or a set-up that could be read. */
-    boolean useful;
-    /** Messages of use, and faults of the protocol. */
-    int good;
+    /** Sessions of this connection whose set-ups are not answered yet. */
+    final Set<Session> awaitingAnswer = new LinkedHashSet<>();
+    /** Whether a valid message has come: a test or a set-up. */
+    boolean hasSentValidMessage;
+    /** Number of valid messages, and of protocol faults. */
+    int validMessages;
 
-    int faults;
-    /** Sessions that stood by this connection. */
-    int carried;
+    int protocolFaults;
+    /** Number of sessions of this connection that came to play; it never decreases. */
+    int sessionsPlayed;
+
+    /** Clock times, in ms; {@code partialSinceMs} is when an incomplete message began, 0: there is none. */
+    double lastUsedAtMs;
 
-    double usedAtMs;
     double partialSinceMs;
-    private final ViewerDesk desk;
+
+    private final ViewerGateway gateway;
     private final SignalParser parser = new SignalParser();
 
-    ViewerLink(ViewerDesk desk, Connection connection, double nowMs) {
-        this.desk = desk;
+    ViewerLink(ViewerGateway gateway, Connection connection, double nowMs) {
+        this.gateway = gateway;
         this.connection = connection;
         openedAtMs = nowMs;
-        usedAtMs = nowMs;
+        lastUsedAtMs = nowMs;
     }
 
-    /** 0: it never said anything of use; 1: it asked; 2: what it asked for came to play. */
-    int worth() {
-        return carried > 0 ? 2 : useful ? 1 : 0;
+    /** Returns 0 without valid messages, 1 with valid messages only, 2 with sessions that came to play. */
+    int retentionRank() {
+        return sessionsPlayed > 0 ? 2 : hasSentValidMessage ? 1 : 0;
     }
 
     void send(Message message) {
@@ -47,25 +50,25 @@
     }
 
     @Override
-    public void onBytes(Connection c, ByteBuffer bytes) {
-        usedAtMs = desk.nowMs();
+    public void onBytes(Connection source, ByteBuffer bytes) {
+        lastUsedAtMs = gateway.nowMs();
         try {
             parser.feed(bytes, message -> {
-                desk.take(this, message);
-                return !c.isClosed();
+                gateway.handle(this, message);
+                return !source.isClosed();
             });
         } catch (MessageFramingException e) {
-            desk.unreadable(this, e.getMessage());
+            gateway.rejectStream(this, e.getMessage());
         }
         if (!parser.hasPartialMessage()) {
             partialSinceMs = 0;
         } else if (partialSinceMs == 0) {
-            partialSinceMs = usedAtMs;
+            partialSinceMs = lastUsedAtMs;
         }
     }
 
     @Override
-    public void onClosed(Connection c, IOException cause) {
-        desk.closed(this);
+    public void onClosed(Connection closed, IOException cause) {
+        gateway.linkClosed(this);
     }
 }
