--- a/cli/src/main/java/calicovale/cli/KeyCommand.java
+++ b/cli/src/main/java/calicovale/cli/KeyCommand.java
@@ -68,7 +68,7 @@
             @Option(names = "--roster", description = "the roster's folder, where keys count by themselves")
                     Path roster)
             throws IOException, GeneralSecurityException, InvalidDocumentException {
-        List<String> documents = KeyDocuments.make(checkMemberName(spec, member));
+        List<String> documents = KeyDocuments.generate(checkMemberName(spec, member));
         if (roster != null && !Files.isDirectory(roster)) {
             throw new ParameterException(spec.commandLine(), "--roster: a folder is expected: " + roster);
         }
@@ -82,12 +82,13 @@
         }
         if (roster != null) {
             writeAtomically(
-                    roster.resolve(member + "-" + keyId(KeyDocuments.pair(out).publicKey()) + ".json"),
+                    roster.resolve(
+                            member + "-" + keyId(KeyDocuments.readKeyPair(out).publicKey()) + ".json"),
                     documents.get(1));
         }
         spec.commandLine()
                 .getOut()
-                .println(Ed25519.toBase64Url(KeyDocuments.pair(out).publicKey()));
+                .println(Ed25519.toBase64Url(KeyDocuments.readKeyPair(out).publicKey()));
         spec.commandLine().getOut().flush();
         return Main.OK;
     }
@@ -127,7 +128,7 @@
         writeAtomically(
                 roster.resolve(checkMemberName(spec, member) + "-" + keyId(publicKey) + ".json"),
                 KeyDocuments.certificate(
-                        KeyDocuments.pair(authority).privateKey(),
+                        KeyDocuments.readKeyPair(authority).privateKey(),
                         group,
                         member,
                         publicKey,
@@ -150,7 +151,10 @@
         writeAtomically(
                 roster.resolve("revoked-" + keyId(publicKey) + ".json"),
                 KeyDocuments.revocation(
-                        authority == null ? null : KeyDocuments.pair(authority).privateKey(), publicKey));
+                        authority == null
+                                ? null
+                                : KeyDocuments.readKeyPair(authority).privateKey(),
+                        publicKey));
         return Main.OK;
     }
 }
--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -1,10 +1,10 @@
 package calicovale.front;
 
 import calicovale.front.directory.DirectoryClient;
-import calicovale.front.ledger.LedgerDesk;
+import calicovale.front.ledger.SessionLedgerWriter;
 import calicovale.front.operators.ChangeService;
 import calicovale.front.peers.PeerGossip;
-import calicovale.front.player.SessionManager;
+import calicovale.front.player.PlayerSessionManager;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.time.CommonClock;
 import calicovale.host.Backoff;
@@ -38,12 +38,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(FrontProcess.class);
     private final EventLoop loop;
     private final FrontSettings settings;
-    private final SessionManager manager;
+    private final PlayerSessionManager manager;
     private final HttpServer playerServer;
     private final Counters counters = new Counters();
     private final CommonClock commonClock;
     private final ChangeBook changeBook;
-    private final LedgerDesk ledgerWriter;
+    private final SessionLedgerWriter ledgerWriter;
     private final PeerGossip peers;
     private ChangeService changeService;
     private volatile InetSocketAddress gossipAddress;
@@ -84,7 +84,7 @@
         changeBook =
                 new ChangeBook(settings.bounds().changes(), settings.bounds().shown());
         ledgerWriter = openLedger();
-        manager = new SessionManager(
+        manager = new PlayerSessionManager(
                 loop, settings, commonClock, random, client, changeBook, ledgerWriter, counters, incarnation);
         try {
             peers = settings.gossip() == null ? null : new PeerGossip(loop, settings, random, manager.host());
@@ -94,7 +94,7 @@
             throw e;
         }
         playerServer = new HttpServer(loop, name, playerLimits, manager::handle).crossOrigin(settings.crossOrigin());
-        manager.wireCounts(() -> {
+        manager.setWireCounts(() -> {
             Map<String, Long> counts = new LinkedHashMap<>();
             counts.put("player-connections", (long) playerServer.openConnections());
             counts.put("player-connections-refused", playerServer.counters().connectionsRefused);
@@ -123,7 +123,7 @@
                 settings.savedList(),
                 settings.bounds().boxes(),
                 settings.times(),
-                new Backoff(settings.times().backoff(), settings.times().backoffMost(), random),
+                new Backoff(settings.times().backoffMs(), settings.times().backoffMostMs(), random),
                 commonClock,
                 counters,
                 manager::onList);
@@ -132,13 +132,13 @@
         loop.start();
     }
 
-    private LedgerDesk openLedger() {
+    private SessionLedgerWriter openLedger() {
         try {
-            return new LedgerDesk(
+            return new SessionLedgerWriter(
                     loop,
                     settings.sessionsFolder(),
                     () -> changeBook.changes().stream().map(Change::id).collect(Collectors.toUnmodifiableSet()),
-                    () -> commonClock.at(loop.clock().nanos() / 1e6),
+                    () -> commonClock.timeAt(loop.clock().nanos() / 1e6),
                     settings.times().aliveMs(),
                     counters);
         } catch (IOException e) {
@@ -159,8 +159,8 @@
                     changeBook,
                     manager.host()::nowMs,
                     settings,
-                    manager::changesChanged,
-                    manager::changeTally,
+                    manager::onChangesUpdated,
+                    manager::changeCounts,
                     counters);
             return new HttpServer(loop, "operators", limits, this::handleOperatorExchange);
         } catch (IOException e) {
@@ -240,7 +240,7 @@
     }
 
     /** Returns the manager of the sessions. Only for use on the loop's thread. */
-    public SessionManager manager() {
+    public PlayerSessionManager manager() {
         return manager;
     }
 
@@ -268,7 +268,7 @@
             playerServer.stopListening();
             loop.schedule(settings.times().drainMs(), () -> drained.complete(null));
             manager.drain(() -> {
-                manager.releaseAll();
+                manager.releaseAllSessions();
                 playerServer.drain();
                 // the last answers and messages to boxes are sent in the following turns of the loop, within 200 ms
                 loop.schedule(200, () -> drained.complete(null));
@@ -287,7 +287,7 @@
     }
 
     /** Injects a fault into the disk writes of the session ledger. */
-    public void diskFault(LedgerDesk.DiskFault fault) {
+    public void setDiskFault(SessionLedgerWriter.DiskFault fault) {
         ledgerWriter.setDiskFault(fault);
     }
 
--- a/front/src/main/java/calicovale/front/box/BoxLink.java
+++ b/front/src/main/java/calicovale/front/box/BoxClient.java
@@ -28,8 +28,8 @@
  * directory lists it at another address, or after a period without contact. After a restart of the box, the list of
  * its sessions shows which are lost. Only for use on the loop's thread.
  */
-public final class BoxLink {
-    private static final Logger LOG = LoggerFactory.getLogger(BoxLink.class);
+public final class BoxClient {
+    private static final Logger LOG = LoggerFactory.getLogger(BoxClient.class);
     private static final byte[] EMPTY_BODY = new byte[0];
     /** Upper bound of the size of one event of a box, in bytes. */
     private static final int MAX_EVENT_BYTES = 1 << 20;
@@ -46,13 +46,13 @@
          * @param kind kind of the note, as the box sent it
          * @param value its value, as the box sent it
          */
-        void onNote(BoxLink box, String session, String kind, double value);
+        void onNote(BoxClient box, String session, String kind, double value);
 
         /** Called when a session has ended at the box; {@code load} is the load reported with it, or empty. */
-        void onEnded(BoxLink box, String key, String reason, Map<String, Double> load);
+        void onEnded(BoxClient box, String key, String reason, Map<String, Double> load);
 
         /** Called when a segment was delivered completely; {@code path} is relative to the session's base. */
-        void onServed(BoxLink box, String key, String path);
+        void onServed(BoxClient box, String key, String path);
 
         /**
          * Called when the event stream is connected.
@@ -60,10 +60,10 @@
          * @param keys keys of this manager's sessions at the box
          * @param askedAtMs monotonic time, in ms, at which the request for the stream was sent
          */
-        void onHeld(BoxLink box, Set<String> keys, double askedAtMs);
+        void onHeld(BoxClient box, Set<String> keys, double askedAtMs);
 
         /** Called when all sessions of this manager at the box are considered lost. */
-        void onLost(BoxLink box, String reason);
+        void onLost(BoxClient box, String reason);
     }
 
     /** Receives the outcome of a set-up. One of its methods is called, once. */
@@ -100,7 +100,7 @@
      * @param id the box's number in the directory
      * @param managerProcess name of this manager's process, which the box distinguishes from earlier ones
      */
-    public BoxLink(
+    public BoxClient(
             long id,
             InetSocketAddress address,
             EventLoop loop,
@@ -234,7 +234,7 @@
      * @param change number of the message; of messages that arrive out of order the box keeps the one of the highest
      *     number
      */
-    public void rung(String key, int rung, int change) {
+    public void sendRung(String key, int rung, int change) {
         sendMessage(
                 "PUT",
                 key,
@@ -267,7 +267,7 @@
     }
 
     /** Fetches a lecture's media playlist at a rung. */
-    public void source(String title, int rung, HttpClient.FullResponseHandler handler) {
+    public void fetchSource(String title, int rung, HttpClient.FullResponseHandler handler) {
         client.send(
                 address,
                 connectionName(),
@@ -288,12 +288,12 @@
     }
 
     /** Opens the box's event stream and keeps it open. */
-    public void watch() {
+    public void openEventStream() {
         eventStream.start();
     }
 
     /** Closes the box's event stream. */
-    public void unwatch() {
+    public void closeEventStream() {
         disconnectedAtMs = -1;
         eventStream.stop();
     }
--- a/front/src/main/java/calicovale/front/ledger/LedgerDesk.java
+++ b/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
@@ -32,8 +32,8 @@
  * again with the next attempt. Only for use on the loop's thread or before the loop starts, except {@link
  * #setDiskFault}, {@link #kill} and {@link #close}.
  */
-public final class LedgerDesk implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(LedgerDesk.class);
+public final class SessionLedgerWriter implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(SessionLedgerWriter.class);
     /** Length of the log, in bytes, above which it is replaced by a snapshot; about 20,000 steps. */
     private static final long SNAPSHOT_MIN_LOG_BYTES = 4 << 20;
     /**
@@ -68,13 +68,13 @@
     /**
      * Opens the ledger of a folder.
      *
-     * @param folder folder of the ledger, or null to keep nothing; callbacks of {@link #whenKept} then run at once
+     * @param folder folder of the ledger, or null to keep nothing; callbacks of {@link #whenWritten} then run at once
      * @param activeChangeIds returns the ids of the changes in effect; a snapshot drops the showings of all others
      * @param nowMs returns the common time, in ms since 1970
      * @param aliveEveryMs interval between two notes in the ledger that this process is running, in ms
      * @throws IOException if the ledger cannot be opened
      */
-    public LedgerDesk(
+    public SessionLedgerWriter(
             EventLoop loop,
             Path folder,
             Supplier<Set<String>> activeChangeIds,
@@ -116,17 +116,17 @@
     }
 
     /** Returns whether there is a ledger. */
-    public boolean on() {
+    public boolean isEnabled() {
         return ledger != null;
     }
 
     /** Returns the sessions read from the ledger at the start. Must be called before the first step is recorded. */
-    public Collection<Entry> foundEntries() {
+    public Collection<Entry> recoveredEntries() {
         return ledger == null ? List.of() : ledger.entries();
     }
 
     /** Returns the showings of changes read from the ledger at the start. */
-    public List<Showing> foundShowings() {
+    public List<Showing> recoveredShowings() {
         return ledger == null ? List.of() : ledger.showings();
     }
 
@@ -134,7 +134,7 @@
      * Returns the last common time, in ms since 1970, at which the previous process is known to have run; 0 if none
      * is.
      */
-    public double foundAliveMs() {
+    public double recoveredAliveMs() {
         return ledger == null ? 0 : ledger.aliveMs();
     }
 
@@ -144,24 +144,24 @@
     }
 
     /** Records a step of a session, which replaces the session's pending step. It is written by the next write. */
-    public void keep(Entry entry) {
-        if (on()) {
+    public void recordStep(Entry entry) {
+        if (isEnabled()) {
             endedTokens.remove(entry.token());
             entries.put(entry.token(), entry);
         }
     }
 
     /** Records that a session has ended. It is written by the next write. */
-    public void over(String token) {
-        if (on()) {
+    public void recordEnd(String token) {
+        if (isEnabled()) {
             entries.remove(token);
             endedTokens.add(token);
         }
     }
 
     /** Records that a change is shown, under the names by which showings are remembered. */
-    public void shown(String changeId, Collection<String> names) {
-        if (on()) {
+    public void recordShowings(String changeId, Collection<String> names) {
+        if (isEnabled()) {
             names.forEach(name -> showings.add(new Showing(changeId, name)));
         }
     }
@@ -170,8 +170,8 @@
      * Runs a callback on the loop once everything recorded so far is on disk or its write has failed. While the last
      * write has failed, or without a ledger, the callback runs at once.
      */
-    public void whenKept(Runnable callback) {
-        if (!on()) {
+    public void whenWritten(Runnable callback) {
+        if (!isEnabled()) {
             callback.run();
             return;
         }
@@ -275,7 +275,7 @@
 
     /** Stops abruptly, like a killed process: pending steps are dropped, and a write in progress may be incomplete. */
     public void kill() {
-        if (on()) {
+        if (isEnabled()) {
             diskExecutor.shutdownNow();
             closeLedger();
         }
@@ -283,7 +283,7 @@
 
     @Override
     public void close() {
-        if (on()) {
+        if (isEnabled()) {
             diskExecutor.shutdown();
             closeLedger();
         }
--- a/front/src/main/java/calicovale/front/peers/PeerGossip.java
+++ b/front/src/main/java/calicovale/front/peers/PeerGossip.java
@@ -56,7 +56,7 @@
     /** Reports an event of the controller to the group as a success or a claim about the event's box, if it is one. */
     private void reportEvent(Event event) {
         if (event instanceof Started e) {
-            node.saw(e.server(), null);
+            node.recordOutcome(e.server(), null);
         } else if (event instanceof AttemptEnded e) {
             Claim.Kind kind =
                     switch (e.outcome()) {
@@ -67,12 +67,12 @@
                         case OK, FULL, CANCELLED, MOOT -> null;
                     };
             if (kind != null) {
-                node.saw(e.server(), kind);
+                node.recordOutcome(e.server(), kind);
             }
         } else if (event instanceof Note e
                 && e.kind() == NoteKind.DELIVERED_SHARE
-                && e.value() < settings.gossip().claims().shortShare()) {
-            node.saw(e.server(), Claim.Kind.SHORT);
+                && e.value() < settings.gossip().claims().shortDeliveryShare()) {
+            node.recordOutcome(e.server(), Claim.Kind.SHORT);
         }
     }
 
--- a/front/src/main/java/calicovale/front/player/BoxEventHandler.java
+++ b/front/src/main/java/calicovale/front/player/BoxEventHandler.java
@@ -4,7 +4,7 @@
 import calicovale.ControllerApi.NoteKind;
 import calicovale.ControllerApi.Outcome;
 import calicovale.ControllerApi.ServerList;
-import calicovale.front.box.BoxLink;
+import calicovale.front.box.BoxClient;
 import calicovale.front.settings.FrontSettings;
 import calicovale.host.Backoff;
 import calicovale.host.ControllerHost;
@@ -23,7 +23,7 @@
 /**
  * Holds the links to boxes, and applies events from boxes and lists from the directory to the sessions that play there.
  */
-final class BoxEventHandler implements BoxLink.Listener {
+final class BoxEventHandler implements BoxClient.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(BoxEventHandler.class);
     private final EventLoop loop;
     private final FrontSettings settings;
@@ -32,7 +32,7 @@
     private final Counters counters;
     private final SessionRegistry registry;
     private final String incarnation;
-    private final Map<Long, BoxLink> boxLinks = new TreeMap<>();
+    private final Map<Long, BoxClient> boxLinks = new TreeMap<>();
     private ControllerHost host;
     private ProgrammeChanges programmeChanges;
     private SessionPlacer placer;
@@ -62,12 +62,12 @@
     }
 
     /** Returns the link to a box; null if no list has contained it. */
-    BoxLink box(long boxNumber) {
+    BoxClient box(long boxNumber) {
         return boxLinks.get(boxNumber);
     }
 
     @Override
-    public void onNote(BoxLink box, String requestId, String kind, double value) {
+    public void onNote(BoxClient box, String requestId, String kind, double value) {
         NoteKind noteKind =
                 switch (kind) {
                     case "share" -> NoteKind.DELIVERED_SHARE;
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void onEnded(BoxLink box, String attemptKey, String reason, Map<String, Double> load) {
+    public void onEnded(BoxClient box, String attemptKey, String reason, Map<String, Double> load) {
         int dot = attemptKey.lastIndexOf('.');
         Session session = dot < 0 ? null : registry.byRequestId.get(attemptKey.substring(0, dot));
         if (session == null
@@ -101,18 +101,19 @@
     }
 
     @Override
-    public void onServed(BoxLink box, String attemptKey, String path) {
+    public void onServed(BoxClient box, String attemptKey, String path) {
         int dot = attemptKey.lastIndexOf('.');
         Session session = dot < 0 ? null : registry.byRequestId.get(attemptKey.substring(0, dot));
         if (session != null
                 && session.state == Session.State.PLAYING
                 && session.attemptKey().equals(attemptKey)) {
-            (session.lectureSession != null ? session.lectureSession : session).playlist.served(session.baseUri + path);
+            (session.lectureSession != null ? session.lectureSession : session)
+                    .playlist.onSegmentServed(session.baseUri + path);
         }
     }
 
     @Override
-    public void onHeld(BoxLink box, Set<String> attemptKeys, double askedAtMs) {
+    public void onHeld(BoxClient box, Set<String> attemptKeys, double askedAtMs) {
         for (Session session : new ArrayList<>(registry.playingByBox.getOrDefault(box, Set.of()))) {
             if (!attemptKeys.contains(session.attemptKey()) && session.startedAtMs < askedAtMs) {
                 placer.loseSession(session, "the box no longer holds the session");
@@ -121,7 +122,7 @@
     }
 
     @Override
-    public void onLost(BoxLink box, String reason) {
+    public void onLost(BoxClient box, String reason) {
         programmeChanges.onBoxLost(box);
         for (Session session : new ArrayList<>(registry.playingByBox.getOrDefault(box, Set.of()))) {
             placer.loseSession(session, reason);
@@ -131,19 +132,19 @@
     /** Applies a list of boxes; the addresses first, so that a set-up that the controller decides on finds its box. */
     void onList(ServerList list, Map<Long, InetSocketAddress> addresses) {
         addresses.forEach((id, address) -> {
-            BoxLink box = boxLinks.get(id);
+            BoxClient box = boxLinks.get(id);
             if (box == null) {
                 boxLinks.put(
                         id,
-                        new BoxLink(
+                        new BoxClient(
                                 id,
                                 address,
                                 loop,
                                 client,
                                 settings.times(),
                                 new Backoff(
-                                        settings.times().backoff(),
-                                        settings.times().backoffMost(),
+                                        settings.times().backoffMs(),
+                                        settings.times().backoffMostMs(),
                                         random),
                                 settings.controller().self() + "." + incarnation,
                                 counters,
--- a/front/src/main/java/calicovale/front/player/PieceAvailability.java
+++ b/front/src/main/java/calicovale/front/player/PieceAvailability.java
@@ -1,6 +1,6 @@
 package calicovale.front.player;
 
-import calicovale.front.box.BoxLink;
+import calicovale.front.box.BoxClient;
 import calicovale.host.Counters;
 import calicovale.protocols.hls.HlsException;
 import calicovale.protocols.net.EventLoop;
@@ -60,7 +60,7 @@
     }
 
     /** Returns whether a box holds a rendition; queries the box if there is no valid answer. */
-    State lookUp(BoxLink box, String title, int rung) {
+    State lookUp(BoxClient box, String title, int rung) {
         RenditionKey key = new RenditionKey(box.id(), title, rung);
         Lookup lookup = lookups.get(key);
         if (lookup != null
@@ -85,7 +85,7 @@
     }
 
     /** Calls {@code body} once a pending query has been answered or failed; at once if none is pending. */
-    void whenAnswered(BoxLink box, String title, int rung, Runnable body) {
+    void whenAnswered(BoxClient box, String title, int rung, Runnable body) {
         Lookup lookup = lookups.get(new RenditionKey(box.id(), title, rung));
         if (lookup == null || lookup.state != State.PENDING) {
             body.run();
@@ -105,9 +105,9 @@
         }
     }
 
-    private void queryBox(BoxLink box, RenditionKey key, Lookup lookup) {
+    private void queryBox(BoxClient box, RenditionKey key, Lookup lookup) {
         counters.increment("piece-holders-asked");
-        box.source(key.title(), key.rung(), (head, body, failure) -> {
+        box.fetchSource(key.title(), key.rung(), (head, body, failure) -> {
             lookup.answeredAtMs = nowMs();
             if (failure != null || head.status() != 200 && head.status() != 404) {
                 lookup.state = State.FAILED;
@@ -129,7 +129,7 @@
     }
 
     /** Drops all answers of a box that was lost, because it may come back with other content. */
-    void onBoxLost(BoxLink box) {
+    void onBoxLost(BoxClient box) {
         for (Iterator<Map.Entry<RenditionKey, Lookup>> entries =
                         lookups.entrySet().iterator();
                 entries.hasNext(); ) {
--- a/front/src/main/java/calicovale/front/player/PieceSetUps.java
+++ b/front/src/main/java/calicovale/front/player/PieceSetUps.java
@@ -91,7 +91,7 @@
         loop.schedule(0, () -> {
             if (session.state == Session.State.PLAYING && session.attemptKey().equals(attemptKey)) {
                 counters.increment("piece-rates-told");
-                session.box.rung(attemptKey, rung, ++session.rungChangeNumber);
+                session.box.sendRung(attemptKey, rung, ++session.rungChangeNumber);
                 host.raise(new Note(session.requestId, session.attempt, session.box.id(), NoteKind.RUNG, rung));
             }
         });
--- a/front/src/main/java/calicovale/front/player/SessionManager.java
+++ b/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
@@ -1,7 +1,7 @@
 package calicovale.front.player;
 
 import calicovale.ControllerApi.ServerList;
-import calicovale.front.ledger.LedgerDesk;
+import calicovale.front.ledger.SessionLedgerWriter;
 import calicovale.front.playlist.SessionPlaylist;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.time.CommonClock;
@@ -27,7 +27,7 @@
  * changes ({@link ProgrammeChanges}), sessions on disk ({@link SessionPersistence}) and events of boxes ({@link
  * BoxEventHandler}). Placement and quality are decided by the controller, not here.
  */
-public final class SessionManager {
+public final class PlayerSessionManager {
     /** Upper bound of a viewer's name, in characters; limited because every ledger record of a session contains it. */
     private static final int MAX_VIEWER_CHARS = 200;
 
@@ -48,14 +48,14 @@
      *
      * @param incarnation distinguishes this process from earlier ones of the same manager number
      */
-    public SessionManager(
+    public PlayerSessionManager(
             EventLoop loop,
             FrontSettings settings,
             CommonClock commonClock,
             RandomGenerator random,
             HttpClient client,
             ChangeBook changeBook,
-            LedgerDesk ledger,
+            SessionLedgerWriter ledger,
             Counters counters,
             String incarnation) {
         this.loop = loop;
@@ -70,7 +70,7 @@
         boxEvents = new BoxEventHandler(loop, settings, random, client, counters, registry, incarnation);
         placer = new SessionPlacer(loop, settings, counters, registry, responses, boxEvents::box, incarnation);
         host = new ControllerHost(
-                () -> commonClock.at(loop.clock().nanos() / 1e6),
+                () -> commonClock.timeAt(loop.clock().nanos() / 1e6),
                 loop.clock()::nanos,
                 loop::schedule,
                 settings.controller(),
@@ -96,7 +96,7 @@
                 persistence.remove(session);
             }
         });
-        ledger.foundShowings().forEach(s -> changeBook.remember(s.change(), s.name()));
+        ledger.recoveredShowings().forEach(s -> changeBook.remember(s.change(), s.name()));
     }
 
     /** Returns the controller's host, for measurements. */
@@ -105,12 +105,12 @@
     }
 
     /** Sets the source of connection counters that {@code /v1/status} lists after the sessions' counters. */
-    public void wireCounts(Supplier<Map<String, Long>> counts) {
+    public void setWireCounts(Supplier<Map<String, Long>> counts) {
         wireCounts = counts;
     }
 
     /** Returns the number of sessions held, in any state. */
-    public int sessions() {
+    public int sessionCount() {
         return registry.byToken.size();
     }
 
@@ -245,19 +245,19 @@
     }
 
     /** Handles a programme change that was added or withdrawn. */
-    public void changesChanged() {
+    public void onChangesUpdated() {
         programmeChanges.onChangesUpdated();
     }
 
     /**
      * Returns the change book's version that the last complete pass over all sessions covers, and its duration in ms.
      */
-    public double[] changesPlanned() {
+    public double[] lastChangePass() {
         return new double[] {programmeChanges.completedPassVersion(), programmeChanges.lastPassMs()};
     }
 
     /** Returns, as JSON, how many sessions were shown a change, wait for it, left it out, or had it cut short. */
-    public ObjectNode changeTally(String changeId) {
+    public ObjectNode changeCounts(String changeId) {
         ProgrammeChanges.ChangeCounts counts = programmeChanges.changeCounts(changeId);
         return Documents.MAPPER
                 .createObjectNode()
@@ -268,12 +268,12 @@
     }
 
     /** Moves a playing session to another box as the controller's action does, by its request id; for rehearsals. */
-    public void move(String requestId) {
+    public void moveSession(String requestId) {
         placer.move(requestId);
     }
 
     /** Sets the rung of a session as the controller's action does, by its request id; for rehearsals. */
-    public void rung(String requestId, int rung) {
+    public void setRung(String requestId, int rung) {
         placer.rung(requestId, rung);
     }
 
@@ -288,7 +288,7 @@
     }
 
     /** Releases all playing sessions at their boxes, because they end with their manager. */
-    public void releaseAll() {
+    public void releaseAllSessions() {
         registry.playingByBox.forEach((box, there) -> there.forEach(session -> box.release(session.attemptKey())));
     }
 }
--- a/front/src/main/java/calicovale/front/player/PlaylistRequests.java
+++ b/front/src/main/java/calicovale/front/player/PlaylistRequests.java
@@ -1,7 +1,7 @@
 package calicovale.front.player;
 
-import calicovale.front.playlist.Piece;
-import calicovale.front.playlist.Source;
+import calicovale.front.playlist.SourcePlaylist;
+import calicovale.front.playlist.StitchedPiece;
 import calicovale.front.settings.FrontSettings;
 import calicovale.host.Counters;
 import calicovale.protocols.http.Cmcd;
@@ -106,7 +106,7 @@
      */
     void sendPlaylist(Session session, Exchange exchange, boolean mayFetch) {
         if (session.state == Session.State.PLAYING) {
-            Source lecture = sourceCache.get(session.title, session.rung);
+            SourcePlaylist lecture = sourceCache.get(session.title, session.rung);
             if (lecture == null && mayFetch) {
                 // this exchange fetches once only: after a failure it gets what can be sent without
                 sourceCache.fetch(session.box, session.title, session.rung, () -> {
@@ -120,7 +120,7 @@
                 return;
             }
         }
-        if (session.playlist.runs() == 0) {
+        if (session.playlist.runCount() == 0) {
             counters.increment("reloads-failed");
             exchange.problem(502, "Bad Gateway", "the lecture's playlist can't be had");
         } else if (persistence.isCovered(session)) {
@@ -137,7 +137,7 @@
     /**
      * Adds the segments that are due; returns false if the exchange waits for a piece or the disk and is resumed later.
      */
-    private boolean extendPlaylist(Session session, Exchange exchange, Source lecture) {
+    private boolean extendPlaylist(Session session, Exchange exchange, SourcePlaylist lecture) {
         session.lecture = lecture;
         SessionPersistence.resumeLecture(session, lecture);
         if (!session.playlist.extend(
@@ -174,7 +174,7 @@
     /** Sends the playlist of a piece that a session's player plays as an interstitial. */
     void handlePiecePlaylist(Exchange exchange, String token, String changeId) {
         Session session = registry.byToken.get(token);
-        Piece piece = session == null ? null : session.playlist.plannedPiece(changeId);
+        StitchedPiece piece = session == null ? null : session.playlist.plannedPiece(changeId);
         if (piece == null) {
             counters.increment("not-found");
             exchange.problem(404, "Not Found", "no such piece in a session here");
--- a/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
+++ b/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
@@ -1,10 +1,10 @@
 package calicovale.front.player;
 
 import calicovale.ControllerApi.SessionClass;
-import calicovale.front.box.BoxLink;
-import calicovale.front.ledger.LedgerDesk;
-import calicovale.front.playlist.Piece;
-import calicovale.front.playlist.Source;
+import calicovale.front.box.BoxClient;
+import calicovale.front.ledger.SessionLedgerWriter;
+import calicovale.front.playlist.SourcePlaylist;
+import calicovale.front.playlist.StitchedPiece;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.settings.FrontSettings.Holders;
 import calicovale.host.Counters;
@@ -101,7 +101,7 @@
     private final ChangeBook changeBook;
     private final SourcePlaylistCache sourceCache;
     private final PieceAvailability pieceAvailability;
-    private final LedgerDesk ledger;
+    private final SessionLedgerWriter ledger;
     private final DoubleSupplier commonTimeMs;
     private final Counters counters;
     private final SessionOperations sessionOperations;
@@ -118,7 +118,7 @@
             FrontSettings settings,
             ChangeBook changeBook,
             SourcePlaylistCache sourceCache,
-            LedgerDesk ledger,
+            SessionLedgerWriter ledger,
             DoubleSupplier commonTimeMs,
             Counters counters,
             SessionOperations sessionOperations) {
@@ -127,7 +127,7 @@
         this.changeBook = changeBook;
         this.sourceCache = sourceCache;
         this.pieceAvailability = new PieceAvailability(
-                loop, sourceCache, settings.bounds().sources(), settings.times().holders(), counters);
+                loop, sourceCache, settings.bounds().sources(), settings.times().holdersMs(), counters);
         this.ledger = ledger;
         this.commonTimeMs = commonTimeMs;
         this.counters = counters;
@@ -237,7 +237,8 @@
         }
         double leadMs = 1000.0 * LEAD_SEGMENTS * session.lecture.targetS();
         double endMs = toCommonMs(Math.max(nowMs(), session.playlist.endMs()));
-        double positionS = session.lecture.startS(Math.min(session.playlist.nextSegment(), session.lecture.count()));
+        double positionS =
+                session.lecture.startS(Math.min(session.playlist.nextSegment(), session.lecture.segmentCount()));
         ChangeBook.Facts facts = facts(session, session.rung);
         for (Change change : session.programmeState.candidates) {
             boolean soon = change.atMs() >= 0
@@ -258,39 +259,39 @@
     // --- At a boundary ---
 
     /** Returns the stitcher that selects the pieces put between the segments of a session's lecture. */
-    Piece.Stitcher stitcher(Session session) {
+    StitchedPiece.Stitcher stitcher(Session session) {
         if (changeBook.isEmpty()
                 && session.programmeState.recordedChange == null
                 && !session.playlist.hasPlannedPieces()) {
-            return Piece.Stitcher.NONE;
+            return StitchedPiece.Stitcher.NONE;
         }
-        return new Piece.Stitcher() {
+        return new StitchedPiece.Stitcher() {
             @Override
-            public Piece before(int segment, double boundaryS, double boundaryMs) {
+            public StitchedPiece pieceBefore(int segment, double boundaryS, double boundaryMs) {
                 return ProgrammeChanges.this.pieceBefore(session, segment, boundaryS, toCommonMs(boundaryMs));
             }
 
             @Override
-            public Piece again(Piece piece) {
+            public StitchedPiece relistPiece(StitchedPiece piece) {
                 return ProgrammeChanges.this.relistPiece(session, piece);
             }
 
             @Override
-            public Piece onward(Piece piece) {
+            public StitchedPiece continuePiece(StitchedPiece piece) {
                 return ProgrammeChanges.this.continuePiece(session, piece);
             }
         };
     }
 
     /** Returns the piece to put before a segment, at a common time in ms; null if none, WAIT if not decided yet. */
-    private Piece pieceBefore(Session session, int segment, double boundaryS, double boundaryMs) {
+    private StitchedPiece pieceBefore(Session session, int segment, double boundaryS, double boundaryMs) {
         SessionState state = session.programmeState;
         updateCandidates(session);
         if (state.skippedBoundary == segment || state.candidates.isEmpty() && state.recordedChange == null) {
             return null;
         }
         if (state.recordedChange != null) {
-            return state.recordedChangeDurable ? beginPiece(session, segment) : Piece.WAIT;
+            return state.recordedChangeDurable ? beginPiece(session, segment) : StitchedPiece.WAIT;
         }
         while (true) {
             ChangeBook.Facts facts = facts(session, session.rung);
@@ -306,8 +307,8 @@
                 return null;
             }
             Change change = decision.choice().change();
-            Piece piece = resolvePiece(session, change, segment);
-            if (piece == Piece.WAIT) {
+            StitchedPiece piece = resolvePiece(session, change, segment);
+            if (piece == StitchedPiece.WAIT) {
                 return piece;
             }
             if (piece == null) {
@@ -331,8 +332,8 @@
                 return null;
             }
             recordShowing(session, change, facts);
-            if (ledger.on()) {
-                return Piece.WAIT;
+            if (ledger.isEnabled()) {
+                return StitchedPiece.WAIT;
             }
             return beginPiece(session, segment);
         }
@@ -342,15 +343,15 @@
     private void recordShowing(Session session, Change change, ChangeBook.Facts facts) {
         SessionState state = session.programmeState;
         state.recordedChange = change.id();
-        state.recordedChangeDurable = !ledger.on();
+        state.recordedChangeDurable = !ledger.isEnabled();
         List<String> names = changeBook.shown(change, facts);
-        ledger.shown(change.id(), names);
+        ledger.recordShowings(change.id(), names);
         state.showings = new ArrayList<>(state.showings);
         names.stream()
                 .filter(name -> !name.startsWith("s "))
                 .forEach(name -> state.showings.add(new Showing(change.id(), name)));
-        if (ledger.on()) {
-            ledger.whenKept(() -> {
+        if (ledger.isEnabled()) {
+            ledger.whenWritten(() -> {
                 if (change.id().equals(state.recordedChange)) {
                     state.recordedChangeDurable = true;
                     runWaitingCallbacks(session);
@@ -362,7 +363,7 @@
     /**
      * Returns the piece of the recorded change to put before a segment; null if it was withdrawn or is not available.
      */
-    private Piece beginPiece(Session session, int segment) {
+    private StitchedPiece beginPiece(Session session, int segment) {
         SessionState state = session.programmeState;
         Change change = changeBook.get(state.recordedChange);
         if (change == null) {
@@ -370,8 +371,8 @@
             state.recordedChange = null;
             return null;
         }
-        Piece piece = resolvePiece(session, change, segment);
-        if (piece == null || piece == Piece.WAIT || !isCompatible(session, piece)) {
+        StitchedPiece piece = resolvePiece(session, change, segment);
+        if (piece == null || piece == StitchedPiece.WAIT || !isCompatible(session, piece)) {
             state.skippedBoundary = segment;
             return null;
         }
@@ -405,7 +406,7 @@
     }
 
     /** Returns whether a piece can be put into a session's playlist without altering tags that were already sent. */
-    private boolean isCompatible(Session session, Piece piece) {
+    private boolean isCompatible(Session session, StitchedPiece piece) {
         // the target duration must not change (RFC 8216, 6.2.1), and an EXT-X-MAP can't be revoked (4.3.2.5)
         return piece.isInterstitial()
                 || piece.source().targetS() <= session.playlist.targetS()
@@ -413,19 +414,19 @@
     }
 
     /** Returns a change's piece at the box that has it; WAIT while a box is queried, null if no box has it yet. */
-    private Piece resolvePiece(Session session, Change change, int segment) {
+    private StitchedPiece resolvePiece(Session session, Change change, int segment) {
         Session pieceSetUp = playingSetUp(session, change);
         Change.Rendition rendition =
                 ChangeBook.rendition(change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
         if (rendition == null) {
             return null;
         }
-        BoxLink box = pieceSetUp != null ? pieceSetUp.box : session.box;
+        BoxClient box = pieceSetUp != null ? pieceSetUp.box : session.box;
         switch (pieceAvailability.lookUp(box, change.title(), rendition.rung())) {
             case PENDING -> {
                 pieceAvailability.whenAnswered(
                         box, change.title(), rendition.rung(), () -> runWaitingCallbacks(session));
-                return Piece.WAIT;
+                return StitchedPiece.WAIT;
             }
             case MISSING, FAILED -> {
                 // prepareDuePieces() requests the set-up at a box that holds it
@@ -433,7 +434,7 @@
             }
             default -> {}
         }
-        Source source = sourceCache.get(change.title(), rendition.rung());
+        SourcePlaylist source = sourceCache.get(change.title(), rendition.rung());
         int resumeSegment = change.replaceS() > 0
                 ? Math.max(
                         segment + 1,
@@ -441,7 +442,7 @@
                 : segment;
         String assetUri =
                 session.supportsInterstitials ? "/s/" + session.token + "/pieces/" + change.id() + ".m3u8" : null;
-        return new Piece(
+        return new StitchedPiece(
                 change.id(),
                 rendition.rung(),
                 baseUri(session, pieceSetUp, change, rendition),
@@ -462,37 +463,37 @@
      * Returns a piece that was listed but not played to its end, at the box that has it now; WAIT while a box is
      * queried, null if it was withdrawn or is not available.
      */
-    private Piece relistPiece(Session session, Piece piece) {
-        Change change = changeBook.get(piece.id());
-        Piece current = change == null ? null : resolvePiece(session, change, piece.from());
-        if (current == Piece.WAIT && session.programmeState.skippedBoundary != piece.from()) {
+    private StitchedPiece relistPiece(Session session, StitchedPiece piece) {
+        Change change = changeBook.get(piece.changeId());
+        StitchedPiece current = change == null ? null : resolvePiece(session, change, piece.beforeSegment());
+        if (current == StitchedPiece.WAIT && session.programmeState.skippedBoundary != piece.beforeSegment()) {
             return current;
         }
         if (current == null
-                || current == Piece.WAIT
-                || current.source().count() != piece.source().count()) {
+                || current == StitchedPiece.WAIT
+                || current.source().segmentCount() != piece.source().segmentCount()) {
             counters.increment("changes-cut");
-            changeCounts(piece.id()).cut++;
+            changeCounts(piece.changeId()).cut++;
             return null;
         }
         // the segments that it replaces stay as they were when it was first listed
-        return new Piece(
-                current.id(),
+        return new StitchedPiece(
+                current.changeId(),
                 current.rung(),
                 current.baseUri(),
                 current.source(),
-                piece.from(),
-                piece.to(),
-                piece.asset());
+                piece.beforeSegment(),
+                piece.resumeSegment(),
+                piece.assetUri());
     }
 
     /**
      * Returns the piece at the rendition that suits the session's current rung; the same piece if none is available.
      */
-    private Piece continuePiece(Session session, Piece piece) {
-        Change change = changeBook.get(piece.id());
+    private StitchedPiece continuePiece(Session session, StitchedPiece piece) {
+        Change change = changeBook.get(piece.changeId());
         Session pieceSetUp = change == null ? null : playingSetUp(session, change);
-        if (change == null || pieceSetUp == null && session.programmeState.pieceSetUps.containsKey(piece.id())) {
+        if (change == null || pieceSetUp == null && session.programmeState.pieceSetUps.containsKey(piece.changeId())) {
             return piece;
         }
         Change.Rendition rendition =
@@ -500,21 +501,21 @@
         if (rendition == null || rendition.rung() == piece.rung()) {
             return piece;
         }
-        Source source = sourceCache.get(change.title(), rendition.rung());
-        if (source == null || source.count() != piece.source().count()) {
+        SourcePlaylist source = sourceCache.get(change.title(), rendition.rung());
+        if (source == null || source.segmentCount() != piece.source().segmentCount()) {
             // starts a query, so that the rendition may be available at the next segment
             pieceAvailability.lookUp(
                     pieceSetUp != null ? pieceSetUp.box : session.box, change.title(), rendition.rung());
             return piece;
         }
-        return new Piece(
-                piece.id(),
+        return new StitchedPiece(
+                piece.changeId(),
                 rendition.rung(),
                 baseUri(session, pieceSetUp, change, rendition),
                 source,
-                piece.from(),
-                piece.to(),
-                piece.asset());
+                piece.beforeSegment(),
+                piece.resumeSegment(),
+                piece.assetUri());
     }
 
     // --- Set-ups of pieces at other boxes ---
@@ -533,7 +534,7 @@
         boolean placing = current != null && current.state == Session.State.PLACING;
         if (placing
                 || requestedAtMs != null
-                        && nowMs() - requestedAtMs < settings.times().backoffMost()) {
+                        && nowMs() - requestedAtMs < settings.times().backoffMostMs()) {
             return;
         }
         state.setUpRequestedAtMs = new HashMap<>(state.setUpRequestedAtMs);
@@ -584,8 +585,8 @@
                 }
             }
         }
-        Piece lastPiece = session.playlist.lastPiece();
-        int deliveryRung = lastPiece == null || state.pieceSetUps.containsKey(lastPiece.id())
+        StitchedPiece lastPiece = session.playlist.lastPiece();
+        int deliveryRung = lastPiece == null || state.pieceSetUps.containsKey(lastPiece.changeId())
                 ? session.rung
                 : ladderRungFor(session, lastPiece);
         if (deliveryRung != (state.reportedRung < 0 ? session.rung : state.reportedRung)) {
@@ -598,8 +599,8 @@
     /**
      * Returns the lowest rung, from the class's lowest to the session's, whose rate is at least that of the rendition.
      */
-    private int ladderRungFor(Session session, Piece piece) {
-        Change change = changeBook.get(piece.id());
+    private int ladderRungFor(Session session, StitchedPiece piece) {
+        Change change = changeBook.get(piece.changeId());
         if (change == null) {
             return session.programmeState.reportedRung < 0 ? session.rung : session.programmeState.reportedRung;
         }
@@ -627,7 +628,7 @@
     }
 
     /** Drops what is known of the pieces at a box that was lost. */
-    void onBoxLost(BoxLink box) {
+    void onBoxLost(BoxClient box) {
         pieceAvailability.onBoxLost(box);
     }
 
@@ -648,7 +649,7 @@
         };
         state.waitingCallbacks = new ArrayList<>(state.waitingCallbacks);
         state.waitingCallbacks.add(once);
-        loop.schedule(settings.times().stitchWait(), () -> {
+        loop.schedule(settings.times().stitchWaitMs(), () -> {
             if (!done[0]) {
                 counters.increment("changes-waits-over");
                 state.skippedBoundary = session.playlist.nextSegment();
--- a/front/src/main/java/calicovale/front/player/Session.java
+++ b/front/src/main/java/calicovale/front/player/Session.java
@@ -1,8 +1,8 @@
 package calicovale.front.player;
 
-import calicovale.front.box.BoxLink;
+import calicovale.front.box.BoxClient;
 import calicovale.front.playlist.SessionPlaylist;
-import calicovale.front.playlist.Source;
+import calicovale.front.playlist.SourcePlaylist;
 import calicovale.front.settings.FrontSettings;
 import calicovale.protocols.http.Exchange;
 import calicovale.protocols.http.HttpClient;
@@ -90,7 +90,7 @@
 
     boolean lastAttemptTimedOut;
     /** Box of the current attempt; null if the directory no longer lists it. */
-    BoxLink box;
+    BoxClient box;
     /** URI at the box below which the session's segments are. */
     String baseUri;
     /** Outstanding set-up call; null if there is none. */
@@ -98,7 +98,7 @@
     /** Timer of the current request's deadline. */
     Timer deadlineTimer;
     /** The lecture's playlist at the rung of the last reload; null before the first. */
-    Source lecture;
+    SourcePlaylist lecture;
 
     /** Numbers and date up to which the session's playlist may be sent, because they are recorded on disk. */
     static final class Reservation {
--- a/front/src/main/java/calicovale/front/player/SessionPersistence.java
+++ b/front/src/main/java/calicovale/front/player/SessionPersistence.java
@@ -1,8 +1,8 @@
 package calicovale.front.player;
 
-import calicovale.front.ledger.LedgerDesk;
+import calicovale.front.ledger.SessionLedgerWriter;
 import calicovale.front.playlist.SessionPlaylist;
-import calicovale.front.playlist.Source;
+import calicovale.front.playlist.SourcePlaylist;
 import calicovale.front.settings.FrontSettings;
 import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
@@ -27,7 +27,7 @@
 
     private final EventLoop loop;
     private final FrontSettings settings;
-    private final LedgerDesk ledger;
+    private final SessionLedgerWriter ledger;
     private final DoubleSupplier commonTimeMs;
     private final Counters counters;
     /** Recovered sessions that no player has reloaded yet, by token. */
@@ -37,23 +37,27 @@
 
     /** Takes over the sessions that the ledger recovered; those that are not reloaded in time are dropped. */
     SessionPersistence(
-            EventLoop loop, FrontSettings settings, LedgerDesk ledger, DoubleSupplier commonTimeMs, Counters counters) {
+            EventLoop loop,
+            FrontSettings settings,
+            SessionLedgerWriter ledger,
+            DoubleSupplier commonTimeMs,
+            Counters counters) {
         this.loop = loop;
         this.settings = settings;
         this.ledger = ledger;
         this.commonTimeMs = commonTimeMs;
         this.counters = counters;
-        previousAliveMs = ledger.foundAliveMs();
-        ledger.foundEntries().forEach(e -> unclaimedEntries.put(e.token(), e));
+        previousAliveMs = ledger.recoveredAliveMs();
+        ledger.recoveredEntries().forEach(e -> unclaimedEntries.put(e.token(), e));
         if (!unclaimedEntries.isEmpty()) {
-            loop.execute(() -> loop.schedule(settings.times().foundKept(), this::dropUnclaimedEntries));
+            loop.execute(() -> loop.schedule(settings.times().foundKeptMs(), this::dropUnclaimedEntries));
         }
     }
 
     /** Records recovered sessions that no player has reloaded as ended. */
     private void dropUnclaimedEntries() {
         List<String> tokens = new ArrayList<>(unclaimedEntries.keySet());
-        tokens.forEach(ledger::over);
+        tokens.forEach(ledger::recordEnd);
         unclaimedEntries.clear();
         if (!tokens.isEmpty()) {
             counters.increment("sessions-not-back");
@@ -68,18 +72,18 @@
      * Returns whether a session's playlist may be sent as it is; if not, a reservation that covers it is being written.
      */
     boolean isCovered(Session session) {
-        if (!ledger.on() || session.lecture == null) {
+        if (!ledger.isEnabled() || session.lecture == null) {
             return true;
         }
         SessionPlaylist playlist = session.playlist;
         boolean covered = playlist.nextSequence() <= session.reservation.mediaSequenceLimit
-                && playlist.number() <= session.reservation.discontinuitySequenceLimit
+                && playlist.discontinuitySequence() <= session.reservation.discontinuitySequenceLimit
                 && playlist.endDateMs()
                         <= latestDateMs(
                                 session.reservation.dateMs, session.reservation.recordedAtMs, playlist.targetS());
         boolean sufficient = covered
                 && playlist.nextSequence() + RESERVED_SEGMENTS / 2 <= session.reservation.mediaSequenceLimit
-                && playlist.number() + 2 <= session.reservation.discontinuitySequenceLimit;
+                && playlist.discontinuitySequence() + 2 <= session.reservation.discontinuitySequenceLimit;
         if (!sufficient && !session.reservation.writePending) {
             reserve(session);
         }
@@ -91,12 +95,12 @@
         SessionPlaylist playlist = session.playlist;
         Session.Reservation next = new Session.Reservation();
         next.mediaSequenceLimit = playlist.nextSequence() + RESERVED_SEGMENTS;
-        next.discontinuitySequenceLimit = playlist.number() + RESERVED_SEGMENTS / 4;
+        next.discontinuitySequenceLimit = playlist.discontinuitySequence() + RESERVED_SEGMENTS / 4;
         next.dateMs = playlist.endDateMs();
         next.recordedAtMs = commonTimeMs.getAsDouble();
         session.reservation.writePending = true;
-        ledger.keep(ledgerEntry(session, next));
-        ledger.whenKept(() -> {
+        ledger.recordStep(ledgerEntry(session, next));
+        ledger.whenWritten(() -> {
             next.writePending = false;
             session.reservation = next;
         });
@@ -115,7 +119,7 @@
                 session.waitMs,
                 reservation.mediaSequenceLimit,
                 reservation.discontinuitySequenceLimit,
-                session.playlist.segmentAt(session.lecture, nowMs()),
+                session.playlist.lectureSegmentAt(session.lecture, nowMs()),
                 session.playlist.targetS(),
                 reservation.dateMs,
                 reservation.recordedAtMs);
@@ -128,7 +132,7 @@
     private double latestDateMs(double dateMs, double recordedAtMs, long targetS) {
         return dateMs
                 + Math.max(0, commonTimeMs.getAsDouble() - recordedAtMs)
-                + 1000.0 * (settings.playlist().ahead() + 2) * targetS;
+                + 1000.0 * (settings.playlist().segmentsAhead() + 2) * targetS;
     }
 
     /** Calls {@code body} once all records passed to the ledger so far are on disk, or after a timeout without them. */
@@ -140,8 +144,8 @@
                 body.run();
             }
         };
-        ledger.whenKept(once);
-        loop.schedule(settings.times().stitchWait(), () -> {
+        ledger.whenWritten(once);
+        loop.schedule(settings.times().stitchWaitMs(), () -> {
             if (!done[0]) {
                 counters.increment("sessions-log-behind");
                 once.run();
@@ -151,7 +155,7 @@
 
     /** Records that a session has ended and must not be restored. */
     void remove(Session session) {
-        ledger.over(session.token);
+        ledger.recordEnd(session.token);
     }
 
     /** Restores a session of the previous process; null if it is unknown or its class or tenant no longer exists. */
@@ -168,7 +172,7 @@
                 settings.playlist(),
                 nowMs(),
                 commonTimeMs.getAsDouble(),
-                new SessionPlaylist.Progress(
+                new SessionPlaylist.RestartState(
                         entry.sequence(),
                         entry.number(),
                         entry.segment(),
@@ -185,7 +189,7 @@
     }
 
     /** Moves a restored session's playlist, once, to where the lecture was when the previous process ended. */
-    static void resumeLecture(Session session, Source lecture) {
+    static void resumeLecture(Session session, SourcePlaylist lecture) {
         if (session.elapsedSinceRecordMs >= 0) {
             session.playlist.skipElapsed(lecture, session.elapsedSinceRecordMs);
             session.elapsedSinceRecordMs = -1;
--- a/front/src/main/java/calicovale/front/player/SessionPlacer.java
+++ b/front/src/main/java/calicovale/front/player/SessionPlacer.java
@@ -5,7 +5,7 @@
 import calicovale.ControllerApi.Outcome;
 import calicovale.ControllerApi.Request;
 import calicovale.ControllerApi.Started;
-import calicovale.front.box.BoxLink;
+import calicovale.front.box.BoxClient;
 import calicovale.front.settings.FrontSettings;
 import calicovale.front.settings.FrontSettings.Holders;
 import calicovale.host.ControllerHost;
@@ -38,7 +38,7 @@
     private final Counters counters;
     private final SessionRegistry registry;
     private final PlayerResponses responses;
-    private final LongFunction<BoxLink> boxLinks;
+    private final LongFunction<BoxClient> boxLinks;
     private final String incarnation;
     private ControllerHost host;
     private ProgrammeChanges programmeChanges;
@@ -58,7 +58,7 @@
             Counters counters,
             SessionRegistry registry,
             PlayerResponses responses,
-            LongFunction<BoxLink> boxLinks,
+            LongFunction<BoxClient> boxLinks,
             String incarnation) {
         this.loop = loop;
         this.settings = settings;
@@ -102,7 +102,7 @@
         if (exchange != null) {
             addWaitingExchange(session, exchange);
         }
-        double remainingMs = session.waitMs - settings.times().answerMargin();
+        double remainingMs = session.waitMs - settings.times().answerMarginMs();
         String requestId = session.requestId;
         session.deadlineTimer = loop.schedule(remainingMs, () -> onDeadline(session, requestId));
         Holders holders = session.holders != null
@@ -195,7 +195,7 @@
     @Override
     public void attempt(String requestId, long boxNumber, double timeoutMs) {
         Session session = registry.byRequestId.get(requestId);
-        BoxLink box = boxLinks.apply(boxNumber);
+        BoxClient box = boxLinks.apply(boxNumber);
         session.attempt++;
         session.box = box;
         session.attemptStartedAtMs = nowMs();
@@ -219,7 +219,7 @@
         LOG.atInfo()
                 .addKeyValue("session", requestId)
                 .log("set-up attempt {} at box {}, rung {}", attempt, boxNumber, session.rung);
-        session.setUpCall = box.setUp(session.attemptKey(), body, timeoutMs, new BoxLink.SetUpListener() {
+        session.setUpCall = box.setUp(session.attemptKey(), body, timeoutMs, new BoxClient.SetUpListener() {
             @Override
             public void started(String base, HttpHead head) {
                 onStarted(session, requestId, attempt, box, base);
@@ -251,7 +251,7 @@
         });
     }
 
-    private void onStarted(Session session, String requestId, int attempt, BoxLink box, String baseUri) {
+    private void onStarted(Session session, String requestId, int attempt, BoxClient box, String baseUri) {
         double elapsedMs = nowMs() - session.attemptStartedAtMs;
         boolean wanted =
                 !session.departed && session.state == Session.State.PLACING && session.requestId.equals(requestId);
@@ -266,7 +266,7 @@
         host.raise(new Started(requestId, attempt, box.id(), elapsedMs));
         registry.changeState(session, Session.State.PLAYING);
         registry.playingByBox.computeIfAbsent(box, b -> new LinkedHashSet<>()).add(session);
-        box.watch();
+        box.openEventStream();
         String key = session.attemptKey();
         box.confirm(key, () -> {
             if (session.state == Session.State.PLAYING && session.attemptKey().equals(key)) {
@@ -300,7 +300,7 @@
     }
 
     /** Releases a set-up that succeeded after its request had ended or all waiting players had disconnected. */
-    private void releaseUnwanted(Session session, String requestId, int attempt, BoxLink box, double elapsedMs) {
+    private void releaseUnwanted(Session session, String requestId, int attempt, BoxClient box, double elapsedMs) {
         counters.increment("let-go");
         box.release(requestId + "." + attempt);
         host.raise(new AttemptEnded(requestId, attempt, box.id(), Outcome.OK, elapsedMs, true, Map.of()));
@@ -348,7 +348,7 @@
         if (session.state == Session.State.PLAYING) {
             programmeChanges.resetReportedRung(session);
             counters.increment("rung-changes");
-            session.box.rung(session.attemptKey(), rung, ++session.rungChangeNumber);
+            session.box.sendRung(session.attemptKey(), rung, ++session.rungChangeNumber);
             LOG.atInfo().addKeyValue("session", requestId).log("changed to rung {}", rung);
         }
     }
@@ -406,11 +406,11 @@
 
     /** Ends a playing session's stay at its box and reports the outcome to the controller. */
     void leaveBox(Session session, Outcome outcome, Map<String, Double> load) {
-        BoxLink box = session.box;
+        BoxClient box = session.box;
         Set<Session> playing = registry.playingByBox.get(box);
         if (playing != null && playing.remove(session) && playing.isEmpty()) {
             registry.playingByBox.remove(box);
-            box.unwatch();
+            box.closeEventStream();
         }
         session.lostAtMs = nowMs();
         session.rungChangeNumber = 0;
--- a/front/src/main/java/calicovale/front/player/SessionRegistry.java
+++ b/front/src/main/java/calicovale/front/player/SessionRegistry.java
@@ -1,6 +1,6 @@
 package calicovale.front.player;
 
-import calicovale.front.box.BoxLink;
+import calicovale.front.box.BoxClient;
 import calicovale.front.settings.FrontSettings;
 import calicovale.protocols.net.EventLoop;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
     /** Sessions that are being placed or are playing, by the id of their current request. */
     final Map<String, Session> byRequestId = new HashMap<>();
     /** Playing sessions by box. */
-    final Map<BoxLink, Set<Session>> playingByBox = new HashMap<>();
+    final Map<BoxClient, Set<Session>> playingByBox = new HashMap<>();
     /** Number of requests that are not answered yet. */
     int pendingRequests;
     /** Whether new requests are refused because the process is shutting down. */
@@ -91,7 +91,7 @@
     /** Removes a session without a box unless it is placed again within the time that ended sessions are kept. */
     private void scheduleRemoval(Session session) {
         String requestId = session.requestId;
-        loop.schedule(settings.times().endedKept(), () -> {
+        loop.schedule(settings.times().endedKeptMs(), () -> {
             boolean withoutBox = session.state == Session.State.LOST || session.state == Session.State.ENDED;
             if (withoutBox && session.requestId.equals(requestId)) {
                 remove(session);
--- a/front/src/main/java/calicovale/front/player/SourcePlaylistCache.java
+++ b/front/src/main/java/calicovale/front/player/SourcePlaylistCache.java
@@ -1,7 +1,7 @@
 package calicovale.front.player;
 
-import calicovale.front.box.BoxLink;
-import calicovale.front.playlist.Source;
+import calicovale.front.box.BoxClient;
+import calicovale.front.playlist.SourcePlaylist;
 import calicovale.host.Counters;
 import calicovale.protocols.hls.HlsException;
 import java.nio.charset.StandardCharsets;
@@ -25,7 +25,7 @@
     private final Counters counters;
     private final int rungCount;
     /** By title, least recently used first; each array has one element per rung, null where nothing is cached. */
-    private final LinkedHashMap<String, Source[]> sourcesByTitle = new LinkedHashMap<>(16, 0.75f, true);
+    private final LinkedHashMap<String, SourcePlaylist[]> sourcesByTitle = new LinkedHashMap<>(16, 0.75f, true);
 
     /** Callbacks of running fetches, by rung and title. */
     private final Map<String, List<Runnable>> waitingByFetch = new HashMap<>();
@@ -39,13 +39,13 @@
     }
 
     /** Returns the playlist of a title at a rung; null if it is not cached. */
-    Source get(String title, int rung) {
-        Source[] sourcesByRung = sourcesByTitle.get(title);
+    SourcePlaylist get(String title, int rung) {
+        SourcePlaylist[] sourcesByRung = sourcesByTitle.get(title);
         return sourcesByRung == null ? null : sourcesByRung[rung];
     }
 
-    private void store(String title, int rung, Source source) {
-        Source[] sourcesByRung = sourcesByTitle.computeIfAbsent(title, t -> new Source[rungCount]);
+    private void store(String title, int rung, SourcePlaylist source) {
+        SourcePlaylist[] sourcesByRung = sourcesByTitle.computeIfAbsent(title, t -> new SourcePlaylist[rungCount]);
         sourceCount += sourcesByRung[rung] == null ? 1 : 0;
         sourcesByRung[rung] = source;
         while (sourceCount > maxSources && sourcesByTitle.size() > 1) {
@@ -60,17 +60,17 @@
 
     /** Parses and stores a playlist as received from a box. */
     void put(String title, int rung, byte[] body) throws HlsException {
-        store(title, rung, Source.parse(new String(body, StandardCharsets.UTF_8)));
+        store(title, rung, SourcePlaylist.parse(new String(body, StandardCharsets.UTF_8)));
     }
 
     /** Logs and counts a playlist from a box that could not be parsed. */
-    void reportMalformed(BoxLink box, String title, int rung, HlsException error) {
+    void reportMalformed(BoxClient box, String title, int rung, HlsException error) {
         counters.increment("sources-malformed");
         LOG.warn("box {}: playlist of {} at rung {} rejected: {}", box.id(), title, rung, error.getMessage());
     }
 
     /** Fetches a playlist from a box unless a fetch of it is running; {@code done} runs after success or failure. */
-    void fetch(BoxLink box, String title, int rung, Runnable done) {
+    void fetch(BoxClient box, String title, int rung, Runnable done) {
         String key = rung + " " + title;
         List<Runnable> waiting = waitingByFetch.get(key);
         if (waiting != null) {
@@ -79,7 +79,7 @@
         }
         waitingByFetch.put(key, new ArrayList<>(List.of(done)));
         counters.increment("sources-fetched");
-        box.source(title, rung, (head, body, failure) -> {
+        box.fetchSource(title, rung, (head, body, failure) -> {
             if (failure == null && head.status() == 200) {
                 try {
                     put(title, rung, body);
--- a/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
+++ b/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
@@ -19,12 +19,12 @@
     /**
      * Dimensions of the window.
      *
-     * @param ahead number of segments listed after the one that plays
-     * @param behind number of segments kept before it
+     * @param segmentsAhead number of segments listed after the one that plays
+     * @param segmentsBehind number of segments kept before it
      * @param minTargetS lower bound of EXT-X-TARGETDURATION, in seconds; has to cover the longest piece's target
      *     duration, because the tag must not change later
      */
-    public record Shape(int ahead, int behind, int minTargetS) {}
+    public record WindowShape(int segmentsAhead, int segmentsBehind, int minTargetS) {}
 
     /**
      * Consecutive segments of one rung from one box.
@@ -43,8 +43,8 @@
             int firstSegment,
             int rung,
             String baseUri,
-            Source source,
-            Piece piece,
+            SourcePlaylist source,
+            StitchedPiece piece,
             int planIndex,
             int discontinuitySequence,
             double startMs,
@@ -64,20 +64,20 @@
      * @param targetS EXT-X-TARGETDURATION as it was sent, in seconds; 0 if none was
      * @param dateMs upper bound of the program date-times that may have been sent, in ms
      */
-    public record Progress(
+    public record RestartState(
             long nextSequence, int discontinuitySequence, int lectureSegment, long targetS, double dateMs) {}
 
-    private final Shape shape;
+    private final WindowShape shape;
     /** Difference between the program date-time and the monotonic time at which it plays, in ms. */
     private double dateOffsetMs;
 
     private final List<Run> runs = new ArrayList<>(2);
     private final List<InterstitialTag> interstitialTags = new ArrayList<>(0);
-    private final List<Piece> plannedPieces = new ArrayList<>(0);
+    private final List<StitchedPiece> plannedPieces = new ArrayList<>(0);
     /** Index in the plan of the current piece, or of the next one that the lecture reaches. */
     private int nextPlanIndex;
     /** The lecture's playlist at the last extension; null before the first. */
-    private Source lecture;
+    private SourcePlaylist lecture;
 
     private long nextSequence;
     private int discontinuitySequence;
@@ -86,7 +86,7 @@
     /** The lecture's segment that is added next. */
     private int nextSegment;
     /** The piece whose segments are being added; null while the lecture's are. */
-    private Piece currentPiece;
+    private StitchedPiece currentPiece;
     /** The current piece's segment that is added next. */
     private int nextPieceSegment;
     /** Segment at which the next piece begins, because the ones before were listed until its box was lost. */
@@ -103,14 +103,14 @@
     /**
      * Creates a playlist whose lecture begins at the monotonic time {@code startMs}, the common time {@code dateMs}.
      */
-    public SessionPlaylist(Shape shape, double startMs, double dateMs) {
+    public SessionPlaylist(WindowShape shape, double startMs, double dateMs) {
         this.shape = shape;
         this.endMs = startMs;
         this.dateOffsetMs = dateMs - startMs;
     }
 
     /** Creates a playlist that continues after a restart. */
-    public SessionPlaylist(Shape shape, double startMs, double dateMs, Progress progress) {
+    public SessionPlaylist(WindowShape shape, double startMs, double dateMs, RestartState progress) {
         this(shape, startMs, Math.max(dateMs, progress.dateMs()));
         nextSequence = progress.nextSequence();
         discontinuitySequence = progress.discontinuitySequence();
@@ -120,7 +120,7 @@
     }
 
     /** Returns the number of runs kept, which are those in the window. */
-    public int runs() {
+    public int runCount() {
         return runs.size();
     }
 
@@ -130,7 +130,7 @@
     }
 
     /** Returns the discontinuity sequence number of the newest segment. */
-    public int number() {
+    public int discontinuitySequence() {
         return discontinuitySequence;
     }
 
@@ -155,9 +155,9 @@
     }
 
     /** Returns a change's piece as it was put in; null if it was not. */
-    public Piece plannedPiece(String changeId) {
-        for (Piece piece : plannedPieces) {
-            if (piece.id().equals(changeId)) {
+    public StitchedPiece plannedPiece(String changeId) {
+        for (StitchedPiece piece : plannedPieces) {
+            if (piece.changeId().equals(changeId)) {
                 return piece;
             }
         }
@@ -165,25 +165,25 @@
     }
 
     /** Returns the piece of the newest segment; null if it is the lecture's. */
-    public Piece lastPiece() {
+    public StitchedPiece lastPiece() {
         return runs.isEmpty() ? null : runs.get(runs.size() - 1).piece();
     }
 
     /** Returns whether segments of a change's piece are in the window or are being added. */
     public boolean listsPiece(String changeId) {
         for (Run run : runs) {
-            if (run.piece() != null && run.piece().id().equals(changeId)) {
+            if (run.piece() != null && run.piece().changeId().equals(changeId)) {
                 return true;
             }
         }
-        return currentPiece != null && currentPiece.id().equals(changeId);
+        return currentPiece != null && currentPiece.changeId().equals(changeId);
     }
 
     /**
      * Moves a restored playlist forward by the time for which the lecture went on after the recorded segment, in ms.
      */
-    public void skipElapsed(Source source, double elapsedMs) {
-        int firstSegment = Math.min(nextSegment, source.count() - 1);
+    public void skipElapsed(SourcePlaylist source, double elapsedMs) {
+        int firstSegment = Math.min(nextSegment, source.segmentCount() - 1);
         nextSegment = source.segmentAt(source.startS(firstSegment) + elapsedMs / 1000);
     }
 
@@ -193,21 +193,21 @@
     }
 
     /** Returns the piece whose segments are being added; null while the lecture's are. */
-    public Piece unfinishedPiece() {
+    public StitchedPiece unfinishedPiece() {
         return currentPiece;
     }
 
     /** Returns whether the lecture's last segment has been listed. */
     public boolean isComplete() {
-        return lecture != null && nextSegment >= lecture.count() && currentPiece == null;
+        return lecture != null && nextSegment >= lecture.segmentCount() && currentPiece == null;
     }
 
-    private static double segmentMs(Source source, int segment) {
+    private static double segmentMs(SourcePlaylist source, int segment) {
         return 1000 * (source.startS(segment + 1) - source.startS(segment));
     }
 
     /** Returns the segment of a run that plays at a time; the index after its last one if the run has ended. */
-    private int segmentInRunAt(int runIndex, Source source, double timeMs) {
+    private int segmentInRunAt(int runIndex, SourcePlaylist source, double timeMs) {
         Run run = runs.get(runIndex);
         int segment = run.firstSegment();
         int end = run.firstSegment() + (int) (runEndSequence(runIndex) - run.firstSequence());
@@ -219,8 +219,8 @@
             while (run.piece() == null
                     && planIndex < plannedPieces.size()
                     && plannedPieces.get(planIndex).isInterstitial()
-                    && plannedPieces.get(planIndex).from() <= segment) {
-                startMs += plannedPieces.get(planIndex).from() == segment
+                    && plannedPieces.get(planIndex).beforeSegment() <= segment) {
+                startMs += plannedPieces.get(planIndex).beforeSegment() == segment
                         ? plannedPieces.get(planIndex).lectureDelayMs(source)
                         : 0;
                 planIndex++;
@@ -230,14 +230,14 @@
     }
 
     /** Returns the lecture's segment that plays at a monotonic time; during a piece the one before which it is put. */
-    public int segmentAt(Source source, double timeMs) {
+    public int lectureSegmentAt(SourcePlaylist source, double timeMs) {
         int runIndex = runIndexAt(timeMs);
         if (runIndex < 0) {
             return nextSegment;
         }
         Run run = runs.get(runIndex);
         return run.piece() != null
-                ? run.piece().from()
+                ? run.piece().beforeSegment()
                 : Math.min(segmentInRunAt(runIndex, source, timeMs), nextSegment);
     }
 
@@ -255,17 +255,17 @@
      * segments, the playlist continues after the last of them. Otherwise it lists again all segments and pieces from
      * the place that was playing at {@code lostMs}, because the lost box may not have delivered those listed last.
      */
-    public void resume(Source source, double lostMs, double nowMs) {
+    public void resume(SourcePlaylist source, double lostMs, double nowMs) {
         if (!runs.isEmpty()) {
             relistFrom(source, lastServedSequence >= 0 ? lastServedSequence + 1 : sequenceAt(source, lostMs), nowMs);
         }
     }
 
     /** Lists everything from a change's piece on again without it, because its segments are no longer available. */
-    public void dropPiece(Source source, String changeId, double nowMs) {
+    public void dropPiece(SourcePlaylist source, String changeId, double nowMs) {
         for (int i = 0; i < runs.size(); i++) {
             Run run = runs.get(i);
-            if (run.piece() != null && run.piece().id().equals(changeId)) {
+            if (run.piece() != null && run.piece().changeId().equals(changeId)) {
                 relistFrom(source, Math.max(run.firstSequence(), lastServedSequence + 1), nowMs);
                 return;
             }
@@ -273,11 +273,11 @@
     }
 
     /** Handles a segment that a box has delivered completely; {@code uri} is its URI in the playlist. */
-    public void served(String uri) {
+    public void onSegmentServed(String uri) {
         for (int i = runs.size() - 1; i >= 0; i--) {
             Run run = runs.get(i);
             if (uri.startsWith(run.baseUri())) {
-                Source segments = run.source();
+                SourcePlaylist segments = run.source();
                 for (long sequence = run.firstSequence(); sequence < runEndSequence(i); sequence++) {
                     if (uri.endsWith(segments.uri(run.firstSegment() + (int) (sequence - run.firstSequence())))) {
                         lastServedSequence = Math.max(lastServedSequence, sequence);
@@ -289,7 +289,7 @@
     }
 
     /** Returns the media sequence number of the segment that plays at a monotonic time. */
-    private long sequenceAt(Source source, double timeMs) {
+    private long sequenceAt(SourcePlaylist source, double timeMs) {
         int runIndex = runIndexAt(timeMs);
         Run run = runs.get(runIndex);
         int segment = segmentInRunAt(runIndex, run.piece() != null ? run.piece().source() : source, timeMs);
@@ -297,7 +297,7 @@
     }
 
     /** Sets the position back so that what was listed from a media sequence number on is listed again. */
-    private void relistFrom(Source source, long sequence, double nowMs) {
+    private void relistFrom(SourcePlaylist source, long sequence, double nowMs) {
         double resumeMs = nowMs;
         int runIndex = runs.size() - 1;
         while (runIndex > 0 && runs.get(runIndex).firstSequence() > sequence) {
@@ -317,7 +317,7 @@
                                     * (run.piece().source().startS(resumePieceSegment)
                                             - run.piece().source().startS(run.firstSegment())));
             nextPlanIndex = run.planIndex();
-            nextSegment = run.piece().from();
+            nextSegment = run.piece().beforeSegment();
         } else {
             resumePieceSegment = 0;
             nextSegment = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
@@ -326,8 +326,8 @@
             nextPlanIndex = run.planIndex();
             while (nextPlanIndex < plannedPieces.size()
                     && plannedPieces.get(nextPlanIndex).isInterstitial()
-                    && plannedPieces.get(nextPlanIndex).from() > run.firstSegment()
-                    && plannedPieces.get(nextPlanIndex).from() <= nextSegment) {
+                    && plannedPieces.get(nextPlanIndex).beforeSegment() > run.firstSegment()
+                    && plannedPieces.get(nextPlanIndex).beforeSegment() <= nextSegment) {
                 nextPlanIndex++;
             }
         }
@@ -341,8 +341,8 @@
     }
 
     /** Adds the segments that are due, at a rung, without pieces. */
-    public void extend(Source source, int rung, String baseUri, double nowMs) {
-        extend(source, rung, baseUri, nowMs, Piece.Stitcher.NONE);
+    public void extend(SourcePlaylist source, int rung, String baseUri, double nowMs) {
+        extend(source, rung, baseUri, nowMs, StitchedPiece.Stitcher.NONE);
     }
 
     /**
@@ -350,30 +350,31 @@
      *
      * @return false if the stitcher can't decide yet
      */
-    public boolean extend(Source source, int rung, String baseUri, double nowMs, Piece.Stitcher stitcher) {
+    public boolean extend(
+            SourcePlaylist source, int rung, String baseUri, double nowMs, StitchedPiece.Stitcher stitcher) {
         lecture = source;
         if (targetS == 0) {
             targetS = Math.max(shape.minTargetS(), source.targetS());
         }
-        while (currentPiece != null || nextSegment < source.count()) {
+        while (currentPiece != null || nextSegment < source.segmentCount()) {
             double lengthMs = currentPiece != null
                     ? segmentMs(currentPiece.source(), nextPieceSegment)
                     : segmentMs(source, nextSegment);
-            if (endMs > nowMs + shape.ahead() * lengthMs + 1e-6) {
+            if (endMs > nowMs + shape.segmentsAhead() * lengthMs + 1e-6) {
                 return true;
             }
             if (currentPiece == null) {
                 while (nextPlanIndex < plannedPieces.size()
-                        && plannedPieces.get(nextPlanIndex).from() < nextSegment) {
+                        && plannedPieces.get(nextPlanIndex).beforeSegment() < nextSegment) {
                     // its boundary lies in a part of the lecture that another piece has replaced since
                     nextPlanIndex++;
                 }
                 boolean planned = nextPlanIndex < plannedPieces.size()
-                        && plannedPieces.get(nextPlanIndex).from() == nextSegment;
-                Piece next = planned
-                        ? stitcher.again(plannedPieces.get(nextPlanIndex))
-                        : stitcher.before(nextSegment, source.startS(nextSegment), endMs);
-                if (next == Piece.WAIT) {
+                        && plannedPieces.get(nextPlanIndex).beforeSegment() == nextSegment;
+                StitchedPiece next = planned
+                        ? stitcher.relistPiece(plannedPieces.get(nextPlanIndex))
+                        : stitcher.pieceBefore(nextSegment, source.startS(nextSegment), endMs);
+                if (next == StitchedPiece.WAIT) {
                     return false;
                 }
                 if (next != null || planned) {
@@ -383,7 +384,7 @@
                 addSegment(source, nextSegment, rung, baseUri, null);
                 nextSegment++;
             } else {
-                currentPiece = stitcher.onward(currentPiece);
+                currentPiece = stitcher.continuePiece(currentPiece);
                 plannedPieces.set(nextPlanIndex, currentPiece);
                 addSegment(
                         currentPiece.source(),
@@ -391,8 +392,8 @@
                         currentPiece.rung(),
                         currentPiece.baseUri(),
                         currentPiece);
-                if (nextPieceSegment >= currentPiece.source().count()) {
-                    finishPiece(currentPiece.to());
+                if (nextPieceSegment >= currentPiece.source().segmentCount()) {
+                    finishPiece(currentPiece.resumeSegment());
                 }
             }
         }
@@ -400,7 +401,7 @@
     }
 
     /** Begins a piece at the current boundary; {@code piece} is null if a planned one is not available any more. */
-    private void beginPiece(Source source, Piece piece, boolean planned) {
+    private void beginPiece(SourcePlaylist source, StitchedPiece piece, boolean planned) {
         if (piece == null) {
             // it was withdrawn, or no box that this session can use has it
             nextPlanIndex++;
@@ -416,7 +417,9 @@
             interstitialTags.add(new InterstitialTag(
                     nextSequence,
                     piece.interstitialTag(
-                            endDateMs(), nextSequence, source.startS(piece.to()) - source.startS(piece.from()))));
+                            endDateMs(),
+                            nextSequence,
+                            source.startS(piece.resumeSegment()) - source.startS(piece.beforeSegment()))));
             // the player pauses the lecture meanwhile, so what follows plays later at the same program date-time
             endMs += piece.lectureDelayMs(source);
             dateOffsetMs -= piece.lectureDelayMs(source);
@@ -424,7 +427,7 @@
             return;
         }
         currentPiece = piece;
-        nextPieceSegment = Math.min(resumePieceSegment, piece.source().count() - 1);
+        nextPieceSegment = Math.min(resumePieceSegment, piece.source().segmentCount() - 1);
         resumePieceSegment = 0;
     }
 
@@ -435,7 +438,7 @@
     }
 
     /** Adds one segment at the end and drops what has left the window. */
-    private void addSegment(Source segmentSource, int segment, int rung, String baseUri, Piece piece) {
+    private void addSegment(SourcePlaylist segmentSource, int segment, int rung, String baseUri, StitchedPiece piece) {
         Run lastRun = runs.isEmpty() ? null : runs.get(runs.size() - 1);
         boolean continuesRun = lastRun != null
                 && !lastRunClosed
@@ -476,7 +479,7 @@
 
     /** Returns the media sequence number of the window's first segment. */
     private long firstListedSequence() {
-        long first = Math.max(0, nextSequence - shape.ahead() - 1 - shape.behind());
+        long first = Math.max(0, nextSequence - shape.segmentsAhead() - 1 - shape.segmentsBehind());
         return runs.isEmpty() ? first : Math.max(first, runs.get(0).firstSequence());
     }
 
@@ -492,7 +495,7 @@
         long first = firstListedSequence();
         long sequence = first;
         int tagIndex = 0;
-        Source.TagState state = new Source.TagState();
+        SourcePlaylist.TagState state = new SourcePlaylist.TagState();
         Run firstRun = runs.get(0);
         // EXT-X-DISCONTINUITY before the first segment counts by itself, so the sequence number excludes it
         boolean startsWithDiscontinuity = firstRun.discontinuitySequence() > 0 && firstRun.firstSequence() == first;
@@ -510,7 +513,7 @@
         out.append('\n');
         for (int runIndex = 0; runIndex < runs.size(); runIndex++) {
             Run run = runs.get(runIndex);
-            Source source = run.source();
+            SourcePlaylist source = run.source();
             long runEnd = runEndSequence(runIndex);
             for (; sequence < runEnd; sequence++) {
                 int segment = run.firstSegment() + (int) (sequence - run.firstSequence());
@@ -521,7 +524,7 @@
                 if (sequence == first || sequence == run.firstSequence()) {
                     double dateMs = run.dateMs() + 1000 * (source.startS(segment) - source.startS(run.firstSegment()));
                     out.append("#EXT-X-PROGRAM-DATE-TIME:");
-                    Piece.appendDate(out, dateMs);
+                    StitchedPiece.appendDate(out, dateMs);
                     out.append('\n');
                     if (run.piece() != null) {
                         double startS = source.startS(run.firstSegment());
--- a/front/src/main/java/calicovale/front/playlist/Source.java
+++ b/front/src/main/java/calicovale/front/playlist/SourcePlaylist.java
@@ -12,7 +12,7 @@
  * state (RFC 8216, 4.3.2) that the lines before it leave in force (keys, initialization section and byte range), so
  * that a window may begin at any segment.
  */
-public final class Source {
+public final class SourcePlaylist {
     /** Tags that a session's playlist writes itself, or that are written explicitly for each segment. */
     private static final List<String> REWRITTEN_TAGS = List.of(
             "EXT-X-MAP",
@@ -38,7 +38,7 @@
     private final double[] startsS;
     private final long targetS;
 
-    private Source(List<Segment> segments, double[] startsS, long targetS) {
+    private SourcePlaylist(List<Segment> segments, double[] startsS, long targetS) {
         this.segments = segments;
         this.startsS = startsS;
         this.targetS = targetS;
@@ -49,7 +49,7 @@
      *
      * @throws HlsException if it is malformed, a multivariant playlist, or has no segments
      */
-    public static Source parse(String text) throws HlsException {
+    public static SourcePlaylist parse(String text) throws HlsException {
         Playlist playlist = Playlist.parse(text);
         if (playlist.isMultivariant() || playlist.entries().isEmpty()) {
             throw new HlsException(1, "a media playlist with segments is expected");
@@ -107,7 +107,7 @@
             startsS[i + 1] = startsS[i] + entry.durationSeconds();
             longestS = Math.max(longestS, entry.durationSeconds());
         }
-        return new Source(
+        return new SourcePlaylist(
                 List.copyOf(segments),
                 startsS,
                 Math.max(1, Math.max(Math.round(longestS), playlist.number("EXT-X-TARGETDURATION", 1))));
@@ -145,7 +145,7 @@
     }
 
     /** Returns the number of segments. */
-    public int count() {
+    public int segmentCount() {
         return segments.size();
     }
 
@@ -237,7 +237,7 @@
         return baseUri + uri;
     }
 
-    /** Returns the start of a segment in seconds; for {@link #count()} the end of the last one. */
+    /** Returns the start of a segment in seconds; for {@link #segmentCount()} the end of the last one. */
     public double startS(int index) {
         return startsS[index];
     }
@@ -250,10 +250,10 @@
     /** Returns the segment that contains a position in seconds; the first or last one if it is outside. */
     public int segmentAt(double seconds) {
         int index = java.util.Arrays.binarySearch(startsS, seconds);
-        return Math.max(0, Math.min(count() - 1, index >= 0 ? index : -index - 2));
+        return Math.max(0, Math.min(segmentCount() - 1, index >= 0 ? index : -index - 2));
     }
 
-    /** Returns the boundary nearest to a position in seconds, from 0 to {@link #count()}. */
+    /** Returns the boundary nearest to a position in seconds, from 0 to {@link #segmentCount()}. */
     public int nearestBoundary(double seconds) {
         int before = segmentAt(seconds);
         boolean beforeIsNearer = seconds - startsS[before] <= startsS[before + 1] - seconds;
--- a/front/src/main/java/calicovale/front/playlist/Piece.java
+++ b/front/src/main/java/calicovale/front/playlist/StitchedPiece.java
@@ -6,19 +6,26 @@
 /**
  * A piece that is stitched into a session's playlist at a boundary of its lecture.
  *
- * @param id id of its programme change
+ * @param changeId id of its programme change
  * @param rung rung of its rendition
  * @param baseUri URI below which its segments are
  * @param source its segments
- * @param from the lecture's segment before which it is put
- * @param to the lecture's segment that follows it: equal to {@code from} if the piece is inserted, later if it replaces
+ * @param beforeSegment the lecture's segment before which it is put
+ * @param resumeSegment the lecture's segment that follows it: equal to {@code from} if the piece is inserted, later if it replaces
  *     segments of the lecture
- * @param asset URI of its own playlist, which the player plays as an HLS interstitial; null if its segments are put
+ * @param assetUri URI of its own playlist, which the player plays as an HLS interstitial; null if its segments are put
  *     into the session's playlist
  */
-public record Piece(String id, int rung, String baseUri, Source source, int from, int to, String asset) {
+public record StitchedPiece(
+        String changeId,
+        int rung,
+        String baseUri,
+        SourcePlaylist source,
+        int beforeSegment,
+        int resumeSegment,
+        String assetUri) {
     /** Returned by a {@link Stitcher} that can't decide yet; compared by identity. */
-    public static final Piece WAIT = new Piece("", 0, "", null, 0, 0, null);
+    public static final StitchedPiece WAIT = new StitchedPiece("", 0, "", null, 0, 0, null);
 
     private static final long MS_PER_DAY = 86_400_000;
 
@@ -34,27 +41,27 @@
          * @param boundaryS start of the segment in the lecture, in seconds
          * @param boundaryMs monotonic time at which the boundary will play, in ms
          */
-        Piece before(int segment, double boundaryS, double boundaryMs);
+        StitchedPiece pieceBefore(int segment, double boundaryS, double boundaryMs);
 
         /**
          * Returns a piece that was put in but not played to its end, at the box that has it now; null to leave it out,
          * or {@link Piece#WAIT}.
          */
-        default Piece again(Piece piece) {
+        default StitchedPiece relistPiece(StitchedPiece piece) {
             return null;
         }
 
         /**
          * Returns the rendition with which a piece continues: the same, or one at another rung with as many segments.
          */
-        default Piece onward(Piece piece) {
+        default StitchedPiece continuePiece(StitchedPiece piece) {
             return piece;
         }
     }
 
     /** Returns whether the player plays it as an interstitial, from a playlist of its own. */
     public boolean isInterstitial() {
-        return asset != null;
+        return assetUri != null;
     }
 
     /** Returns its length in ms. */
@@ -63,8 +70,8 @@
     }
 
     /** Returns by how much an interstitial delays the lecture, in ms; negative if it replaces a longer part. */
-    double lectureDelayMs(Source lecture) {
-        return lengthMs() - 1000 * (lecture.startS(to) - lecture.startS(from));
+    double lectureDelayMs(SourcePlaylist lecture) {
+        return lengthMs() - 1000 * (lecture.startS(resumeSegment) - lecture.startS(beforeSegment));
     }
 
     /**
@@ -90,14 +97,14 @@
     String interstitialTag(double dateMs, long sequence, double replacedS) {
         return dateRangeLine(dateRangeAttributes("com.apple.hls.interstitial", dateMs, sequence)
                 .setUnquoted("DURATION", seconds(source.lengthS()))
-                .setQuoted("X-ASSET-URI", asset)
+                .setQuoted("X-ASSET-URI", assetUri)
                 .setUnquoted("X-RESUME-OFFSET", seconds(replacedS))
                 .setQuoted("X-RESTRICT", "SKIP,JUMP"));
     }
 
     private Attributes dateRangeAttributes(String rangeClass, double dateMs, long sequence) {
         return new Attributes()
-                .setQuoted("ID", id + "-" + sequence)
+                .setQuoted("ID", changeId + "-" + sequence)
                 .setQuoted("CLASS", rangeClass)
                 .setQuoted("START-DATE", formatDate(dateMs));
     }
@@ -112,8 +119,8 @@
                         "#EXTM3U\n#EXT-X-VERSION:7\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-TARGETDURATION:")
                 .append(source.targetS())
                 .append("\n#EXT-X-PLAYLIST-TYPE:VOD\n");
-        Source.TagState state = new Source.TagState();
-        for (int i = 0; i < source.count(); i++) {
+        SourcePlaylist.TagState state = new SourcePlaylist.TagState();
+        for (int i = 0; i < source.segmentCount(); i++) {
             if (source.hasDiscontinuity(i)) {
                 out.append("#EXT-X-DISCONTINUITY\n");
                 state.discontinuity();
--- a/front/src/main/java/calicovale/front/settings/FrontSettings.java
+++ b/front/src/main/java/calicovale/front/settings/FrontSettings.java
@@ -70,7 +70,7 @@
         Path savedList,
         Bounds bounds,
         Times times,
-        SessionPlaylist.Shape playlist,
+        SessionPlaylist.WindowShape playlist,
         HttpLimits http,
         LoopLimits loop,
         InetSocketAddress operators,
@@ -123,38 +123,38 @@
     /**
      * Timeouts and intervals, all in ms.
      *
-     * @param answerMargin time before the end of a viewer's waiting time at which a request is answered at the latest
+     * @param answerMarginMs time before the end of a viewer's waiting time at which a request is answered at the latest
      * @param connectMs timeout of a connection to a box, and of a reading of the common clock
      * @param leaseMs lease for which a box keeps a set-up that is not confirmed
      * @param silentMs time without any received byte after which an event stream is considered dead
      * @param lostMs time without contact to a box after which its sessions are considered lost
-     * @param backoff upper bound of the delay before the first reconnection of an event stream
-     * @param backoffMost upper bound of the delay before any reconnection of an event stream
+     * @param backoffMs upper bound of the delay before the first reconnection of an event stream
+     * @param backoffMostMs upper bound of the delay before any reconnection of an event stream
      * @param clockEveryMs interval between readings of the common clock
-     * @param endedKept time after a session's end for which its playlist is still served
+     * @param endedKeptMs time after a session's end for which its playlist is still served
      * @param sourceMs timeout for fetching a lecture's playlist from a box
      * @param drainMs upper bound of the duration of a drain
-     * @param stitchWait upper bound of a reload's wait for the disk, or for a box's answer on whether it has a piece
-     * @param holders time for which it is cached whether a box holds a piece
-     * @param foundKept time after the start for which sessions of the previous process may return
+     * @param stitchWaitMs upper bound of a reload's wait for the disk, or for a box's answer on whether it has a piece
+     * @param holdersMs time for which it is cached whether a box holds a piece
+     * @param foundKeptMs time after the start for which sessions of the previous process may return
      * @param aliveMs interval between two notes in the session ledger that the process is running
      * @param watchMs interval between two scans of the watched folder
      */
     public record Times(
-            double answerMargin,
+            double answerMarginMs,
             double connectMs,
             double leaseMs,
             double silentMs,
             double lostMs,
-            double backoff,
-            double backoffMost,
+            double backoffMs,
+            double backoffMostMs,
             double clockEveryMs,
-            double endedKept,
+            double endedKeptMs,
             double sourceMs,
             double drainMs,
-            double stitchWait,
-            double holders,
-            double foundKept,
+            double stitchWaitMs,
+            double holdersMs,
+            double foundKeptMs,
             double aliveMs,
             double watchMs) {}
 
@@ -248,7 +248,7 @@
                 number(timesNode, "foundKeptMs", 120_000),
                 number(timesNode, "aliveMs", 1000),
                 number(timesNode, "watchMs", 1000));
-        if (times.backoffMost() < times.backoff()) {
+        if (times.backoffMostMs() < times.backoffMs()) {
             faults.add(name + ": /times/backoffMostMs: at least /times/backoffMs is expected");
         }
         ChangeKeys changeKeys = ChangeKeys.ANYONE;
@@ -365,7 +365,7 @@
                         : null,
                 bounds,
                 times,
-                new SessionPlaylist.Shape(
+                new SessionPlaylist.WindowShape(
                         playlistNode.path("ahead").asInt(3),
                         playlistNode.path("behind").asInt(3),
                         playlistNode.path("targetS").asInt()),
--- a/front/src/main/java/calicovale/front/time/CommonClock.java
+++ b/front/src/main/java/calicovale/front/time/CommonClock.java
@@ -64,7 +64,7 @@
      * Returns the common time, in ms since 1970, at a reading of the monotonic clock in ms. It is never less than a
      * time returned before, but for those before the first exchange.
      */
-    public double at(double monotonicMs) {
+    public double timeAt(double monotonicMs) {
         lastReturnedMs = Math.max(lastReturnedMs, monotonicMs + offsetMs);
         return lastReturnedMs;
     }
--- a/front/src/test/java/calicovale/front/CommonClockTest.java
+++ b/front/src/test/java/calicovale/front/CommonClockTest.java
@@ -15,17 +15,17 @@
     void aWrongWallClockIsCorrectedToWithinHalfARoundTrip() {
         CommonClock clock = new CommonClock(1000, 5_000_200);
         assertFalse(clock.isSynced());
-        assertEquals(5_000_200, clock.at(1000));
+        assertEquals(5_000_200, clock.timeAt(1000));
         // the directory's clock showed 5_000_000 at some moment between 1000 and 1010
         clock.addSample(1000, 1010, 5_000_000);
         assertTrue(clock.isSynced());
         assertTrue(Math.abs(clock.errorMs() - 5) < 1e-9);
-        assertEquals(5_000_006, clock.at(1011), 1e-6);
+        assertEquals(5_000_006, clock.timeAt(1011), 1e-6);
         // from the first exchange on the common time never runs backwards
         clock.addSample(1020, 1022, 4_900_000);
-        assertEquals(5_000_006, clock.at(1023), 1e-6);
+        assertEquals(5_000_006, clock.timeAt(1023), 1e-6);
         clock.addSample(1024, 1024, 5_000_019);
-        assertEquals(5_000_295, clock.at(1300), 1e-6);
+        assertEquals(5_000_295, clock.timeAt(1300), 1e-6);
     }
 
     @Test
@@ -33,7 +33,7 @@
         CommonClock clock = new CommonClock(0, 0);
         clock.addSample(0, 2, 1001);
         clock.addSample(100, 500, 1180);
-        assertEquals(2000, clock.at(1000), 1e-6);
+        assertEquals(2000, clock.timeAt(1000), 1e-6);
     }
 
     @Test
@@ -41,7 +41,7 @@
         CommonClock clock = new CommonClock(0, 0);
         clock.addSample(0, 2, 1001);
         clock.addSample(100, 140, 9120);
-        assertEquals(10_000, clock.at(1000), 1e-6);
+        assertEquals(10_000, clock.timeAt(1000), 1e-6);
     }
 
     @Test
@@ -50,7 +50,7 @@
         clock.addSample(10, 5, 1);
         clock.addSample(10, 15, Double.NaN);
         assertFalse(clock.isSynced());
-        assertEquals(170, clock.at(100));
+        assertEquals(170, clock.timeAt(100));
     }
 
     @Test
--- a/front/src/test/java/calicovale/front/SessionPlaylistTest.java
+++ b/front/src/test/java/calicovale/front/SessionPlaylistTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicovale.front.playlist.Piece;
 import calicovale.front.playlist.SessionPlaylist;
-import calicovale.front.playlist.Source;
+import calicovale.front.playlist.SourcePlaylist;
+import calicovale.front.playlist.StitchedPiece;
 import calicovale.protocols.hls.HlsException;
 import calicovale.protocols.hls.Playlist;
 import java.util.ArrayList;
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Test;
 
 class SessionPlaylistTest {
-    private static final SessionPlaylist.Shape SHAPE = new SessionPlaylist.Shape(2, 2, 0);
+    private static final SessionPlaylist.WindowShape SHAPE = new SessionPlaylist.WindowShape(2, 2, 0);
 
     /** Common time at which the tests' playlists begin, in ms. */
     private static final double START_DATE_MS = 1_700_000_000_000.0;
 
     /** Returns a lecture or piece with an EXT-X-MAP and segments of 2 s. */
-    private static Source source(int segments) throws HlsException {
+    private static SourcePlaylist source(int segments) throws HlsException {
         StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MAP:URI=\"init.mp4\"\n");
         for (int i = 0; i < segments; i++) {
             text.append("#EXT-X-VENDOR:")
@@ -34,7 +34,7 @@
                     .append(i)
                     .append(".m4s\n");
         }
-        return Source.parse(text + "#EXT-X-ENDLIST\n");
+        return SourcePlaylist.parse(text + "#EXT-X-ENDLIST\n");
     }
 
     /** Returns the URIs of a playlist's segments. */
@@ -44,7 +44,7 @@
 
     @Test
     void segmentsAreAddedAsTheLecturePlaysAndRemovedBehind() throws HlsException {
-        Source source = source(10);
+        SourcePlaylist source = source(10);
         SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
         playlist.extend(source, 3, "http://a/3/", 0);
         assertEquals(List.of("http://a/3/0.m4s", "http://a/3/1.m4s", "http://a/3/2.m4s"), uris(playlist.render()));
@@ -68,7 +68,7 @@
 
     @Test
     void aChangeOfRungIsADiscontinuityAtASegmentBoundary() throws HlsException {
-        Source source = source(10);
+        SourcePlaylist source = source(10);
         SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
         playlist.extend(source, 3, "http://a/3/", 0);
         playlist.extend(source, 1, "http://a/1/", 2500);
@@ -83,7 +83,7 @@
 
     @Test
     void afterALossSegmentsThatMayNotHaveBeenDeliveredAreListedAgain() throws HlsException {
-        Source source = source(10);
+        SourcePlaylist source = source(10);
         SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
         playlist.extend(source, 3, "http://a/3/", 0);
         playlist.resume(source, 2500, 8000);
@@ -103,14 +103,14 @@
 
     @Test
     void aPieceIsPutBetweenTwoSegmentsAndTheLectureContinues() throws HlsException {
-        Source source = source(10);
-        Source pieceSource = source(3);
+        SourcePlaylist source = source(10);
+        SourcePlaylist pieceSource = source(3);
         SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
-        Piece.Stitcher before2 = (n, s, ms) ->
-                n == 2 && ms == 4000 ? new Piece("storm", 1, "http://a/p/1/", pieceSource, 2, 2, null) : null;
+        StitchedPiece.Stitcher before2 = (n, s, ms) ->
+                n == 2 && ms == 4000 ? new StitchedPiece("storm", 1, "http://a/p/1/", pieceSource, 2, 2, null) : null;
         List<String> listedUris = new ArrayList<>();
         for (double nowMs = 0; nowMs < 12_000; nowMs += 1000) {
-            playlist.extend(source, 3, "http://a/3/", nowMs, nowMs < 1500 ? before2 : Piece.Stitcher.NONE);
+            playlist.extend(source, 3, "http://a/3/", nowMs, nowMs < 1500 ? before2 : StitchedPiece.Stitcher.NONE);
             uris(playlist.render()).stream()
                     .filter(u -> !listedUris.contains(u))
                     .forEach(listedUris::add);
@@ -149,7 +149,7 @@
 
     @Test
     void programDateTimesMatchTheCalendar() throws HlsException {
-        Source source = source(3);
+        SourcePlaylist source = source(3);
         for (double dateMs = 0; dateMs < 2.5e14; dateMs += 86_399_777.0 * 997) {
             SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, dateMs);
             playlist.extend(source, 0, "http://a/", 0);
@@ -160,11 +160,11 @@
 
     @Test
     void keysRangesAndInitializationSectionsAreCompleteWhereverAWindowBegins() throws HlsException {
-        Source source = Source.parse("#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:9\n"
+        SourcePlaylist source = SourcePlaylist.parse("#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:9\n"
                 + "#EXT-X-MAP:URI=\"/i.mp4\",BYTERANGE=\"9@0\"\n#EXT-X-KEY:METHOD=AES-128,URI=\"k\"\n#EXTINF:2,\n#EXT-X-BYTERANGE:5@0\nf\n"
                 + "#EXTINF:2,\n#EXT-X-BYTERANGE:6\nf\n#EXT-X-KEY:METHOD=NONE\n#EXTINF:2,\n#EXT-X-BYTERANGE:7\nf\n"
                 + "#EXT-X-DISCONTINUITY\n#EXTINF:2,\nhttps://other/x\n");
-        SessionPlaylist playlist = new SessionPlaylist(new SessionPlaylist.Shape(1, 0, 0), 0, START_DATE_MS);
+        SessionPlaylist playlist = new SessionPlaylist(new SessionPlaylist.WindowShape(1, 0, 0), 0, START_DATE_MS);
         playlist.extend(source, 0, "http://a/b/", 2000);
         Playlist second = Playlist.parse(playlist.render());
         Playlist.Entry first = second.entries().get(0);
@@ -179,7 +179,7 @@
         assertTrue(last.uri().equals("https://other/x") && last.has("EXT-X-DISCONTINUITY") && last.has("EXT-X-MAP"));
         org.junit.jupiter.api.Assertions.assertThrows(
                 HlsException.class,
-                () -> Source.parse("#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXTINF:2,\n#EXT-X-BYTERANGE:7\nf\n"));
+                () -> SourcePlaylist.parse("#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXTINF:2,\n#EXT-X-BYTERANGE:7\nf\n"));
     }
 
     /**
@@ -188,8 +188,8 @@
      */
     @Test
     void listedSegmentsAreNeverAltered() throws HlsException {
-        Source source = source(40);
-        Source pieceSource = source(3);
+        SourcePlaylist source = source(40);
+        SourcePlaylist pieceSource = source(3);
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
@@ -216,11 +216,13 @@
                         "http://" + box + "/" + rung + "/",
                         nowMs,
                         (n, s, ms) -> n % pieceInterval == 0 && stitchedBoundaries.add(n)
-                                ? new Piece(
+                                ? new StitchedPiece(
                                         "storm" + n, 0, "http://" + currentBox + "/p/", pieceSource, n, n + n % 2, null)
                                 : null);
                 Playlist shown = Playlist.parse(playlist.render());
-                assertTrue(playlist.runs() <= SHAPE.ahead() + 1 + SHAPE.behind(), playlist.runs() + " runs kept");
+                assertTrue(
+                        playlist.runCount() <= SHAPE.segmentsAhead() + 1 + SHAPE.segmentsBehind(),
+                        playlist.runCount() + " runs kept");
                 long sequence = shown.number("EXT-X-MEDIA-SEQUENCE", -1);
                 long discontinuitySequence = shown.number("EXT-X-DISCONTINUITY-SEQUENCE", 0);
                 for (Playlist.Entry entry : shown.entries()) {
--- a/gossip/src/main/java/calicovale/gossip/claims/Outcomes.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/BoxOutcomes.java
@@ -13,7 +13,7 @@
  * Recent outcomes that this member observed at boxes, from which it makes its claims. Times are in ms of one monotonic
  * clock.
  */
-public final class Outcomes {
+public final class BoxOutcomes {
     /** Number of outcomes kept for each box, enough for a strength in steps of a few per cent. */
     private static final int MAX_OUTCOMES_PER_BOX = 64;
 
@@ -25,13 +25,13 @@
     private long rejectedOverBound;
 
     /** Creates an empty record of at most {@code maxBoxes} boxes at a time. */
-    public Outcomes(ClaimSettings settings, int maxBoxes) {
+    public BoxOutcomes(ClaimSettings settings, int maxBoxes) {
         this.settings = settings;
         this.maxBoxes = maxBoxes;
     }
 
     /** Records an outcome; {@code kind} is null for a success. */
-    public void saw(double nowMs, long box, Kind kind) {
+    public void recordOutcome(double nowMs, long box, Kind kind) {
         ArrayDeque<Outcome> outcomes = boxes.get(box);
         if (outcomes == null) {
             if (boxes.size() >= maxBoxes) {
@@ -99,6 +99,7 @@
         for (int kind = 1; kind < countByKind.length; kind++) {
             mostFrequent = countByKind[kind] > countByKind[mostFrequent] ? kind : mostFrequent;
         }
-        return new Claim(box, Kind.values()[mostFrequent], strength, nowMs - lastFailure.atMs(), settings.lastsMs());
+        return new Claim(
+                box, Kind.values()[mostFrequent], strength, nowMs - lastFailure.atMs(), settings.claimValidityMs());
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/claims/Judge.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimEvaluator.java
@@ -14,7 +14,7 @@
  * however many statements it sends. A recent own success at a box overrides all claims. A member whose claims are
  * contradicted by own observations loses weight, which it recovers over time.
  */
-public final class Judge {
+public final class ClaimEvaluator {
     /**
      * Factor by which a contradiction lowers a reporter's weight. After two contradictions each, three false reporters
      * among four members are below the quorum.
@@ -81,7 +81,7 @@
      * Creates the evaluation of one member; {@code self} is its id, {@code maxBoxes} the largest number of boxes with
      * own outcomes.
      */
-    public Judge(ClaimSettings settings, String self, int maxBoxes) {
+    public ClaimEvaluator(ClaimSettings settings, String self, int maxBoxes) {
         this.settings = settings;
         this.self = self;
         this.maxBoxes = maxBoxes;
@@ -108,7 +108,8 @@
      * Records an own set-up that succeeded or failed; repeated success lowers the weight of the members that claim
      * trouble at the box.
      */
-    public void saw(double nowMs, long box, boolean success, Collection<ClaimBook.StoredStatement> statements) {
+    public void recordOutcome(
+            double nowMs, long box, boolean success, Collection<StatementStore.StoredStatement> statements) {
         if (!ownOutcomes.containsKey(box) && ownOutcomes.size() >= maxBoxes) {
             ownOutcomes.remove(ownOutcomes.keySet().iterator().next());
         }
@@ -122,8 +123,8 @@
         if (++outcomes.consecutiveSuccesses < SUCCESSES_TO_CONTRADICT) {
             return;
         }
-        for (ClaimBook.StoredStatement stored : statements) {
-            String reporter = stored.statement().from();
+        for (StatementStore.StoredStatement stored : statements) {
+            String reporter = stored.statement().reporter();
             if (reporter.equals(self)) {
                 continue;
             }
@@ -169,10 +170,10 @@
 
     /** Returns the evidence against each box for which there is any, in a group of {@code presentMembers}. */
     public Map<Long, Double> evidence(
-            double nowMs, int presentMembers, Collection<ClaimBook.StoredStatement> statements) {
+            double nowMs, int presentMembers, Collection<StatementStore.StoredStatement> statements) {
         Map<Long, double[]> votes = new TreeMap<>();
-        for (ClaimBook.StoredStatement stored : statements) {
-            String reporter = stored.statement().from();
+        for (StatementStore.StoredStatement stored : statements) {
+            String reporter = stored.statement().reporter();
             double ageMs = nowMs - stored.receivedMs();
             double weight = reporter.equals(self) ? 1 : reporterWeight(reporter, nowMs);
             long validClaims = stored.statement().claims().stream()
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimBook.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
@@ -11,20 +11,20 @@
  * The latest statement of each member, including this one, and the queue of those still to be disseminated. A statement
  * is stored only once its proof was verified, so that a relaying member can neither change nor repeat it as new.
  */
-public final class ClaimBook {
+public final class StatementStore {
 
     /** A statement and the time of its receipt, in ms of the local clock. */
     public record StoredStatement(Statement statement, double receivedMs) {}
 
     private final ClaimSettings settings;
     private final String self;
-    private final ClaimProofs proofs;
+    private final StatementProofs proofs;
     private final Map<String, StoredStatement> statements = new LinkedHashMap<>();
     private final Map<String, Integer> transmissions = new LinkedHashMap<>();
     private long rejected;
 
     /** Creates the store of one member; {@code self} is its id. */
-    public ClaimBook(ClaimSettings settings, String self, ClaimProofs proofs) {
+    public StatementStore(ClaimSettings settings, String self, StatementProofs proofs) {
         this.settings = settings;
         this.self = self;
         this.proofs = proofs;
@@ -39,7 +39,7 @@
     }
 
     /** Returns all stored statements. */
-    public Collection<StoredStatement> held() {
+    public Collection<StoredStatement> statements() {
         return List.copyOf(statements.values());
     }
 
@@ -48,7 +48,7 @@
      *
      * @param wallMs wall clock in ms since 1970, from which the statement's version is made
      */
-    public void say(double nowMs, double wallMs, List<Claim> claims) {
+    public void updateOwn(double nowMs, double wallMs, List<Claim> claims) {
         StoredStatement last = statements.get(self);
         List<Claim> before = last == null ? List.of() : last.statement().claims();
         if (claims.isEmpty() && before.isEmpty()) {
@@ -89,8 +89,8 @@
      * stored one or is rejected.
      */
     public boolean take(double nowMs, double wallMs, Statement statement) {
-        StoredStatement before = statements.get(statement.from());
-        if (statement.from().equals(self)
+        StoredStatement before = statements.get(statement.reporter());
+        if (statement.reporter().equals(self)
                 || before != null && statement.version() <= before.statement().version()) {
             return false;
         }
@@ -101,12 +101,12 @@
                 || duplicateBox
                 || statement.claims().size() > settings.maxClaimsPerStatement()
                 || before == null && statements.size() >= settings.maxMembers()
-                || !proofs.proved(statement)) {
+                || !proofs.verify(statement)) {
             rejected++;
             return false;
         }
-        statements.put(statement.from(), new StoredStatement(statement, nowMs));
-        transmissions.put(statement.from(), 0);
+        statements.put(statement.reporter(), new StoredStatement(statement, nowMs));
+        transmissions.put(statement.reporter(), 0);
         return true;
     }
 
--- a/gossip/src/main/java/calicovale/gossip/member/Membership.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Membership.java
@@ -185,7 +185,7 @@
     }
 
     /** Returns the number of present members, including this one. */
-    public int present() {
+    public int presentCount() {
         int count = 0;
         for (Member member : members.values()) {
             count += member.isPresent() ? 1 : 0;
@@ -516,7 +516,7 @@
 
     private boolean verify(Update update) {
         boolean isOwn = update.reporter().equals(self.id);
-        if (!isOwn && !proofs.proved(update)) {
+        if (!isOwn && !proofs.verify(update)) {
             rejectedUpdates++;
             return false;
         }
@@ -534,7 +534,7 @@
             if ((update.incarnation() > self.incarnation
                             || update.incarnation() == self.incarnation
                                     && !update.address().equals(self.address))
-                    && proofs.proved(update)) {
+                    && proofs.verify(update)) {
                 refute(update.incarnation(), true);
             }
             return;
@@ -599,9 +599,9 @@
         }
         String earlierReporter = member.untrustedReporter;
         setState(member, State.SUSPECT, update.incarnation(), nowMs);
-        int possibleConfirmers = present() - 2;
+        int possibleConfirmers = presentCount() - 2;
         double minTimeoutMs = settings.suspicionMultiplier()
-                * Math.max(1, Math.log10(Math.max(1, present())))
+                * Math.max(1, Math.log10(Math.max(1, presentCount())))
                 * settings.probeIntervalMs();
         int expectedConfirmations = (int) settings.suspicionMultiplier() - 2;
         member.suspicion = new Suspicion(
@@ -698,7 +698,7 @@
      * because it may have restarted since, and the suspicion that it has to refute (Lifeguard, section 4.C).
      */
     private List<Update> piggybackedUpdates(Member receiver) {
-        int maxTransmissions = (int) Math.ceil(settings.retransmitMultiplier() * Math.log10(present() + 1));
+        int maxTransmissions = (int) Math.ceil(settings.retransmitMultiplier() * Math.log10(presentCount() + 1));
         boolean notifySuspect = settings.buddySystem() && receiver != null && receiver.state == State.SUSPECT;
         List<Update> rest =
                 dissemination.take(settings.maxUpdatesPerMessage() - (notifySuspect ? 2 : 0), maxTransmissions);
--- a/gossip/src/main/java/calicovale/gossip/member/UpdateProofs.java
+++ b/gossip/src/main/java/calicovale/gossip/member/UpdateProofs.java
@@ -6,5 +6,5 @@
     byte[] prove(Update update);
 
     /** Returns whether the reporter of an update has made it. */
-    boolean proved(Update update);
+    boolean verify(Update update);
 }
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -1,10 +1,10 @@
 package calicovale.gossip.net;
 
+import calicovale.gossip.claims.BoxOutcomes;
 import calicovale.gossip.claims.Claim;
-import calicovale.gossip.claims.ClaimBook;
-import calicovale.gossip.claims.Judge;
-import calicovale.gossip.claims.Outcomes;
+import calicovale.gossip.claims.ClaimEvaluator;
 import calicovale.gossip.claims.Statement;
+import calicovale.gossip.claims.StatementStore;
 import calicovale.gossip.member.Membership;
 import calicovale.gossip.member.Message;
 import calicovale.gossip.member.Update;
@@ -12,9 +12,9 @@
 import calicovale.gossip.wire.Certificate;
 import calicovale.gossip.wire.Codec;
 import calicovale.gossip.wire.Envelopes;
+import calicovale.gossip.wire.MalformedMessageException;
 import calicovale.gossip.wire.Roster;
 import calicovale.gossip.wire.Signer;
-import calicovale.gossip.wire.WireException;
 import calicovale.protocols.json.Documents;
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.keys.Ed25519;
@@ -82,14 +82,14 @@
     private final Map<String, Long> counts = new TreeMap<>();
     private final Map<String, PendingReply> pendingReplies = new LinkedHashMap<>();
     private final Map<Long, Double> reportedEvidence = new TreeMap<>();
-    private final Outcomes outcomes;
+    private final BoxOutcomes outcomes;
     private KeyDocuments.MemberKeyPair keyPair;
     private RosterFolder.Contents rosterContents;
     private Signer signer;
     private Envelopes envelopes;
     private Membership membership;
-    private ClaimBook statementStore;
-    private Judge claimEvaluator;
+    private StatementStore statementStore;
+    private ClaimEvaluator claimEvaluator;
     private UdpSocket datagrams;
     private EventLoop.Listener connectionListener;
     private String localAddress;
@@ -118,14 +118,14 @@
         roster = new Roster(
                 settings.group(), settings.authority(), settings.wireLimits().maxSenders());
         codec = new Codec(settings.wireLimits());
-        outcomes = new Outcomes(settings.claims(), maxBoxes);
-        claimEvaluator = new Judge(settings.claims(), settings.member(), maxBoxes);
+        outcomes = new BoxOutcomes(settings.claims(), maxBoxes);
+        claimEvaluator = new ClaimEvaluator(settings.claims(), settings.member(), maxBoxes);
         rosterReader = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), body -> {
             Thread thread = new Thread(body, "roster");
             thread.setDaemon(true);
             return thread;
         });
-        keyPair = KeyDocuments.pair(settings.keyFile());
+        keyPair = KeyDocuments.readKeyPair(settings.keyFile());
         if (!keyPair.member().equals(settings.member())) {
             throw new InvalidDocumentException(
                     List.of(settings.keyFile() + ": /member: " + settings.member() + " is expected"));
@@ -186,7 +186,7 @@
                 },
                 signer,
                 this::memberChanged);
-        statementStore = new ClaimBook(settings.claims(), settings.member(), signer);
+        statementStore = new StatementStore(settings.claims(), settings.member(), signer);
         nextClaimsMs = nowMs();
         nextEvaluationMs = nowMs();
         membership.start(nowMs());
@@ -219,7 +219,7 @@
     }
 
     /** Sets faults of the simulated network, for rehearsals. */
-    public void weather(NetworkConditions conditions) {
+    public void setNetworkConditions(NetworkConditions conditions) {
         networkConditions = conditions;
     }
 
@@ -258,7 +258,7 @@
                             settings.rosterFolder(),
                             settings.authority(),
                             4 * settings.membership().maxMembers());
-                    newPair = KeyDocuments.pair(settings.keyFile());
+                    newPair = KeyDocuments.readKeyPair(settings.keyFile());
                 } catch (IOException | InvalidDocumentException e) {
                     error = e.getMessage();
                 }
@@ -333,10 +333,10 @@
         double nowMs = nowMs();
         if (nowMs >= nextClaimsMs) {
             nextClaimsMs = nowMs + settings.membership().disseminationIntervalMs();
-            statementStore.say(nowMs, wallMs(), outcomes.claims(nowMs));
+            statementStore.updateOwn(nowMs, wallMs(), outcomes.claims(nowMs));
             if (statementStore.hasPending()) {
-                int maxTransmissions = (int)
-                        Math.ceil(settings.membership().retransmitMultiplier() * Math.log10(membership.present() + 1));
+                int maxTransmissions = (int) Math.ceil(
+                        settings.membership().retransmitMultiplier() * Math.log10(membership.presentCount() + 1));
                 for (String address :
                         membership.randomAddresses(settings.membership().disseminationFanout())) {
                     List<Statement> statements = statementStore.take(maxTransmissions);
@@ -347,14 +347,15 @@
             }
         }
         if (nowMs >= nextEvaluationMs) {
-            nextEvaluationMs = nowMs + settings.claims().believedMs();
+            nextEvaluationMs = nowMs + settings.claims().evaluationIntervalMs();
             statementStore.expire(nowMs);
             evaluateClaims(nowMs);
         }
     }
 
     private void evaluateClaims(double nowMs) {
-        Map<Long, Double> evidence = claimEvaluator.evidence(nowMs, membership.present(), statementStore.held());
+        Map<Long, Double> evidence =
+                claimEvaluator.evidence(nowMs, membership.presentCount(), statementStore.statements());
         for (long box : List.copyOf(reportedEvidence.keySet())) {
             if (!evidence.containsKey(box)) {
                 reportedEvidence.remove(box);
@@ -377,11 +378,12 @@
     }
 
     /** Records an own set-up or delivery at a box; {@code kind} is null for a success. */
-    public void saw(long box, Claim.Kind kind) {
+    public void recordOutcome(long box, Claim.Kind kind) {
         double nowMs = nowMs();
-        outcomes.saw(nowMs, box, kind);
+        outcomes.recordOutcome(nowMs, box, kind);
         if (kind != Claim.Kind.SHORT) {
-            claimEvaluator.saw(nowMs, box, kind == null, statementStore == null ? List.of() : statementStore.held());
+            claimEvaluator.recordOutcome(
+                    nowMs, box, kind == null, statementStore == null ? List.of() : statementStore.statements());
             if (kind == null && reportedEvidence.containsKey(box)) {
                 evaluateClaims(nowMs);
             }
@@ -588,7 +590,7 @@
         Message message;
         try {
             message = codec.decode(bytes, opened.messageOffset(), bytes.length - opened.messageOffset());
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             count("messages-malformed");
             LOG.warn("malformed message from member {}: {}", opened.sender(), e.getMessage());
             return;
@@ -596,7 +598,7 @@
         if (message instanceof Message.Claims claims) {
             for (Statement statement : claims.statements()) {
                 // Statements of members that have left the group, or have not joined yet, do not count.
-                State reporterState = membership.state(statement.from());
+                State reporterState = membership.state(statement.reporter());
                 boolean present = reporterState == State.ALIVE || reporterState == State.SUSPECT;
                 if (present && statementStore.take(nowMs(), wallMs(), statement)) {
                     count("statements-taken");
@@ -756,8 +758,8 @@
                 .put("member", settings.member())
                 .put("address", localAddress)
                 .put("health", membership.health())
-                .put("present", membership.present())
-                .put("quorum", settings.claims().quorum(membership.present()));
+                .put("present", membership.presentCount())
+                .put("quorum", settings.claims().quorum(membership.presentCount()));
         ArrayNode members = view.putArray("members");
         for (Membership.Member member : membership.members()) {
             members.addObject()
@@ -769,12 +771,12 @@
                     .put("voice", Math.round(100 * claimEvaluator.reporterWeight(member.id(), nowMs())) / 100.0);
         }
         ArrayNode claims = view.putArray("claims");
-        for (ClaimBook.StoredStatement stored : statementStore.held()) {
+        for (StatementStore.StoredStatement stored : statementStore.statements()) {
             for (Claim claim : stored.statement().claims()) {
                 if (nowMs() - stored.receivedMs() < claim.validityMs()) {
                     claims.addObject()
                             .put("box", claim.box())
-                            .put("by", stored.statement().from())
+                            .put("by", stored.statement().reporter())
                             .put("kind", claim.kind().name().toLowerCase(Locale.ROOT))
                             .put("strength", claim.strength())
                             .put("seenS", Math.round((nowMs() - stored.receivedMs() + claim.ageMs()) / 100) / 10.0);
--- a/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
@@ -100,19 +100,20 @@
         ClaimSettings claims = new ClaimSettings(
                 claimsNode.path("claimsMost").asInt(claimDefaults.maxClaimsPerStatement()),
                 membership.maxMembers(),
-                numberOr(claimsNode, "lastsMs", claimDefaults.lastsMs()),
+                numberOr(claimsNode, "lastsMs", claimDefaults.claimValidityMs()),
                 numberOr(claimsNode, "refreshMs", claimDefaults.refreshIntervalMs()),
                 wireLimits.maxClockSkewMs(),
                 claimDefaults.statementsPerMessage(),
                 numberOr(claimsNode, "seenMs", claimDefaults.outcomeWindowMs()),
                 numberOr(claimsNode, "leastStrength", claimDefaults.minStrength()),
-                numberOr(claimsNode, "shortShare", claimDefaults.shortShare()),
+                numberOr(claimsNode, "shortShare", claimDefaults.shortDeliveryShare()),
                 claimsNode.path("quorumLeast").asInt(claimDefaults.minQuorum()),
                 numberOr(claimsNode, "quorumPart", claimDefaults.quorumFraction()),
                 numberOr(claimsNode, "ownMs", claimDefaults.ownSuccessPriorityMs()),
-                numberOr(claimsNode, "believedMs", claimDefaults.believedMs()));
-        if (claims.refreshIntervalMs() >= claims.lastsMs()) {
-            errors.add(name + ": /claims/refreshMs: less than /claims/lastsMs is expected (" + claims.lastsMs() + ")");
+                numberOr(claimsNode, "believedMs", claimDefaults.evaluationIntervalMs()));
+        if (claims.refreshIntervalMs() >= claims.claimValidityMs()) {
+            errors.add(name + ": /claims/refreshMs: less than /claims/lastsMs is expected (" + claims.claimValidityMs()
+                    + ")");
         }
         if (!errors.isEmpty()) {
             throw new InvalidDocumentException(errors);
--- a/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
+++ b/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
@@ -38,7 +38,7 @@
      * Generates a key pair for a member. Returns two documents: the key pair, to be kept secret, and the public key for
      * the roster.
      */
-    public static List<String> make(String member) throws GeneralSecurityException {
+    public static List<String> generate(String member) throws GeneralSecurityException {
         Ed25519.TextKeyPair pair = Ed25519.TextKeyPair.generate();
         return List.of(
                 toJson(
@@ -54,7 +54,7 @@
     }
 
     /** Reads a key pair document. */
-    public static MemberKeyPair pair(Path file) throws InvalidDocumentException {
+    public static MemberKeyPair readKeyPair(Path file) throws InvalidDocumentException {
         JsonNode document = Documents.read(file, KeyDocuments.class, "key.schema.json");
         try {
             Ed25519.publicKey(document.get("publicKey").asText());
--- a/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
+++ b/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
@@ -42,7 +42,7 @@
     private static final int MAX_RETRANSMISSIONS = 3;
 
     /** A change of one member's view of another. */
-    public record Seen(double atMs, String observer, String of, State now) {}
+    public record ViewChange(double atMs, String observer, String memberId, State state) {}
 
     private record Event(double atMs, long number, Runnable action) {}
 
@@ -77,7 +77,7 @@
                     new NameProofs(id),
                     (memberId, before, after, atIncarnation) -> {
                         if (membership == started[0]) {
-                            viewChanges.add(new Seen(nowMs, id, memberId, after));
+                            viewChanges.add(new ViewChange(nowMs, id, memberId, after));
                         }
                     });
             membership = started[0];
@@ -141,7 +141,7 @@
             ? Double.compare(first.atMs(), second.atMs())
             : Long.compare(first.number(), second.number()));
     private final Map<String, Node> nodes = new HashMap<>();
-    private final List<Seen> viewChanges = new ArrayList<>();
+    private final List<ViewChange> viewChanges = new ArrayList<>();
     private double nowMs;
     private long nextEventNumber;
     private double lossProbability;
@@ -177,7 +177,7 @@
     }
 
     /** Sets the probability with which a message is lost, and the range of delays in ms. */
-    public void network(double probability, double minMs, double maxMs) {
+    public void setNetwork(double probability, double minMs, double maxMs) {
         lossProbability = probability;
         minDelayMs = minMs;
         maxDelayMs = maxMs;
@@ -223,7 +223,7 @@
         }
 
         @Override
-        public boolean proved(Update update) {
+        public boolean verify(Update update) {
             return Arrays.equals(update.proof(), proofOf(update.reporter(), update));
         }
 
@@ -319,7 +319,7 @@
     /**
      * Returns whether every running member sees exactly the running members as present, and none of them as suspected.
      */
-    public boolean agreed() {
+    public boolean isConverged() {
         Set<String> running = new HashSet<>();
         nodes.values().forEach(node -> {
             if (node.running) {
@@ -333,7 +333,7 @@
                     return false;
                 }
             }
-            if (view.present() != running.size()) {
+            if (view.presentCount() != running.size()) {
                 return false;
             }
         }
@@ -341,8 +341,8 @@
     }
 
     /** Returns all view changes since the last call. */
-    public List<Seen> seen() {
-        List<Seen> result = List.copyOf(viewChanges);
+    public List<ViewChange> drainViewChanges() {
+        List<ViewChange> result = List.copyOf(viewChanges);
         viewChanges.clear();
         return result;
     }
@@ -351,7 +351,7 @@
      * Returns the mean number of messages, and of bytes, that each running member sent per second since the last call,
      * {@code overMs} ms ago.
      */
-    public double[] traffic(double overMs) {
+    public double[] drainMeanTraffic(double overMs) {
         double messages = 0;
         double bytes = 0;
         int running = 0;
--- a/gossip/src/main/java/calicovale/gossip/wire/Codec.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Codec.java
@@ -126,7 +126,7 @@
 
     private static void write(JsonGenerator generator, Statement statement, boolean withProof) throws IOException {
         generator.writeStartArray(null, withProof ? 4 : 3);
-        generator.writeString(statement.from());
+        generator.writeString(statement.reporter());
         generator.writeNumber(statement.version());
         generator.writeStartArray(null, statement.claims().size());
         for (Claim claim : statement.claims()) {
@@ -164,22 +164,22 @@
     /**
      * Decodes a message.
      *
-     * @throws WireException if the bytes are not exactly one message of this version
+     * @throws MalformedMessageException if the bytes are not exactly one message of this version
      */
-    public Message decode(byte[] bytes, int offset, int length) throws WireException {
+    public Message decode(byte[] bytes, int offset, int length) throws MalformedMessageException {
         try (JsonParser parser = FACTORY.createParser(bytes, offset, length)) {
             Message result = readMessage(parser);
             if (parser.nextToken() != null) {
-                throw new WireException("the end of the input is expected after the message");
+                throw new MalformedMessageException("the end of the input is expected after the message");
             }
             return result;
         } catch (IOException | RuntimeException e) {
             // Jackson reports malformed CBOR and exceeded bounds by either kind of exception.
-            throw new WireException("a message in CBOR is expected");
+            throw new MalformedMessageException("a message in CBOR is expected");
         }
     }
 
-    private Message readMessage(JsonParser parser) throws IOException, WireException {
+    private Message readMessage(JsonParser parser) throws IOException, MalformedMessageException {
         beginArray(parser);
         readLongInRange(parser, VERSION, VERSION);
         int kind = (int) readLongInRange(parser, 0, 7);
@@ -199,12 +199,12 @@
         return result;
     }
 
-    private List<Update> readUpdates(JsonParser parser) throws IOException, WireException {
+    private List<Update> readUpdates(JsonParser parser) throws IOException, MalformedMessageException {
         beginArray(parser);
         List<Update> result = new ArrayList<>();
         while (nextArray(parser)) {
             if (result.size() >= limits.maxUpdates()) {
-                throw new WireException("at most " + limits.maxUpdates() + " updates are expected");
+                throw new MalformedMessageException("at most " + limits.maxUpdates() + " updates are expected");
             }
             String memberId = readText(parser);
             String address = readText(parser);
@@ -217,12 +217,12 @@
         return result;
     }
 
-    private List<Statement> readStatements(JsonParser parser) throws IOException, WireException {
+    private List<Statement> readStatements(JsonParser parser) throws IOException, MalformedMessageException {
         beginArray(parser);
         List<Statement> result = new ArrayList<>();
         while (nextArray(parser)) {
             if (result.size() >= limits.maxUpdates()) {
-                throw new WireException("at most " + limits.maxUpdates() + " statements are expected");
+                throw new MalformedMessageException("at most " + limits.maxUpdates() + " statements are expected");
             }
             String reporter = readText(parser);
             long version = readLongInRange(parser, 0, Long.MAX_VALUE / 2);
@@ -230,7 +230,7 @@
             List<Claim> claims = new ArrayList<>();
             while (nextArray(parser)) {
                 if (claims.size() >= limits.maxClaims()) {
-                    throw new WireException("at most " + limits.maxClaims() + " claims are expected");
+                    throw new MalformedMessageException("at most " + limits.maxClaims() + " claims are expected");
                 }
                 claims.add(new Claim(
                         readLong(parser),
@@ -246,33 +246,34 @@
         return result;
     }
 
-    private static void beginArray(JsonParser parser) throws IOException, WireException {
+    private static void beginArray(JsonParser parser) throws IOException, MalformedMessageException {
         expect(parser.nextToken() == JsonToken.START_ARRAY, "an array");
     }
 
-    private static void endArray(JsonParser parser) throws IOException, WireException {
+    private static void endArray(JsonParser parser) throws IOException, MalformedMessageException {
         expect(parser.nextToken() == JsonToken.END_ARRAY, "the end of an array");
     }
 
     /** Reads the start of another array and returns true, or the end of the surrounding array and returns false. */
-    private static boolean nextArray(JsonParser parser) throws IOException, WireException {
+    private static boolean nextArray(JsonParser parser) throws IOException, MalformedMessageException {
         JsonToken token = parser.nextToken();
         expect(token == JsonToken.START_ARRAY || token == JsonToken.END_ARRAY, "an array or the end of one");
         return token == JsonToken.START_ARRAY;
     }
 
-    private static long readLong(JsonParser parser) throws IOException, WireException {
+    private static long readLong(JsonParser parser) throws IOException, MalformedMessageException {
         return readLongInRange(parser, Long.MIN_VALUE, Long.MAX_VALUE);
     }
 
-    private static long readLongInRange(JsonParser parser, long min, long max) throws IOException, WireException {
+    private static long readLongInRange(JsonParser parser, long min, long max)
+            throws IOException, MalformedMessageException {
         expect(parser.nextToken() == JsonToken.VALUE_NUMBER_INT, "an integer");
         long value = parser.getLongValue();
         expect(value >= min && value <= max, "a number from " + min + " to " + max);
         return value;
     }
 
-    private static String readText(JsonParser parser) throws IOException, WireException {
+    private static String readText(JsonParser parser) throws IOException, MalformedMessageException {
         expect(parser.nextToken() == JsonToken.VALUE_STRING, "a text");
         String value = parser.getText();
         expect(value.length() <= MAX_TEXT_CHARS, "at most " + MAX_TEXT_CHARS + " characters");
@@ -283,7 +284,7 @@
         return value;
     }
 
-    private static byte[] readProof(JsonParser parser) throws IOException, WireException {
+    private static byte[] readProof(JsonParser parser) throws IOException, MalformedMessageException {
         expect(parser.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "a byte string");
         // Read in chunks, so that a large declared length alone allocates nothing.
         BoundedOutputStream out = new BoundedOutputStream();
@@ -291,9 +292,9 @@
         return out.bytes.toByteArray();
     }
 
-    private static void expect(boolean condition, String expected) throws WireException {
+    private static void expect(boolean condition, String expected) throws MalformedMessageException {
         if (!condition) {
-            throw new WireException(expected + " is expected");
+            throw new MalformedMessageException(expected + " is expected");
         }
     }
 
--- a/gossip/src/main/java/calicovale/gossip/wire/WireException.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package calicovale.gossip.wire;
 
 /** A message does not follow the wire format; the text says what was expected. */
-public final class WireException extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** Creates the exception with a text that says what was expected. */
-    public WireException(String expected) {
+    public MalformedMessageException(String expected) {
         super(expected);
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/wire/Signer.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Signer.java
@@ -1,7 +1,7 @@
 package calicovale.gossip.wire;
 
-import calicovale.gossip.claims.ClaimProofs;
 import calicovale.gossip.claims.Statement;
+import calicovale.gossip.claims.StatementProofs;
 import calicovale.gossip.member.Update;
 import calicovale.gossip.member.Update.State;
 import calicovale.gossip.member.UpdateProofs;
@@ -17,7 +17,7 @@
  * what a member reports about itself, the certificate of its key, so that receivers that don't know the key yet can
  * verify it.
  */
-public final class Signer implements UpdateProofs, ClaimProofs {
+public final class Signer implements UpdateProofs, StatementProofs {
     private final Roster roster;
     private final DoubleSupplier wallMs;
     private PrivateKey key;
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public boolean proved(Update update) {
+    public boolean verify(Update update) {
         return proved(update.reporter(), update.proof(), signedBytes(update));
     }
 
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public boolean proved(Statement statement) {
-        return proved(statement.from(), statement.proof(), signedBytes(statement));
+    public boolean verify(Statement statement) {
+        return proved(statement.reporter(), statement.proof(), signedBytes(statement));
     }
 }
--- a/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import calicovale.gossip.claims.BoxOutcomes;
 import calicovale.gossip.claims.Claim;
 import calicovale.gossip.claims.Claim.Kind;
-import calicovale.gossip.claims.ClaimBook;
-import calicovale.gossip.claims.ClaimProofs;
+import calicovale.gossip.claims.ClaimEvaluator;
 import calicovale.gossip.claims.ClaimSettings;
-import calicovale.gossip.claims.Judge;
-import calicovale.gossip.claims.Outcomes;
 import calicovale.gossip.claims.Statement;
+import calicovale.gossip.claims.StatementProofs;
+import calicovale.gossip.claims.StatementStore;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -21,24 +21,24 @@
 class ClaimsTest {
     private static final ClaimSettings LAN = ClaimSettings.LAN;
     /** Accepts every proof except those of the member {@code forger}. */
-    private static final ClaimProofs PROOFS = new ClaimProofs() {
+    private static final StatementProofs PROOFS = new StatementProofs() {
         @Override
         public byte[] prove(Statement statement) {
             return new byte[0];
         }
 
         @Override
-        public boolean proved(Statement statement) {
-            return !statement.from().equals("forger");
+        public boolean verify(Statement statement) {
+            return !statement.reporter().equals("forger");
         }
     };
 
-    private final ClaimBook store = new ClaimBook(LAN, "me", PROOFS);
-    private final Judge evaluator = new Judge(LAN, "me", 100);
+    private final StatementStore store = new StatementStore(LAN, "me", PROOFS);
+    private final ClaimEvaluator evaluator = new ClaimEvaluator(LAN, "me", 100);
     private long lastVersion = 1_000_000;
 
     private static Claim claim(long box) {
-        return new Claim(box, Kind.FAILED, 1, 0, LAN.lastsMs());
+        return new Claim(box, Kind.FAILED, 1, 0, LAN.claimValidityMs());
     }
 
     private boolean receive(double nowMs, String reporter, long... boxes) {
@@ -50,7 +50,7 @@
     }
 
     private double evidence(double nowMs, int presentMembers, long box) {
-        return evaluator.evidence(nowMs, presentMembers, store.held()).getOrDefault(box, 0.0);
+        return evaluator.evidence(nowMs, presentMembers, store.statements()).getOrDefault(box, 0.0);
     }
 
     @Test
@@ -91,15 +91,15 @@
         for (int i = 1; i <= 20; i++) {
             receive(0, "p" + i, 7);
         }
-        evaluator.saw(100, 7, true, store.held());
+        evaluator.recordOutcome(100, 7, true, store.statements());
         assertEquals(0, evidence(150, 30, 7));
         for (int i = 1; i <= 20; i++) {
             receive(3000, "p" + i, 7);
         }
         assertEquals(0, evidence(100 + LAN.ownSuccessPriorityMs() - 1, 30, 7));
         assertTrue(evidence(100 + LAN.ownSuccessPriorityMs() + 1, 30, 7) > 0);
-        evaluator.saw(4300, 7, true, store.held());
-        evaluator.saw(4400, 7, false, store.held());
+        evaluator.recordOutcome(4300, 7, true, store.statements());
+        evaluator.recordOutcome(4400, 7, false, store.statements());
         assertTrue(evidence(4500, 30, 7) > 0, "a later own failure");
     }
 
@@ -109,14 +109,14 @@
             receive(0, "p" + i, 7);
         }
         double before = evidence(1, 30, 7);
-        double later = evidence(0.75 * LAN.lastsMs(), 30, 7);
+        double later = evidence(0.75 * LAN.claimValidityMs(), 30, 7);
         assertTrue(before == 1 && later > 0.4 && later < 0.6, before + ", " + later);
         // The claims ended together; the evidence decays gradually, so that members don't all return to the box at
         // once.
-        double silent = evidence(LAN.lastsMs(), 30, 7);
+        double silent = evidence(LAN.claimValidityMs(), 30, 7);
         assertTrue(silent > 0.1 && silent < later, silent + "");
-        assertTrue(evidence(LAN.lastsMs() + 3000, 30, 7) < 0.6 * silent);
-        assertEquals(0, evidence(LAN.lastsMs() + 15_000, 30, 7));
+        assertTrue(evidence(LAN.claimValidityMs() + 3000, 30, 7) < 0.6 * silent);
+        assertEquals(0, evidence(LAN.claimValidityMs() + 15_000, 30, 7));
         double now = 40_000;
         for (int i = 1; i <= 6; i++) {
             receive(now, "p" + i, 7);
@@ -144,9 +144,9 @@
         for (int round = 0; round < 10; round++) {
             double now = 3000 * round;
             receive(now, "liar", 7);
-            evaluator.saw(now + 10, 7, true, store.held());
-            evaluator.saw(now + 20, 7, true, store.held());
-            evaluator.saw(now + 30, 7, true, store.held());
+            evaluator.recordOutcome(now + 10, 7, true, store.statements());
+            evaluator.recordOutcome(now + 20, 7, true, store.statements());
+            evaluator.recordOutcome(now + 30, 7, true, store.statements());
         }
         assertTrue(evaluator.reporterWeight("liar", 27_100) < 0.1, evaluator.reporterWeight("liar", 27_100) + "");
         assertEquals(1, evaluator.reporterWeight("honest", 27_100));
@@ -159,8 +159,8 @@
         assertEquals(1, evaluator.reporterWeight("liar", 27_100 + 70_000), 1e-9);
         // A box that fails every second set-up contradicts no claim.
         for (int round = 0; round < 10; round++) {
-            evaluator.saw(30_000 + round, 8, true, store.held());
-            evaluator.saw(30_000 + round, 8, false, store.held());
+            evaluator.recordOutcome(30_000 + round, 8, true, store.statements());
+            evaluator.recordOutcome(30_000 + round, 8, false, store.statements());
         }
         assertEquals(1, evaluator.reporterWeight("honest", 31_000));
     }
@@ -169,7 +169,7 @@
     void aStatementReplacesTheFormerAndOldForgedOrOversizedOnesAreRejected() {
         assertTrue(receive(0, "p1", 1, 2));
         assertTrue(receive(10, "p1", 2));
-        assertEquals(1, store.held().size());
+        assertEquals(1, store.statements().size());
         assertFalse(
                 store.take(20, lastVersion, new Statement("p1", lastVersion - 5, List.of(claim(9)), new byte[0])),
                 "an older version");
@@ -183,49 +183,49 @@
         assertFalse(receive(20, "p2", 1, 2, 3, 4, 5, 6, 7, 8, 9), "too many claims");
         assertEquals(5, store.rejected());
         store.remove("p1");
-        assertEquals(0, store.held().size());
+        assertEquals(0, store.statements().size());
     }
 
     @Test
     void aMemberSendsChangesRefreshesValidClaimsAndWithdrawsPastOnes() {
-        store.say(0, 5000, List.of(claim(3)));
+        store.updateOwn(0, 5000, List.of(claim(3)));
         assertEquals(1, store.take(2).size());
         assertEquals(1, store.take(2).size());
         assertEquals(0, store.take(2).size(), "sent as often as allowed");
-        store.say(100, 5100, List.of(claim(3)));
+        store.updateOwn(100, 5100, List.of(claim(3)));
         assertFalse(store.hasPending(), "unchanged");
-        store.say(LAN.refreshIntervalMs(), 7000, List.of(claim(3)));
+        store.updateOwn(LAN.refreshIntervalMs(), 7000, List.of(claim(3)));
         assertTrue(store.hasPending(), "refreshed");
-        store.say(LAN.refreshIntervalMs() + 1, 6000, List.of());
+        store.updateOwn(LAN.refreshIntervalMs() + 1, 6000, List.of());
         Statement last = store.take(9).get(0);
         // The clock went back, but the version does not.
         assertTrue(last.claims().isEmpty() && last.version() == 7001, last.toString());
-        store.say(LAN.refreshIntervalMs() + 2, 6000, List.of());
+        store.updateOwn(LAN.refreshIntervalMs() + 2, 6000, List.of());
         assertEquals(7001, store.take(9).get(0).version(), "still no claims, so no new statement");
     }
 
     @Test
     void outcomesMakeClaimsUntilASuccessOrTheirExpiry() {
-        Outcomes outcomes = new Outcomes(LAN, 2);
-        outcomes.saw(0, 1, Kind.TIMEOUT);
-        outcomes.saw(10, 1, Kind.TIMEOUT);
-        outcomes.saw(20, 1, Kind.RESET);
+        BoxOutcomes outcomes = new BoxOutcomes(LAN, 2);
+        outcomes.recordOutcome(0, 1, Kind.TIMEOUT);
+        outcomes.recordOutcome(10, 1, Kind.TIMEOUT);
+        outcomes.recordOutcome(20, 1, Kind.RESET);
         Claim claim = outcomes.claims(120).get(0);
         assertEquals(
                 List.of(1L, Kind.TIMEOUT, 1.0, 100.0),
                 List.of(claim.box(), claim.kind(), claim.strength(), claim.ageMs()));
-        outcomes.saw(200, 1, null);
+        outcomes.recordOutcome(200, 1, null);
         assertTrue(outcomes.claims(210).isEmpty(), "it works again");
-        outcomes.saw(220, 1, Kind.FAILED);
+        outcomes.recordOutcome(220, 1, Kind.FAILED);
         assertEquals(0.8, outcomes.claims(230).get(0).strength(), 1e-9);
         assertTrue(outcomes.claims(220 + LAN.outcomeWindowMs() + 1).isEmpty(), "outside the window");
         for (int i = 0; i < 9; i++) {
-            outcomes.saw(9000, 2, null);
+            outcomes.recordOutcome(9000, 2, null);
         }
-        outcomes.saw(9001, 2, Kind.FAILED);
+        outcomes.recordOutcome(9001, 2, Kind.FAILED);
         assertTrue(outcomes.claims(9002).isEmpty(), "one failure in ten is below the least strength");
-        outcomes.saw(9001, 1, Kind.FAILED);
-        outcomes.saw(9001, 99, Kind.FAILED);
+        outcomes.recordOutcome(9001, 1, Kind.FAILED);
+        outcomes.recordOutcome(9001, 99, Kind.FAILED);
         assertEquals(1, outcomes.rejectedOverBound());
         assertEquals(
                 Map.of(1L, 1.0),
--- a/gossip/src/test/java/calicovale/gossip/GroupTest.java
+++ b/gossip/src/test/java/calicovale/gossip/GroupTest.java
@@ -9,7 +9,7 @@
 import calicovale.gossip.member.Message;
 import calicovale.gossip.member.Update.State;
 import calicovale.gossip.sim.GroupSimulator;
-import calicovale.gossip.sim.GroupSimulator.Seen;
+import calicovale.gossip.sim.GroupSimulator.ViewChange;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
@@ -22,8 +22,8 @@
         GroupSimulator group = new GroupSimulator(settings, seed);
         group.start(members, 0, 0);
         group.run(10.0 * members);
-        runUntil(group, "all know each other", 120_000, group::agreed);
-        group.seen();
+        runUntil(group, "all know each other", 120_000, group::isConverged);
+        group.drainViewChanges();
         return group;
     }
 
@@ -54,11 +54,11 @@
                     + 24 * LAN.probeIntervalMs() * Math.max(1, Math.log10(members))
                     + 5000;
             runUntil(group, members + " members see it", bound, () -> allSee(group, members, 1, State.DEAD));
-            assertTrue(group.agreed());
+            assertTrue(group.isConverged());
             assertTrue(
-                    group.seen().stream()
-                            .filter(change -> change.now() == State.DEAD)
-                            .allMatch(change -> change.of().equals("m1")),
+                    group.drainViewChanges().stream()
+                            .filter(change -> change.state() == State.DEAD)
+                            .allMatch(change -> change.memberId().equals("m1")),
                     "no other member is dead");
         }
     }
@@ -68,8 +68,8 @@
         GroupSimulator group = group(LAN, 12, 2);
         group.leave("m4");
         runUntil(group, "all know that it left", 10_000, () -> allSee(group, 12, 4, State.LEFT));
-        assertTrue(
-                group.seen().stream().noneMatch(change -> change.now() == State.SUSPECT || change.now() == State.DEAD));
+        assertTrue(group.drainViewChanges().stream()
+                .noneMatch(change -> change.state() == State.SUSPECT || change.state() == State.DEAD));
     }
 
     @Test
@@ -78,8 +78,8 @@
         group.cut((from, to) -> from.equals("m2") && to.equals("m5"));
         group.run(120_000);
         // Others probe it indirectly, so it is not even suspected and has nothing to refute.
-        assertEquals(List.of(), group.seen());
-        assertTrue(group.agreed());
+        assertEquals(List.of(), group.drainViewChanges());
+        assertTrue(group.isConverged());
     }
 
     @Test
@@ -93,7 +93,7 @@
                 () -> allSee(group, 5, 7, State.DEAD) && group.view("m7", "m0") == State.DEAD);
         group.run(60_000);
         group.cut((from, to) -> false);
-        runUntil(group, "the halves have merged", 200_000, group::agreed);
+        runUntil(group, "the halves have merged", 200_000, group::isConverged);
     }
 
     private static boolean inFirstHalf(String id) {
@@ -106,7 +106,7 @@
         group.kill("m3");
         runUntil(group, "it is dead", 120_000, () -> allSee(group, 6, 3, State.DEAD));
         group.restart("m3", 1);
-        runUntil(group, "it is back", 60_000, group::agreed);
+        runUntil(group, "it is back", 60_000, group::isConverged);
         assertTrue(group.incarnation("m3") > 1);
         // A restart at once, before the death was detected, and with a clock that went back. The new process must not
         // be taken for the former one.
@@ -116,7 +116,7 @@
                 group,
                 "it has learned of its former incarnation",
                 60_000,
-                () -> group.agreed() && group.incarnation("m3") > 2);
+                () -> group.isConverged() && group.incarnation("m3") > 2);
     }
 
     @Test
@@ -129,7 +129,7 @@
         for (int i = 0; i < 9; i++) {
             group.restart("m" + i, 1);
         }
-        runUntil(group, "they agree", 60_000, group::agreed);
+        runUntil(group, "they agree", 60_000, group::isConverged);
     }
 
     @Test
@@ -138,19 +138,19 @@
         group.stall("m6", 5000);
         group.run(4900);
         assertTrue(allSee(group, 8, 6, State.SUSPECT) || group.view("m0", "m6") != State.DEAD, "it is not dead yet");
-        runUntil(group, "all see it alive", 60_000, group::agreed);
-        assertTrue(group.seen().stream().noneMatch(change -> change.now() == State.DEAD));
+        runUntil(group, "all see it alive", 60_000, group::isConverged);
+        assertTrue(group.drainViewChanges().stream().noneMatch(change -> change.state() == State.DEAD));
         assertTrue(group.incarnation("m6") > 1, "it had to refute");
         group.stall("m6", 120_000);
         group.run(119_000);
         assertEquals(State.DEAD, group.view("m0", "m6"));
-        runUntil(group, "it is back", 120_000, group::agreed);
+        runUntil(group, "it is back", 120_000, group::isConverged);
     }
 
     /** Returns how often a live member was declared dead by some member, in a group of 30 over five minutes. */
     private static long falseDetections(MemberSettings settings, long seed, double lossProbability, double maxStallMs) {
         GroupSimulator group = group(settings, 30, seed);
-        group.network(lossProbability, 1, 40);
+        group.setNetwork(lossProbability, 1, 40);
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         double[] stalledUntilMs = new double[3];
         for (int step = 0; step < 15_000; step++) {
@@ -164,12 +164,13 @@
             }
             group.run(20);
         }
-        group.network(0, 0.2, 2);
-        runUntil(group, "all agree again", 120_000, group::agreed);
+        group.setNetwork(0, 0.2, 2);
+        runUntil(group, "all agree again", 120_000, group::isConverged);
         // Only detections of members that were not stalled themselves.
-        return group.seen().stream()
-                .filter(change -> change.now() == State.DEAD
-                        && (maxStallMs == 0 || Integer.parseInt(change.of().substring(1)) >= 3))
+        return group.drainViewChanges().stream()
+                .filter(change -> change.state() == State.DEAD
+                        && (maxStallMs == 0
+                                || Integer.parseInt(change.memberId().substring(1)) >= 3))
                 .count();
     }
 
@@ -191,9 +192,9 @@
     private static double[] traffic(int members) {
         GroupSimulator group = group(LAN, members, members);
         group.run(60_000);
-        group.traffic(1);
+        group.drainMeanTraffic(1);
         group.run(120_000);
-        return group.traffic(120_000);
+        return group.drainMeanTraffic(120_000);
     }
 
     @Test
@@ -215,13 +216,13 @@
         group.restart("m2", 900);
         group.run(3000);
         group.cut((from, to) -> false);
-        runUntil(group, "all know the new incarnation", 120_000, group::agreed);
+        runUntil(group, "all know the new incarnation", 120_000, group::isConverged);
         assertEquals(State.ALIVE, group.view("m5", "m2"));
     }
 
     /** Returns whether one member's false suspicion of another, sent to a third, makes the third suspect it. */
     private static boolean causesSuspicion(GroupSimulator group, String reporter) {
-        group.seen();
+        group.drainViewChanges();
         group.inject(
                 reporter,
                 "m0",
@@ -229,7 +230,7 @@
                         List.of(GroupSimulator.updateBy(reporter, "m1", "", group.incarnation("m1"), State.SUSPECT))));
         group.run(1);
         boolean suspected = group.view("m0", "m1") == State.SUSPECT;
-        runUntil(group, "it is refuted", 60_000, () -> group.agreed());
+        runUntil(group, "it is refuted", 60_000, () -> group.isConverged());
         return suspected;
     }
 
@@ -255,13 +256,13 @@
 
     @Test
     void theSameSeedGivesTheSameRun() {
-        List<List<Seen>> runs = new java.util.ArrayList<>();
+        List<List<ViewChange>> runs = new java.util.ArrayList<>();
         for (int i = 0; i < 2; i++) {
             GroupSimulator group = new GroupSimulator(LAN, 11);
             group.start(20, 2, 300);
-            group.network(0.2, 1, 40);
+            group.setNetwork(0.2, 1, 40);
             group.run(100_000);
-            runs.add(group.seen());
+            runs.add(group.drainViewChanges());
         }
         assertFalse(runs.get(0).isEmpty());
         assertEquals(runs.get(0), runs.get(1));
--- a/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import calicovale.gossip.claims.BoxOutcomes;
 import calicovale.gossip.claims.Claim;
-import calicovale.gossip.claims.ClaimBook;
-import calicovale.gossip.claims.ClaimProofs;
+import calicovale.gossip.claims.ClaimEvaluator;
 import calicovale.gossip.claims.ClaimSettings;
-import calicovale.gossip.claims.Judge;
-import calicovale.gossip.claims.Outcomes;
 import calicovale.gossip.claims.Statement;
+import calicovale.gossip.claims.StatementProofs;
+import calicovale.gossip.claims.StatementStore;
 import calicovale.gossip.member.MemberSettings;
 import calicovale.gossip.member.Membership;
 import calicovale.gossip.member.Message;
@@ -69,18 +69,18 @@
         }
 
         @Override
-        public boolean proved(Update update) {
+        public boolean verify(Update update) {
             return true;
         }
     };
-    private static final ClaimProofs ACCEPTING_CLAIM_PROOFS = new ClaimProofs() {
+    private static final StatementProofs ACCEPTING_CLAIM_PROOFS = new StatementProofs() {
         @Override
         public byte[] prove(Statement statement) {
             return new byte[0];
         }
 
         @Override
-        public boolean proved(Statement statement) {
+        public boolean verify(Statement statement) {
             return true;
         }
     };
@@ -88,9 +88,9 @@
     /** One run of the model: three members, the messages in flight, and the invariants checked at each step. */
     private static final class Model {
         final Membership[] members = new Membership[3];
-        final ClaimBook[] stores = new ClaimBook[3];
-        final Judge[] evaluators = new Judge[3];
-        final Outcomes[] outcomes = new Outcomes[3];
+        final StatementStore[] stores = new StatementStore[3];
+        final ClaimEvaluator[] evaluators = new ClaimEvaluator[3];
+        final BoxOutcomes[] outcomes = new BoxOutcomes[3];
         final StateRandom[] randoms = new StateRandom[3];
         final double[] dueMs = new double[3];
         final double[] lastSuccessMs = {-1e9, -1e9, -1e9};
@@ -134,9 +134,9 @@
                     (to, message) -> inFlight.add(new InFlight(self, to.charAt(1) - '0', message)),
                     ACCEPTING_UPDATE_PROOFS,
                     (id, before, after, incarnationOf) -> {});
-            stores[member] = new ClaimBook(CLAIM_SETTINGS, "m" + member, ACCEPTING_CLAIM_PROOFS);
-            evaluators[member] = new Judge(CLAIM_SETTINGS, "m" + member, 4);
-            outcomes[member] = new Outcomes(CLAIM_SETTINGS, 4);
+            stores[member] = new StatementStore(CLAIM_SETTINGS, "m" + member, ACCEPTING_CLAIM_PROOFS);
+            evaluators[member] = new ClaimEvaluator(CLAIM_SETTINGS, "m" + member, 4);
+            outcomes[member] = new BoxOutcomes(CLAIM_SETTINGS, 4);
             running[member] = true;
             members[member].start(nowMs);
             dueMs[member] = nowMs;
@@ -145,7 +145,7 @@
         /** Fires the next timer of a member; the timers of others may be overdue. */
         void fireTimer(int member) {
             nowMs = Math.max(nowMs, dueMs[member]);
-            stores[member].say(nowMs, nowMs, outcomes[member].claims(nowMs));
+            stores[member].updateOwn(nowMs, nowMs, outcomes[member].claims(nowMs));
             if (stores[member].hasPending()) {
                 List<Statement> statements = stores[member].take(2);
                 for (String to : members[member].randomAddresses(2)) {
@@ -170,8 +170,8 @@
         }
 
         void recordOutcome(int member, boolean success) {
-            outcomes[member].saw(nowMs, BOX, success ? null : Claim.Kind.FAILED);
-            evaluators[member].saw(nowMs, BOX, success, stores[member].held());
+            outcomes[member].recordOutcome(nowMs, BOX, success ? null : Claim.Kind.FAILED);
+            evaluators[member].recordOutcome(nowMs, BOX, success, stores[member].statements());
             sawFailure[member] |= !success;
             lastSuccessMs[member] = success ? nowMs : lastSuccessMs[member];
         }
@@ -261,7 +261,7 @@
                     lastState.put(key, member.state());
                 }
                 double evidence =
-                        evaluators[i].evidence(nowMs, 3, stores[i].held()).getOrDefault(BOX, 0.0);
+                        evaluators[i].evidence(nowMs, 3, stores[i].statements()).getOrDefault(BOX, 0.0);
                 int claimers = (sawFailure[0] ? 1 : 0) + (sawFailure[1] ? 1 : 0);
                 assertTrue(evidence == 0 || claimers >= 2, "evidence from claims of " + claimers);
                 assertTrue(
@@ -304,7 +304,7 @@
                 assertEquals(
                         0.0,
                         evaluators[i]
-                                .evidence(nowMs + EVIDENCE_END_MS, 3, stores[i].held())
+                                .evidence(nowMs + EVIDENCE_END_MS, 3, stores[i].statements())
                                 .getOrDefault(BOX, 0.0),
                         "evidence that never ends");
             }
@@ -321,7 +321,7 @@
                         .append(randoms[i].state);
                 members[i].appendState(text);
                 stores[i]
-                        .held()
+                        .statements()
                         .forEach(stored -> text.append(stored.receivedMs() - nowMs)
                                 .append(messageText(new Message.Claims(List.of(stored.statement())))));
             }
--- a/gossip/src/test/java/calicovale/gossip/net/GossipNodesTest.java
+++ b/gossip/src/test/java/calicovale/gossip/net/GossipNodesTest.java
@@ -380,7 +380,7 @@
                     "each half sees only itself",
                     () -> group.instances.values().stream()
                             .allMatch(instance -> instance.callOnLoop(
-                                            node -> node.membership().present())
+                                            node -> node.membership().presentCount())
                                     == 4));
             group.setNetworkConditions(NetworkConditions.NO_FAULTS);
             group.awaitAgreement();
@@ -420,7 +420,7 @@
                                                 member.id().equals("m1") && member.incarnation() >= incarnation)));
                 group.awaitAgreement();
                 assertEquals(0, group.deadTransitions());
-                List<String> unlistedKey = KeyDocuments.make("m2");
+                List<String> unlistedKey = KeyDocuments.generate("m2");
                 Files.writeString(folder.resolve("m2.key"), unlistedKey.get(0));
                 Path key = group.folder.resolve("m2.key");
                 Files.writeString(key, unlistedKey.get(0));
--- a/gossip/src/test/java/calicovale/gossip/net/Group.java
+++ b/gossip/src/test/java/calicovale/gossip/net/Group.java
@@ -72,7 +72,7 @@
                 }
             });
             loop.call(() -> {
-                node.weather(Group.this.networkConditions);
+                node.setNetworkConditions(Group.this.networkConditions);
                 return true;
             });
         }
@@ -101,7 +101,7 @@
 
         void recordOutcome(long box, Claim.Kind kind) {
             callOnLoop(node -> {
-                node.saw(box, kind);
+                node.recordOutcome(box, kind);
                 return true;
             });
         }
@@ -125,7 +125,7 @@
         this.extraSettings = extraSettings;
         this.certificates = certificates;
         roster = Files.createDirectories(folder.resolve("roster"));
-        authority = KeyDocuments.make("operators");
+        authority = KeyDocuments.generate("operators");
         for (int i = 0; i < members; i++) {
             newKey("m" + i);
             instances.put("m" + i, new Instance("m" + i));
@@ -134,7 +134,7 @@
 
     /** Creates a key for a member and adds it to the roster; earlier keys stay valid. */
     void newKey(String member) throws IOException, GeneralSecurityException, InvalidDocumentException {
-        List<String> documents = KeyDocuments.make(member);
+        List<String> documents = KeyDocuments.generate(member);
         String key =
                 Documents.MAPPER.readTree(documents.get(0)).get("publicKey").asText();
         String name = member + "-" + Integer.toHexString(key.hashCode()) + ".json";
@@ -145,7 +145,7 @@
             Files.writeString(
                     roster.resolve(name),
                     KeyDocuments.certificate(
-                            KeyDocuments.pair(file).privateKey(),
+                            KeyDocuments.readKeyPair(file).privateKey(),
                             "test",
                             member,
                             java.util.Base64.getUrlDecoder().decode(key),
@@ -222,7 +222,7 @@
                         return false;
                     }
                 }
-                return node.membership().present() == running.size();
+                return node.membership().presentCount() == running.size();
             });
             if (!agrees) {
                 return false;
@@ -255,7 +255,7 @@
         instances.values().stream()
                 .filter(Instance::running)
                 .forEach(instance -> instance.callOnLoop(node -> {
-                    node.weather(conditions);
+                    node.setNetworkConditions(conditions);
                     return true;
                 }));
     }
--- a/gossip/src/test/java/calicovale/gossip/net/ScriptedPeer.java
+++ b/gossip/src/test/java/calicovale/gossip/net/ScriptedPeer.java
@@ -29,7 +29,7 @@
     ScriptedPeer(Group group, String member) throws IOException, InvalidDocumentException {
         this.member = member;
         socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        KeyDocuments.MemberKeyPair pair = KeyDocuments.pair(group.folder.resolve(member + ".key"));
+        KeyDocuments.MemberKeyPair pair = KeyDocuments.readKeyPair(group.folder.resolve(member + ".key"));
         Roster roster = new Roster("test", null, 100);
         roster.replaceListed(List.of(), List.of(), Set.of());
         signer = new Signer(roster, System::currentTimeMillis, pair.privateKey(), pair.publicKey(), null);
--- a/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
+++ b/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void everyMessageIsDecodedAsEncoded() throws WireException {
+    void everyMessageIsDecodedAsEncoded() throws MalformedMessageException {
         Codec codec = new Codec(LIMITS);
         for (Message message : oneMessageOfEachForm()) {
             byte[] bytes = codec.encode(message);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void anyOtherFormIsRejected() throws WireException {
+    void anyOtherFormIsRejected() throws MalformedMessageException {
         Codec codec = new Codec(LIMITS);
         byte[] good = codec.encode(new Message.Nack(0, List.of()));
         assertEquals(new Message.Nack(0, List.of()), codec.decode(good, 0, good.length));
@@ -146,7 +146,10 @@
         }
         bad.add(codec.encode(new Message.Claims(List.of(new Statement("m", 1, nine, new byte[1])))));
         for (byte[] bytes : bad) {
-            assertThrows(WireException.class, () -> codec.decode(bytes, 0, bytes.length), Arrays.toString(bytes));
+            assertThrows(
+                    MalformedMessageException.class,
+                    () -> codec.decode(bytes, 0, bytes.length),
+                    Arrays.toString(bytes));
         }
     }
 
@@ -178,7 +181,7 @@
                         threads.getThreadAllocatedBytes(Thread.currentThread().getId());
                 try {
                     codec.decode(damaged, 0, damaged.length);
-                } catch (WireException e) {
+                } catch (MalformedMessageException e) {
                     rejected++;
                 }
                 long allocatedBytes =
@@ -348,7 +351,7 @@
     void proofsHoldOnlyForTheirContentAndAuthor() {
         Update update = Update.withoutProof("a", "a:1", 5, State.ALIVE, "a");
         update = update.withProof(a.signer.prove(update));
-        assertTrue(b.signer.proved(update));
+        assertTrue(b.signer.verify(update));
         for (Update forged : List.of(
                 new Update("a", "x:1", 5, State.ALIVE, "a", update.proof()),
                 new Update("a", "a:1", 6, State.ALIVE, "a", update.proof()),
@@ -356,27 +359,27 @@
                 new Update("b", "a:1", 5, State.ALIVE, "b", update.proof()),
                 new Update("a", "a:1", 5, State.ALIVE, "a", new byte[0]),
                 new Update("a", "a:1", 5, State.ALIVE, "a", new byte[72]))) {
-            assertFalse(b.signer.proved(forged), forged.toString());
+            assertFalse(b.signer.verify(forged), forged.toString());
         }
         // Another member signs in its name.
         Update inItsName = Update.withoutProof("a", "b:1", 6, State.ALIVE, "a");
-        assertFalse(a.signer.proved(inItsName.withProof(b.signer.prove(inItsName))));
+        assertFalse(a.signer.verify(inItsName.withProof(b.signer.prove(inItsName))));
         Statement statement =
                 new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
         statement = new Statement("a", 1, statement.claims(), a.signer.prove(statement));
-        assertTrue(b.signer.proved(statement));
-        assertFalse(b.signer.proved(new Statement("a", 2, statement.claims(), statement.proof())));
-        assertFalse(b.signer.proved(new Statement("a", 1, List.of(), statement.proof())));
+        assertTrue(b.signer.verify(statement));
+        assertFalse(b.signer.verify(new Statement("a", 2, statement.claims(), statement.proof())));
+        assertFalse(b.signer.verify(new Statement("a", 1, List.of(), statement.proof())));
     }
 
     @Test
-    void aStatementsProofHoldsAfterEncodingAndDecoding() throws WireException {
+    void aStatementsProofHoldsAfterEncodingAndDecoding() throws MalformedMessageException {
         Statement statement =
                 new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
         statement = new Statement("a", 1, statement.claims(), a.signer.prove(statement));
         Codec codec = new Codec(LIMITS);
         byte[] bytes = codec.encode(new Message.Claims(List.of(statement)));
-        assertTrue(b.signer.proved(((Message.Claims) codec.decode(bytes, 0, bytes.length))
+        assertTrue(b.signer.verify(((Message.Claims) codec.decode(bytes, 0, bytes.length))
                 .statements()
                 .get(0)));
     }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/Bench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/Bench.java
@@ -466,7 +466,7 @@
             long from = System.nanoTime();
             load.start().join();
             double seconds = (System.nanoTime() - from) / 1e9;
-            int held = manager.loop().call(() -> manager.manager().sessions());
+            int held = manager.loop().call(() -> manager.manager().sessionCount());
             long after = heap();
             tell("sessions", "sessions held", held);
             tell("sessions", "requests that were refused", load.others());
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/GossipBench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/GossipBench.java
@@ -4,7 +4,7 @@
 import calicovale.gossip.member.MemberSettings;
 import calicovale.gossip.member.Update.State;
 import calicovale.gossip.sim.GroupSimulator;
-import calicovale.gossip.sim.GroupSimulator.Seen;
+import calicovale.gossip.sim.GroupSimulator.ViewChange;
 import calicovale.protocols.json.InvalidDocumentException;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -34,10 +34,10 @@
         GroupSimulator g = new GroupSimulator(settings, seed);
         g.start(members, 0, 0);
         g.run(10.0 * members + 60_000);
-        if (!g.agreed()) {
+        if (!g.isConverged()) {
             throw new IllegalStateException(members + " members do not know each other");
         }
-        g.seen();
+        g.drainViewChanges();
         return g;
     }
 
@@ -75,9 +75,9 @@
     void run() {
         for (int size : SIZES) {
             GroupSimulator g = group(MemberSettings.LAN, size, size);
-            g.traffic(1);
+            g.drainMeanTraffic(1);
             g.run(QUIET_MS);
-            double[] each = g.traffic(QUIET_MS);
+            double[] each = g.drainMeanTraffic(QUIET_MS);
             sink.tell("simulated: messages a second for a member of " + size, each[0]);
             sink.tell("simulated: bytes a second for a member of " + size, each[1]);
         }
@@ -90,22 +90,23 @@
                 double from = g.nowMs();
                 g.kill("m1");
                 g.run(400_000);
-                List<Seen> all = g.seen();
+                List<ViewChange> all = g.drainViewChanges();
                 suspected += all.stream()
-                                .filter(s -> s.now() == State.SUSPECT && s.of().equals("m1"))
-                                .mapToDouble(Seen::atMs)
+                                .filter(s -> s.state() == State.SUSPECT
+                                        && s.memberId().equals("m1"))
+                                .mapToDouble(ViewChange::atMs)
                                 .min()
                                 .orElseThrow()
                         - from;
                 first += all.stream()
-                                .filter(s -> s.now() == State.DEAD)
-                                .mapToDouble(Seen::atMs)
+                                .filter(s -> s.state() == State.DEAD)
+                                .mapToDouble(ViewChange::atMs)
                                 .min()
                                 .orElseThrow()
                         - from;
                 last += all.stream()
-                                .filter(s -> s.now() == State.DEAD)
-                                .mapToDouble(Seen::atMs)
+                                .filter(s -> s.state() == State.DEAD)
+                                .mapToDouble(ViewChange::atMs)
                                 .max()
                                 .orElseThrow()
                         - from;
@@ -124,7 +125,7 @@
             double starved = 0;
             for (int seed = 0; seed < SEEDS; seed++) {
                 GroupSimulator g = group(settings, 30, 200 + seed);
-                g.network(0.3, 1, 40);
+                g.setNetwork(0.3, 1, 40);
                 g.run(HOUR_PART_MS);
                 lossy += declared(g, 0);
                 GroupSimulator s = group(settings, 30, 200 + seed);
@@ -138,9 +139,10 @@
 
     /** Members from a number on that were declared dead, each once a minute at most. */
     private static long declared(GroupSimulator g, int from) {
-        return g.seen().stream()
-                .filter(s -> s.now() == State.DEAD && Integer.parseInt(s.of().substring(1)) >= from)
-                .map(s -> s.of() + " " + Math.round(s.atMs() / 60_000))
+        return g.drainViewChanges().stream()
+                .filter(s ->
+                        s.state() == State.DEAD && Integer.parseInt(s.memberId().substring(1)) >= from)
+                .map(s -> s.memberId() + " " + Math.round(s.atMs() / 60_000))
                 .distinct()
                 .count();
     }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/LiarBench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/LiarBench.java
@@ -16,13 +16,13 @@
 import calicovale.ControllerApi.TimerFired;
 import calicovale.SessionController;
 import calicovale.front.settings.FrontSettings;
+import calicovale.gossip.claims.BoxOutcomes;
 import calicovale.gossip.claims.Claim;
-import calicovale.gossip.claims.ClaimBook;
-import calicovale.gossip.claims.ClaimProofs;
+import calicovale.gossip.claims.ClaimEvaluator;
 import calicovale.gossip.claims.ClaimSettings;
-import calicovale.gossip.claims.Judge;
-import calicovale.gossip.claims.Outcomes;
 import calicovale.gossip.claims.Statement;
+import calicovale.gossip.claims.StatementProofs;
+import calicovale.gossip.claims.StatementStore;
 import calicovale.protocols.json.InvalidDocumentException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -59,14 +59,14 @@
 
     private record Due(double atMs, long order, Runnable body) {}
 
-    private static final ClaimProofs TRUSTING = new ClaimProofs() {
+    private static final StatementProofs TRUSTING = new StatementProofs() {
         @Override
         public byte[] prove(Statement statement) {
             return new byte[0];
         }
 
         @Override
-        public boolean proved(Statement statement) {
+        public boolean verify(Statement statement) {
             return true;
         }
     };
@@ -132,9 +132,9 @@
     private final class Manager implements Actions {
         final int number;
         final SessionController controller;
-        final ClaimBook book;
-        final Judge judge;
-        final Outcomes outcomes;
+        final StatementStore book;
+        final ClaimEvaluator judge;
+        final BoxOutcomes outcomes;
         final Map<String, Integer> attempts = new HashMap<>();
         final Map<String, Integer> rungs = new HashMap<>();
         final Set<String> playing = new HashSet<>();
@@ -142,9 +142,9 @@
 
         Manager(int number) throws InvalidDocumentException {
             this.number = number;
-            book = new ClaimBook(ClaimSettings.LAN, "m" + number, TRUSTING);
-            judge = new Judge(ClaimSettings.LAN, "m" + number, BOXES);
-            outcomes = new Outcomes(ClaimSettings.LAN, BOXES);
+            book = new StatementStore(ClaimSettings.LAN, "m" + number, TRUSTING);
+            judge = new ClaimEvaluator(ClaimSettings.LAN, "m" + number, BOXES);
+            outcomes = new BoxOutcomes(ClaimSettings.LAN, BOXES);
             controller = new SessionController(settings(number).controller(), number, now, this);
         }
 
@@ -153,8 +153,8 @@
         }
 
         private void saw(long box, Claim.Kind kind) {
-            outcomes.saw(now, box, kind);
-            judge.saw(now, box, kind == null, book.held());
+            outcomes.recordOutcome(now, box, kind);
+            judge.recordOutcome(now, box, kind == null, book.statements());
         }
 
         @Override
@@ -208,19 +208,19 @@
         /** What a member does at each turn of its claims. */
         void turn() {
             boolean lies = number < liars;
-            book.say(
+            book.updateOwn(
                     now,
                     now,
                     lies
-                            ? List.of(new Claim(BOX, Claim.Kind.FAILED, 1, 0, ClaimSettings.LAN.lastsMs()))
+                            ? List.of(new Claim(BOX, Claim.Kind.FAILED, 1, 0, ClaimSettings.LAN.claimValidityMs()))
                             : outcomes.claims(now));
             book.expire(now);
             for (Statement s : book.take(1)) {
-                if (s.from().equals("m" + number)) {
+                if (s.reporter().equals("m" + number)) {
                     managers.forEach(m -> at(now + SPREAD_MS * news.nextDouble(), () -> m.book.take(now, now, s)));
                 }
             }
-            Map<Long, Double> evidence = judge.evidence(now, MANAGERS, book.held());
+            Map<Long, Double> evidence = judge.evidence(now, MANAGERS, book.statements());
             for (long box = 0; box < BOXES; box++) {
                 double strength = evidence.getOrDefault(box, 0.0);
                 if (Math.abs(strength - told.getOrDefault(box, 0.0)) >= 0.05
@@ -233,7 +233,7 @@
                     raise(new Suspected(box, strength));
                 }
             }
-            at(now + ClaimSettings.LAN.believedMs(), this::turn);
+            at(now + ClaimSettings.LAN.evaluationIntervalMs(), this::turn);
         }
 
         @Override
@@ -304,7 +304,7 @@
             managers.add(m);
             m.raise(new ServerList(ListScope.COMPLETE, 1, list));
             if (gossip) {
-                at(now + ClaimSettings.LAN.believedMs() * news.nextDouble(), m::turn);
+                at(now + ClaimSettings.LAN.evaluationIntervalMs() * news.nextDouble(), m::turn);
             }
         }
         at(now, this::arrival);
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/MembersBench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/MembersBench.java
@@ -40,7 +40,7 @@
             throws IOException, GeneralSecurityException, InvalidDocumentException {
         Path roster = Files.createDirectories(folder.resolve("roster"));
         for (int i = 0; i < members; i++) {
-            List<String> made = KeyDocuments.make("m" + i);
+            List<String> made = KeyDocuments.generate("m" + i);
             Files.writeString(folder.resolve("m" + i + ".key"), made.get(0));
             Files.writeString(roster.resolve("m" + i + ".json"), made.get(1));
         }
@@ -103,7 +103,7 @@
         try {
             long from = System.nanoTime();
             start(folder, members);
-            await("all know each other", () -> all(-1, n -> n.membership().present() == members));
+            await("all know each other", () -> all(-1, n -> n.membership().presentCount() == members));
             sink.tell("loopback: ms until all " + members + " know each other", (System.nanoTime() - from) / 1e6);
             // the news of the joining has to die out before a group is quiet
             Thread.sleep(QUIET_MS / 4);
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/StitchBench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/StitchBench.java
@@ -220,11 +220,11 @@
             Histogram before = histogram();
             reload(front, media, before);
             long heapBefore = heap();
-            double planned = front.loop().call(() -> front.manager().changesPlanned()[0]);
+            double planned = front.loop().call(() -> front.manager().lastChangePass()[0]);
             long told = System.nanoTime();
             send(front, "POST", "", change("all", 1));
             Histogram during = histogram();
-            while (front.loop().call(() -> front.manager().changesPlanned()[0]) == planned) {
+            while (front.loop().call(() -> front.manager().lastChangePass()[0]) == planned) {
                 long from = System.nanoTime();
                 get(front.address(), media.get(0));
                 during.recordValue(System.nanoTime() - from);
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
@@ -1,7 +1,7 @@
 package calicovale.rehearsal.run;
 
 import calicovale.front.FrontProcess;
-import calicovale.front.ledger.LedgerDesk;
+import calicovale.front.ledger.SessionLedgerWriter;
 import calicovale.gossip.claims.Claim;
 import calicovale.gossip.net.KeyDocuments;
 import calicovale.protocols.json.InvalidDocumentException;
@@ -215,7 +215,7 @@
         Path roster = Files.createDirectories(state.resolve("roster"));
         for (int m = 0; m < day.managers(); m++) {
             try {
-                List<String> made = KeyDocuments.make("m" + m);
+                List<String> made = KeyDocuments.generate("m" + m);
                 Files.writeString(state.resolve("m" + m + ".key"), made.get(0));
                 Files.writeString(roster.resolve("m" + m + ".json"), made.get(1));
             } catch (GeneralSecurityException e) {
@@ -386,7 +386,7 @@
                 () -> f.boxes().forEach(box -> {
                     // what it truly saw of late must not make its lie weaker
                     for (int i = 0; i < 64; i++) {
-                        liar.peers().node().saw(box, Claim.Kind.FAILED);
+                        liar.peers().node().recordOutcome(box, Claim.Kind.FAILED);
                     }
                 }));
         if (tape.nowMs() < untilMs) {
@@ -402,14 +402,14 @@
                     each.loop(),
                     () -> each.peers()
                             .node()
-                            .weather((from, to, connection) ->
+                            .setNetworkConditions((from, to, connection) ->
                                     apart && from.equals(alone) != to.equals(alone) ? -1 : 0));
         }
     }
 
-    private void disk(Day.Fault f, LedgerDesk.DiskFault fault) {
-        managers.get(f.manager()).diskFault(fault);
-        after(f, () -> managers.get(f.manager()).diskFault(LedgerDesk.DiskFault.NONE));
+    private void disk(Day.Fault f, SessionLedgerWriter.DiskFault fault) {
+        managers.get(f.manager()).setDiskFault(fault);
+        after(f, () -> managers.get(f.manager()).setDiskFault(SessionLedgerWriter.DiskFault.NONE));
     }
 
     private interface OnBox {
--- a/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
@@ -66,7 +66,7 @@
                                             .call(() -> m.peers()
                                                     .node()
                                                     .membership()
-                                                    .present())
+                                                    .presentCount())
                                     == 3));
             FrontProcess third = stage.run.managers().get(2);
             stage.run.happen(lies(0, 1, 30));
@@ -112,7 +112,7 @@
                     "they know each other",
                     () -> third.loop()
                                     .call(() ->
-                                            third.peers().node().membership().present())
+                                            third.peers().node().membership().presentCount())
                             == 3);
             stage.run.happen(lies(0, 1, 30));
             stage.run.happen(lies(1, 1, 30));
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -106,7 +106,7 @@
             String id = first.headers().firstValue("Calicovale-Session").orElseThrow();
             var manager = stage.run.managers().get(0);
             manager.loop().call(() -> {
-                manager.manager().move(id);
+                manager.manager().moveSession(id);
                 return true;
             });
             HttpResponse<String> next = stage.get(stage.at(media));
