--- a/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicovale.front.playlist.Piece;
 import calicovale.front.playlist.SessionPlaylist;
-import calicovale.front.playlist.Source;
+import calicovale.front.playlist.SourcePlaylist;
+import calicovale.front.playlist.StitchedPiece;
 import calicovale.protocols.hls.HlsException;
 import calicovale.rehearsal.judge.PlaylistRules;
 import java.util.ArrayList;
@@ -23,10 +23,10 @@
 /** A strict player against session playlists, in virtual time: any course of changes, rungs, moves and restarts. */
 class PlayingTest {
     private static final double T0 = 1_700_000_000_000.0;
-    private static final SessionPlaylist.Shape SHAPE = new SessionPlaylist.Shape(3, 3, 3);
+    private static final SessionPlaylist.WindowShape SHAPE = new SessionPlaylist.WindowShape(3, 3, 3);
 
     /** Segments of 2 s, the last shorter; with keys and byte ranges where {@code rich}. */
-    private static Source source(int segments, boolean rich) throws HlsException {
+    private static SourcePlaylist source(int segments, boolean rich) throws HlsException {
         StringBuilder text = new StringBuilder(
                 "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:7\n" + "#EXT-X-MAP:URI=\"init.mp4\"\n");
         for (int i = 0; i < segments; i++) {
@@ -42,15 +42,15 @@
                             ? "#EXT-X-BYTERANGE:100" + (i % 3 == 1 ? "@0" : "") + "\nfile" + i / 3 + ".m4s\n"
                             : i + ".m4s\n");
         }
-        return Source.parse(text + "#EXT-X-ENDLIST\n");
+        return SourcePlaylist.parse(text + "#EXT-X-ENDLIST\n");
     }
 
     @Property(tries = 300, seed = "7")
     void noCourseBreaksTheStandard(
             @ForAll @Size(max = 60) List<@IntRange(max = 99) Integer> course, @ForAll @IntRange(max = 3) int kind)
             throws HlsException {
-        Source lecture = source(60, kind % 2 == 1);
-        Source piece = source(2 + kind, kind > 1);
+        SourcePlaylist lecture = source(60, kind % 2 == 1);
+        SourcePlaylist piece = source(2 + kind, kind > 1);
         SessionPlaylist p = new SessionPlaylist(SHAPE, 0, T0);
         PlaylistRules rules = new PlaylistRules();
         Map<Integer, Integer> put = new HashMap<>();
@@ -67,16 +67,16 @@
                 p.resume(lecture, now, now + 300);
                 now += 300;
             }
-            if (what % 29 == 7 && p.runs() > 0) {
+            if (what % 29 == 7 && p.runCount() > 0) {
                 // killed after what was reserved: the next process knows no more than that
                 p = new SessionPlaylist(
                         SHAPE,
                         now,
                         T0 + now,
-                        new SessionPlaylist.Progress(
+                        new SessionPlaylist.RestartState(
                                 p.nextSequence() + 5,
-                                p.number() + 3,
-                                p.segmentAt(lecture, now),
+                                p.discontinuitySequence() + 3,
+                                p.lectureSegmentAt(lecture, now),
                                 p.targetS(),
                                 p.endDateMs() + 500));
                 box = "c" + Math.round(now);
@@ -85,40 +85,54 @@
             int r = rung;
             int replaces = what % 3;
             String asset = what % 13 == 0 ? "/pieces/x.m3u8" : null;
-            p.extend(lecture, rung, base + rung + "/", now, new Piece.Stitcher() {
+            p.extend(lecture, rung, base + rung + "/", now, new StitchedPiece.Stitcher() {
                 @Override
-                public Piece before(int segment, double boundaryS, double boundaryMs) {
+                public StitchedPiece pieceBefore(int segment, double boundaryS, double boundaryMs) {
                     boolean here = (segment + kind) % 7 == 0 && put.merge(segment, 1, Integer::sum) == 1;
                     return here
-                            ? new Piece(
+                            ? new StitchedPiece(
                                     "c" + segment,
                                     r,
                                     base + "p/" + r + "/",
                                     piece,
                                     segment,
-                                    Math.min(segment + replaces, lecture.count()),
+                                    Math.min(segment + replaces, lecture.segmentCount()),
                                     asset)
                             : null;
                 }
 
                 @Override
-                public Piece again(Piece old) {
+                public StitchedPiece relistPiece(StitchedPiece old) {
                     return what % 2 == 0
                             ? null
-                            : new Piece(old.id(), r, base + "p/" + r + "/", piece, old.from(), old.to(), old.asset());
+                            : new StitchedPiece(
+                                    old.changeId(),
+                                    r,
+                                    base + "p/" + r + "/",
+                                    piece,
+                                    old.beforeSegment(),
+                                    old.resumeSegment(),
+                                    old.assetUri());
                 }
 
                 @Override
-                public Piece onward(Piece old) {
-                    return new Piece(old.id(), r, base + "p/" + r + "/", piece, old.from(), old.to(), old.asset());
+                public StitchedPiece continuePiece(StitchedPiece old) {
+                    return new StitchedPiece(
+                            old.changeId(),
+                            r,
+                            base + "p/" + r + "/",
+                            piece,
+                            old.beforeSegment(),
+                            old.resumeSegment(),
+                            old.assetUri());
                 }
             });
-            if (p.runs() > 0) {
+            if (p.runCount() > 0) {
                 String text = p.render();
                 assertEquals(List.of(), rules.take(text), text);
-                assertTrue(rules.segments().size() <= SHAPE.ahead() + 1 + SHAPE.behind());
+                assertTrue(rules.segments().size() <= SHAPE.segmentsAhead() + 1 + SHAPE.segmentsBehind());
                 if (what % 4 == 0) {
-                    p.served(
+                    p.onSegmentServed(
                             rules.segments().get(what % rules.segments().size()).uri());
                 }
             }
@@ -128,8 +142,8 @@
     /** Plays a lecture whole with a piece before each of some segments; what was played, in its order. */
     private static List<String> play(int lectureSegments, Set<Integer> before, double fetchPart, int lostAtStep)
             throws HlsException {
-        Source lecture = source(lectureSegments, false);
-        Source piece = source(3, false);
+        SourcePlaylist lecture = source(lectureSegments, false);
+        SourcePlaylist piece = source(3, false);
         SessionPlaylist p = new SessionPlaylist(SHAPE, 0, T0);
         PlaylistRules rules = new PlaylistRules();
         Set<Integer> left = new HashSet<>(before);
@@ -153,17 +167,18 @@
                 p.resume(lecture, now, now);
             }
             String base = "http://" + box + "/";
-            p.extend(lecture, 1, base + "1/", now, new Piece.Stitcher() {
+            p.extend(lecture, 1, base + "1/", now, new StitchedPiece.Stitcher() {
                 @Override
-                public Piece before(int segment, double boundaryS, double boundaryMs) {
+                public StitchedPiece pieceBefore(int segment, double boundaryS, double boundaryMs) {
                     return left.remove(segment)
-                            ? new Piece("c" + segment, 1, base + "p/", piece, segment, segment, null)
+                            ? new StitchedPiece("c" + segment, 1, base + "p/", piece, segment, segment, null)
                             : null;
                 }
 
                 @Override
-                public Piece again(Piece old) {
-                    return new Piece(old.id(), 1, base + "p/", piece, old.from(), old.to(), null);
+                public StitchedPiece relistPiece(StitchedPiece old) {
+                    return new StitchedPiece(
+                            old.changeId(), 1, base + "p/", piece, old.beforeSegment(), old.resumeSegment(), null);
                 }
             });
             String text = p.render();
@@ -183,7 +198,7 @@
                     buffered = Math.max(buffered, fetchedAt) + 1000 * s.seconds();
                     next = s.sequence() + 1;
                     played.add(s.uri().substring(8 + box.length()));
-                    p.served(s.uri());
+                    p.onSegmentServed(s.uri());
                 }
             }
         }
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -366,7 +366,7 @@
 
     private static void rung(calicovale.front.FrontProcess manager, String id, int rung) {
         manager.loop().call(() -> {
-            manager.manager().rung(id, rung);
+            manager.manager().setRung(id, rung);
             return true;
         });
     }
@@ -470,7 +470,7 @@
                     .orElseThrow();
             var manager = stage.run.managers().get(0);
             manager.loop().call(() -> {
-                manager.manager().move(id);
+                manager.manager().moveSession(id);
                 return true;
             });
             Set<String> seen = new HashSet<>();
