--- a/cli/src/main/java/calicovale/cli/DirectoryCommand.java
+++ b/cli/src/main/java/calicovale/cli/DirectoryCommand.java
@@ -23,7 +23,7 @@
         BoxDirectory directory = new BoxDirectory(loop, settings.listen(), settings.lagMs(), settings.beatMs());
         System.out.println("listening on "
                 + loop.call(() -> {
-                    settings.boxes().forEach(directory::list);
+                    settings.boxes().forEach(directory::listNow);
                     return directory.start();
                 }));
         Thread.currentThread().join();
--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -18,7 +18,7 @@
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.net.Tap;
 import calicovale.stitch.Change;
-import calicovale.stitch.ChangeBook;
+import calicovale.stitch.ChangeSelector;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -42,7 +42,7 @@
     private final HttpServer playerServer;
     private final Counters counters = new Counters();
     private final CommonClock commonClock;
-    private final ChangeBook changeBook;
+    private final ChangeSelector changeBook;
     private final SessionLedgerWriter ledgerWriter;
     private final PeerGossip peers;
     private ChangeService changeService;
@@ -81,8 +81,8 @@
                 limits.connections());
         HttpClient client = new HttpClient(
                 loop, limits, settings.bounds().perBox(), settings.times().connectMs());
-        changeBook =
-                new ChangeBook(settings.bounds().changes(), settings.bounds().shown());
+        changeBook = new ChangeSelector(
+                settings.bounds().changes(), settings.bounds().shown());
         ledgerWriter = openLedger();
         manager = new PlayerSessionManager(
                 loop, settings, commonClock, random, client, changeBook, ledgerWriter, counters, incarnation);
--- a/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
+++ b/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
@@ -5,7 +5,7 @@
 import calicovale.stitch.SessionLedger;
 import calicovale.stitch.SessionLedger.Entry;
 import calicovale.stitch.SessionLedger.Showing;
-import calicovale.stitch.SessionLedger.Steps;
+import calicovale.stitch.SessionLedger.Update;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -95,13 +95,13 @@
                     return thread;
                 });
         if (ledger != null) {
-            if (ledger.recovery().bytesCut() > 0) {
+            if (ledger.recovery().truncatedBytes() > 0) {
                 counters.increment("sessions-log-torn");
             }
             LOG.info(
                     "session ledger: {} sessions found; cut {} bytes of an incomplete record",
                     ledger.entries().size(),
-                    ledger.recovery().bytesCut());
+                    ledger.recovery().truncatedBytes());
             loop.execute(() -> scheduleAliveNotes(aliveEveryMs));
         }
     }
@@ -202,7 +202,7 @@
         pendingCallbacks = new ArrayList<>();
         aliveNoteDue = false;
         writeInProgress = true;
-        Steps steps = new Steps(batchEntries.values(), batchEndedTokens, batchShowings, nowMs.getAsDouble());
+        Update steps = new Update(batchEntries.values(), batchEndedTokens, batchShowings, nowMs.getAsDouble());
         Set<String> activeIds = activeChangeIds.get();
         try {
             diskExecutor.execute(() -> {
--- a/front/src/main/java/calicovale/front/operators/ChangeService.java
+++ b/front/src/main/java/calicovale/front/operators/ChangeService.java
@@ -8,7 +8,7 @@
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.net.EventLoop;
 import calicovale.stitch.Change;
-import calicovale.stitch.ChangeBook;
+import calicovale.stitch.ChangeSelector;
 import calicovale.stitch.ChangeStore;
 import calicovale.stitch.RecordLog;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -47,7 +47,7 @@
     private static final double RETRY_DELAY_MS = 200;
 
     private final EventLoop loop;
-    private final ChangeBook changeBook;
+    private final ChangeSelector changeBook;
     private final DoubleSupplier nowMs;
     private final FrontSettings settings;
     private final Runnable onChange;
@@ -70,7 +70,7 @@
      */
     public ChangeService(
             EventLoop loop,
-            ChangeBook changeBook,
+            ChangeSelector changeBook,
             DoubleSupplier nowMs,
             FrontSettings settings,
             Runnable onChange,
@@ -117,14 +117,14 @@
                         "the log of programme changes has a record that is not a valid change: " + e.getMessage());
             }
         }
-        store.files().forEach((id, file) -> changeIdsByFile.put(file, id));
+        store.sourceFiles().forEach((id, file) -> changeIdsByFile.put(file, id));
         RecordLog.Recovery recovery = store.recovery();
         LOG.info(
                 "log of programme changes: {} records ({} of the snapshot); cut {} bytes of an incomplete record",
                 recovery.records().size(),
-                recovery.ofSnapshot(),
-                recovery.bytesCut());
-        if (recovery.bytesCut() > 0) {
+                recovery.snapshotRecords(),
+                recovery.truncatedBytes());
+        if (recovery.truncatedBytes() > 0) {
             counters.increment("changes-log-torn");
         }
     }
@@ -173,7 +173,7 @@
     /** Removes changes whose time of validity is over. */
     private void removeExpiredChanges() {
         long versionBefore = changeBook.version();
-        changeBook.expire(nowMs.getAsDouble());
+        changeBook.removeExpired(nowMs.getAsDouble());
         if (changeBook.version() != versionBefore) {
             onChange.run();
         }
@@ -249,7 +249,7 @@
             reply.accepted(true, existing);
             return;
         }
-        if (!changeBook.accepts(change)) {
+        if (!changeBook.canAdd(change)) {
             counters.increment("changes-refused");
             reply.refused(
                     409,
--- a/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
+++ b/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
@@ -14,7 +14,7 @@
 import calicovale.protocols.http.HttpHead;
 import calicovale.protocols.json.Documents;
 import calicovale.protocols.net.EventLoop;
-import calicovale.stitch.ChangeBook;
+import calicovale.stitch.ChangeSelector;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -54,7 +54,7 @@
             CommonClock commonClock,
             RandomGenerator random,
             HttpClient client,
-            ChangeBook changeBook,
+            ChangeSelector changeBook,
             SessionLedgerWriter ledger,
             Counters counters,
             String incarnation) {
@@ -96,7 +96,7 @@
                 persistence.remove(session);
             }
         });
-        ledger.recoveredShowings().forEach(s -> changeBook.remember(s.change(), s.name()));
+        ledger.recoveredShowings().forEach(s -> changeBook.restoreShowing(s.changeId(), s.key()));
     }
 
     /** Returns the controller's host, for measurements. */
--- a/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
+++ b/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
@@ -10,7 +10,7 @@
 import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
 import calicovale.stitch.Change;
-import calicovale.stitch.ChangeBook;
+import calicovale.stitch.ChangeSelector;
 import calicovale.stitch.SessionLedger.Showing;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,7 +26,7 @@
 
 /**
  * Applies programme changes to this manager's sessions: keeps each session's candidate changes, finds the box that
- * serves a change's piece, and records each showing on disk before a player gets it. The {@link ChangeBook} selects the
+ * serves a change's piece, and records each showing on disk before a player gets it. The {@link ChangeSelector} selects the
  * change at a boundary. The controller sets up a piece that the session's box lacks at a box that holds it, like a
  * session.
  */
@@ -98,7 +98,7 @@
 
     private final EventLoop loop;
     private final FrontSettings settings;
-    private final ChangeBook changeBook;
+    private final ChangeSelector changeBook;
     private final SourcePlaylistCache sourceCache;
     private final PieceAvailability pieceAvailability;
     private final SessionLedgerWriter ledger;
@@ -116,7 +116,7 @@
     ProgrammeChanges(
             EventLoop loop,
             FrontSettings settings,
-            ChangeBook changeBook,
+            ChangeSelector changeBook,
             SourcePlaylistCache sourceCache,
             SessionLedgerWriter ledger,
             DoubleSupplier commonTimeMs,
@@ -151,11 +151,11 @@
 
     // --- Candidates ---
 
-    private ChangeBook.Facts facts(Session session, int rung) {
+    private ChangeSelector.SessionState facts(Session session, int rung) {
         SessionClass sessionClass = settings.controller().classes().get(session.sessionClass);
         String tenant =
                 settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(session.tenant);
-        return new ChangeBook.Facts(
+        return new ChangeSelector.SessionState(
                 session.token,
                 session.viewer,
                 session.title,
@@ -175,8 +175,8 @@
         }
         for (Showing showing : state.showings) {
             // another manager showed it to the viewer; this manager may have learnt of the change only now
-            if (changeBook.get(showing.change()) != null) {
-                changeBook.remember(showing.change(), showing.name());
+            if (changeBook.get(showing.changeId()) != null) {
+                changeBook.restoreShowing(showing.changeId(), showing.key());
             }
         }
         state.plannedVersion = changeBook.version();
@@ -239,13 +239,13 @@
         double endMs = toCommonMs(Math.max(nowMs(), session.playlist.endMs()));
         double positionS =
                 session.lecture.startS(Math.min(session.playlist.nextSegment(), session.lecture.segmentCount()));
-        ChangeBook.Facts facts = facts(session, session.rung);
+        ChangeSelector.SessionState facts = facts(session, session.rung);
         for (Change change : session.programmeState.candidates) {
             boolean soon = change.atMs() >= 0
                     ? change.atMs() <= endMs + leadMs
                     : change.lectureS() <= positionS + leadMs / 1000;
             Change.Rendition rendition =
-                    soon && change.validUntilMs() >= endMs ? ChangeBook.rendition(change, facts) : null;
+                    soon && change.validUntilMs() >= endMs ? ChangeSelector.selectRendition(change, facts) : null;
             if (rendition != null
                     && session.state == Session.State.PLAYING
                     && playingSetUp(session, change) == null
@@ -294,8 +294,8 @@
             return state.recordedChangeDurable ? beginPiece(session, segment) : StitchedPiece.WAIT;
         }
         while (true) {
-            ChangeBook.Facts facts = facts(session, session.rung);
-            ChangeBook.Decision decision = changeBook.at(state.candidates, facts, boundaryS, boundaryMs);
+            ChangeSelector.SessionState facts = facts(session, session.rung);
+            ChangeSelector.Decision decision = changeBook.chooseAt(state.candidates, facts, boundaryS, boundaryMs);
             for (String changeId : decision.withoutRendition()) {
                 reportOnce(
                         session,
@@ -327,7 +327,7 @@
                         .toList();
                 continue;
             }
-            if (!changeBook.canShow()) {
+            if (!changeBook.canRecordShowing()) {
                 counters.increment("bound-shown-hit");
                 return null;
             }
@@ -340,11 +340,11 @@
     }
 
     /** Records a showing before the player gets it, so that after a crash in between the change counts as shown. */
-    private void recordShowing(Session session, Change change, ChangeBook.Facts facts) {
+    private void recordShowing(Session session, Change change, ChangeSelector.SessionState facts) {
         SessionState state = session.programmeState;
         state.recordedChange = change.id();
         state.recordedChangeDurable = !ledger.isEnabled();
-        List<String> names = changeBook.shown(change, facts);
+        List<String> names = changeBook.recordShowing(change, facts);
         ledger.recordShowings(change.id(), names);
         state.showings = new ArrayList<>(state.showings);
         names.stream()
@@ -416,8 +416,8 @@
     /** Returns a change's piece at the box that has it; WAIT while a box is queried, null if no box has it yet. */
     private StitchedPiece resolvePiece(Session session, Change change, int segment) {
         Session pieceSetUp = playingSetUp(session, change);
-        Change.Rendition rendition =
-                ChangeBook.rendition(change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
+        Change.Rendition rendition = ChangeSelector.selectRendition(
+                change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
         if (rendition == null) {
             return null;
         }
@@ -496,8 +496,8 @@
         if (change == null || pieceSetUp == null && session.programmeState.pieceSetUps.containsKey(piece.changeId())) {
             return piece;
         }
-        Change.Rendition rendition =
-                ChangeBook.onward(change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
+        Change.Rendition rendition = ChangeSelector.renditionToContinue(
+                change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
         if (rendition == null || rendition.rung() == piece.rung()) {
             return piece;
         }
--- a/front/src/main/java/calicovale/front/player/SessionPersistence.java
+++ b/front/src/main/java/calicovale/front/player/SessionPersistence.java
@@ -173,8 +173,8 @@
                 nowMs(),
                 commonTimeMs.getAsDouble(),
                 new SessionPlaylist.RestartState(
-                        entry.sequence(),
-                        entry.number(),
+                        entry.mediaSequence(),
+                        entry.discontinuitySequence(),
                         entry.segment(),
                         entry.targetS(),
                         latestDateMs(entry.dateMs(), entry.atMs(), entry.targetS())));
--- a/front/src/main/java/calicovale/front/player/ShownChangesCookie.java
+++ b/front/src/main/java/calicovale/front/player/ShownChangesCookie.java
@@ -59,7 +59,7 @@
         ArrayNode list = root.putArray("s");
         showings.stream()
                 .skip(Math.max(0, showings.size() - MAX_SHOWINGS))
-                .forEach(s -> list.addArray().add(s.change()).add(s.name()));
+                .forEach(s -> list.addArray().add(s.changeId()).add(s.key()));
         String text = Base64.getUrlEncoder()
                 .withoutPadding()
                 .encodeToString(root.toString().getBytes(StandardCharsets.UTF_8));
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
@@ -40,7 +40,7 @@
             addresses.add(at);
             int id = i;
             directoryLoop.call(() -> {
-                list.list(new BoxDirectory.Entry(id, "ready", 0, 0, 0, 0, 1, "127.0.0.1:" + at.getPort()));
+                list.listNow(new BoxDirectory.Entry(id, "ready", 0, 0, 0, 0, 1, "127.0.0.1:" + at.getPort()));
                 return true;
             });
         }
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
@@ -186,7 +186,7 @@
                 new BoxDirectory.Entry(i, "ready", 0, 0, rack, 0, told, at.getHostString() + ":" + at.getPort());
         listed.add(entry);
         directoryLoop.call(() -> {
-            directory.list(entry);
+            directory.listNow(entry);
             return true;
         });
     }
@@ -315,28 +315,32 @@
                         f,
                         box -> {
                             box.faults().hang = true;
-                            box.faults().deaf = f.deaf();
+                            box.faults().ignorePeerClosed = f.deaf();
                         },
-                        MediaBox::wake);
-            case "slow" -> each(f, box -> box.faults().slow = f.value(), box -> box.faults().slow = 1);
-            case "errors" -> each(f, box -> box.faults().errors = f.value(), box -> box.faults().errors = 0);
-            case "resets" -> each(f, box -> box.faults().resets = f.value(), box -> box.faults().resets = 0);
+                        MediaBox::endHang);
+            case "slow" ->
+                each(f, box -> box.faults().setUpTimeFactor = f.value(), box -> box.faults().setUpTimeFactor = 1);
+            case "errors" ->
+                each(f, box -> box.faults().setUpErrorShare = f.value(), box -> box.faults().setUpErrorShare = 0);
+            case "resets" ->
+                each(f, box -> box.faults().setUpResetShare = f.value(), box -> box.faults().setUpResetShare = 0);
             case "connections-reset" -> each(f, MediaBox::resetConnections, box -> {});
-            case "half-open" -> each(f, box -> box.faults().mute = true, box -> box.faults().mute = false);
+            case "half-open" ->
+                each(f, box -> box.faults().silentEventStreams = true, box -> box.faults().silentEventStreams = false);
             case "reports-late" ->
-                each(f, box -> box.faults().reportLateMs = f.value(), box -> box.faults().reportLateMs = 0);
-            case "link-sag" -> each(f, box -> box.sagLink(f.value()), box -> box.sagLink(1));
+                each(f, box -> box.faults().reportDelayMs = f.value(), box -> box.faults().reportDelayMs = 0);
+            case "link-sag" -> each(f, box -> box.setLinkDivisor(f.value()), box -> box.setLinkDivisor(1));
             case "uplink-sag" -> {
-                racks.get(f.rack() % racks.size()).sag(f.value());
-                after(f, () -> racks.get(f.rack() % racks.size()).sag(1));
+                racks.get(f.rack() % racks.size()).setUplinkDivisor(f.value());
+                after(f, () -> racks.get(f.rack() % racks.size()).setUplinkDivisor(1));
             }
             case "list-late" -> {
-                on(directoryLoop, () -> directory.lag(day.directoryLagMs() + f.value()));
-                after(f, () -> on(directoryLoop, () -> directory.lag(day.directoryLagMs())));
+                on(directoryLoop, () -> directory.setLagMs(day.directoryLagMs() + f.value()));
+                after(f, () -> on(directoryLoop, () -> directory.setLagMs(day.directoryLagMs())));
             }
             case "list-forgets" ->
                 f.boxes().forEach(i -> {
-                    on(directoryLoop, () -> directory.forget(i));
+                    on(directoryLoop, () -> directory.removeFromList(i));
                     after(f, () -> list(listed.get(i)));
                 });
             case "directory-down" -> {
@@ -443,7 +447,7 @@
     }
 
     private void list(BoxDirectory.Entry entry) {
-        on(directoryLoop, () -> directory.happened(entry));
+        on(directoryLoop, () -> directory.listAfterLag(entry));
     }
 
     private void state(int i, String state, double startedMs) {
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -129,13 +129,13 @@
         // with a lease that outlives the test, only the manager's release lets the ghost go
         try (Stage stage = new Stage(state, "/service/times/leaseMs", "600000")) {
             for (int i : all(stage)) {
-                stage.run.atBox(i, box -> box.faults().hang = box.faults().deaf = true);
+                stage.run.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
             }
             CompletableFuture<HttpResponse<String>> answer = stage.askAsync("talk", "v1");
             Entry first = stage.awaitEntry("the first set-up", e -> atBox(e) && setUp(e));
             int hung = Integer.parseInt(first.end().substring(4));
             // the others wake, the first box stays deaf: the second attempt plays elsewhere
-            onlyBox(stage, hung, MediaBox::wake);
+            onlyBox(stage, hung, MediaBox::endHang);
             assertEquals(200, answer.join().statusCode());
             String media = Stage.media(answer.join());
             assertNotEquals(
@@ -144,12 +144,12 @@
                             Stage.segments(stage.get(stage.at(media)).body()).get(0)));
             // now the ghost comes to play, and nobody hears of it
             stage.run.atBox(hung, box -> {
-                box.wake();
-                return box.held();
+                box.endHang();
+                return box.sessionCount();
             });
             Stage.await(
                     "the ghost lets its stream go when it is released",
-                    () -> stage.run.atBox(hung, MediaBox::held) == 0);
+                    () -> stage.run.atBox(hung, MediaBox::sessionCount) == 0);
             Report report = stage.end();
             assertTrue(report.verdict().checkedOf("no-setup-twice") > 0);
             long played = stage.run.tape().entries().stream()
@@ -166,7 +166,7 @@
     void aGhostWhoseManagerIsDeadLetsItsStreamGoAtTheEndOfItsLease() throws Exception {
         try (Stage stage = new Stage(state)) {
             for (int i : all(stage)) {
-                stage.run.atBox(i, box -> box.faults().hang = box.faults().deaf = true);
+                stage.run.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
             }
             CompletableFuture<HttpResponse<String>> answer = stage.askAsync("talk", "v1");
             Entry first = stage.awaitEntry("the set-up", e -> atBox(e) && setUp(e));
@@ -174,10 +174,11 @@
             assertTrue(answer.handle((a, e) -> e != null).join(), "its manager is dead");
             int box = Integer.parseInt(first.end().substring(4));
             assertEquals(1, (int) stage.run.atBox(box, b -> {
-                b.wake();
-                return b.held();
+                b.endHang();
+                return b.sessionCount();
             }));
-            Stage.await("nobody releases it: the lease ends it", () -> stage.run.atBox(box, MediaBox::held) == 0);
+            Stage.await(
+                    "nobody releases it: the lease ends it", () -> stage.run.atBox(box, MediaBox::sessionCount) == 0);
             stage.end();
         }
     }
@@ -201,7 +202,7 @@
     void aViewerThatClosesBetweenSetUpAndAnswerLeavesNoStreamBehind() throws Exception {
         try (Stage stage = new Stage(state)) {
             for (int i : all(stage)) {
-                stage.run.atBox(i, box -> box.faults().slow = 40);
+                stage.run.atBox(i, box -> box.faults().setUpTimeFactor = 40);
             }
             try (Socket s = new Socket("127.0.0.1", stage.run.addresses().get(0).getPort())) {
                 s.getOutputStream()
@@ -212,7 +213,8 @@
             Stage.await("the departure is told", () -> stage.counter("departed") == 1);
             Stage.await(
                     "the boxes hold nothing",
-                    () -> java.util.Arrays.stream(all(stage)).allMatch(i -> stage.run.atBox(i, MediaBox::held) == 0));
+                    () -> java.util.Arrays.stream(all(stage))
+                            .allMatch(i -> stage.run.atBox(i, MediaBox::sessionCount) == 0));
             assertEquals(0, stage.counter("played"));
             stage.end();
         }
@@ -230,7 +232,7 @@
                 "2400")) {
             for (int i : all(stage)) {
                 // every answer takes longer than the viewer waits
-                stage.run.atBox(i, box -> box.faults().slow = 300);
+                stage.run.atBox(i, box -> box.faults().setUpTimeFactor = 300);
             }
             HttpResponse<String> answer = stage.ask("talk", "v1");
             assertTrue(answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
@@ -238,7 +240,8 @@
                     || answer.headers().firstValue("Retry-After").isPresent());
             Stage.await(
                     "the boxes hold nothing",
-                    () -> java.util.Arrays.stream(all(stage)).allMatch(i -> stage.run.atBox(i, MediaBox::held) == 0));
+                    () -> java.util.Arrays.stream(all(stage))
+                            .allMatch(i -> stage.run.atBox(i, MediaBox::sessionCount) == 0));
             stage.end();
         }
     }
@@ -256,7 +259,7 @@
                             && e.body().contains("\"id\":0,\"state\":\"ready\"")
                             && !e.body().contains("\"startedMs\":0.0"));
             for (int i : new int[] {1, 2}) {
-                stage.run.atBox(i, box -> box.faults().errors = 1);
+                stage.run.atBox(i, box -> box.faults().setUpErrorShare = 1);
             }
             stage.run.happen(new Day.Fault("manager-stall", 0, 1.0, List.of(), 0, 0, 0, false));
             List<CompletableFuture<HttpResponse<String>>> burst = new ArrayList<>();
@@ -267,7 +270,7 @@
                 int status = answer.join().statusCode();
                 assertTrue(status == 200 || status >= 502 && status <= 504, "" + status);
             }
-            assertFalse(stage.run.atBox(0, MediaBox::fallen));
+            assertFalse(stage.run.atBox(0, MediaBox::crashedByOverload));
             Report report = stage.end();
             assertEquals(40, report.verdict().requests().get("taken"));
         }
@@ -375,7 +378,7 @@
             }
             for (int i : all(stage)) {
                 stage.run.atBox(i, box -> {
-                    box.sagLink(4);
+                    box.setLinkDivisor(4);
                     return true;
                 });
             }
@@ -407,9 +410,9 @@
                             .anyMatch(e -> e.end().equals("manager:0")
                                     && e.peer().equals("box:" + box)
                                     && e.kind() == Kind.EVENT));
-            stage.run.atBox(box, b -> b.faults().mute = true);
+            stage.run.atBox(box, b -> b.faults().silentEventStreams = true);
             Stage.await("the silence is noticed", () -> stage.counter("box-streams-silent") >= 1);
-            stage.run.atBox(box, b -> b.faults().mute = false);
+            stage.run.atBox(box, b -> b.faults().silentEventStreams = false);
             assertEquals(200, stage.get(URI.create(segment)).statusCode());
             assertEquals(0, stage.counter("sessions-lost"));
             stage.end();
--- a/standin/src/main/java/calicovale/standin/BoxDirectory.java
+++ b/standin/src/main/java/calicovale/standin/BoxDirectory.java
@@ -71,19 +71,19 @@
     }
 
     /** Sets the delay of the list, in ms. Changes that are already waiting stay in order. */
-    public void lag(double newLagMs) {
+    public void setLagMs(double newLagMs) {
         lagMs = newLagMs;
     }
 
     /** Lists a change of a box after the delay. */
-    public void happened(Entry entry) {
+    public void listAfterLag(Entry entry) {
         double dueMs = Math.max(lastListingMs, loop.clock().millis() + lagMs);
         lastListingMs = dueMs;
-        loop.schedule(dueMs - loop.clock().millis(), () -> list(entry));
+        loop.schedule(dueMs - loop.clock().millis(), () -> listNow(entry));
     }
 
     /** Lists a box at once and sends it to all clients. */
-    public void list(Entry entry) {
+    public void listNow(Entry entry) {
         listedBoxes.put(entry.id(), entry);
         version++;
         String data = toJson(List.of(entry));
@@ -93,7 +93,7 @@
     }
 
     /** Injects a fault: removes a box and sends the full list without it, as if the directory had lost its entry. */
-    public void forget(long boxId) {
+    public void removeFromList(long boxId) {
         listedBoxes.remove(boxId);
         version++;
         String data = toJson(listedBoxes.values());
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -54,17 +54,17 @@
         /** The box accepts connections and reads requests but does not answer until the fault ends. */
         public boolean hang;
         /** A hanging box does not notice that clients have closed their connections, and handles their requests too. */
-        public boolean deaf;
+        public boolean ignorePeerClosed;
         /** Factor by which set-ups take longer. */
-        public double slow = 1;
+        public double setUpTimeFactor = 1;
         /** Fraction of set-ups that are answered with an error at once. */
-        public double errors;
+        public double setUpErrorShare;
         /** Fraction of set-ups whose response is cut off by a connection reset. */
-        public double resets;
+        public double setUpResetShare;
         /** Additional delay of load reports, in ms. */
-        public double reportLateMs;
+        public double reportDelayMs;
         /** Event streams are neither written to nor closed, as on a half-open connection. */
-        public boolean mute;
+        public boolean silentEventStreams;
     }
 
     private final EventLoop loop;
@@ -99,7 +99,7 @@
     }
 
     /** Returns whether set-ups overloaded the box while it was cold. It then stays down. */
-    public boolean fallen() {
+    public boolean crashedByOverload() {
         return crashedByOverload;
     }
 
@@ -109,17 +109,17 @@
     }
 
     /** Returns whether the process is running. */
-    public boolean running() {
+    public boolean isRunning() {
         return process != null;
     }
 
     /** Returns the number of sessions and set-ups. */
-    public int held() {
+    public int sessionCount() {
         return process == null ? 0 : process.model.sessions().size();
     }
 
     /** Injects a fault that divides the link's capacity; a divisor of 1 ends the fault. Ends with the process. */
-    public void sagLink(double divisor) {
+    public void setLinkDivisor(double divisor) {
         if (process != null) {
             process.model.setLinkDivisor(divisor);
         }
@@ -166,9 +166,9 @@
     }
 
     /** Ends a hang and handles the requests deferred by it. */
-    public void wake() {
+    public void endHang() {
         faults.hang = false;
-        faults.deaf = false;
+        faults.ignorePeerClosed = false;
         if (process != null) {
             List<Runnable> deferred = new ArrayList<>(process.deferredTasks);
             process.deferredTasks.clear();
@@ -263,7 +263,7 @@
             }
             if (faults.hang) {
                 // a box that does not notice closed connections still handles their requests, late
-                boolean ignorePeerClosed = faults.deaf;
+                boolean ignorePeerClosed = faults.ignorePeerClosed;
                 deferredTasks.add(() -> {
                     if (ignorePeerClosed || !exchange.peerClosed()) {
                         route(exchange, ignorePeerClosed);
@@ -295,7 +295,7 @@
         }
 
         private Headers loadHeaders() {
-            double untilMs = nowMs() - faults.reportLateMs;
+            double untilMs = nowMs() - faults.reportDelayMs;
             LoadReport report = reports.peekFirst();
             for (LoadReport candidate : reports) {
                 report = candidate.atMs() <= untilMs ? candidate : report;
@@ -325,7 +325,7 @@
                 crash();
                 return;
             }
-            if (random.nextDouble() < faults.errors) {
+            if (random.nextDouble() < faults.setUpErrorShare) {
                 exchange.problem(500, loadHeaders(), "Internal Server Error", "a fault", "");
                 return;
             }
@@ -370,17 +370,17 @@
                     ladderKb,
                     request.path("rung").asInt());
             session.leaseUntilMs = nowMs()
-                    + settings.setUpMs() * faults.slow
+                    + settings.setUpMs() * faults.setUpTimeFactor
                     + request.path("leaseMs").asDouble(1000);
             session.lastRequestMs = nowMs();
             model.add(session);
             exchange.onPeerClosed(() -> {
-                if (!ignorePeerClosed && !faults.deaf && !isStopped()) {
+                if (!ignorePeerClosed && !faults.ignorePeerClosed && !isStopped()) {
                     model.remove(session);
                 }
             });
             // varies by up to 30 % around the mean
-            double durationMs = settings.setUpMs() * faults.slow * (0.7 + 0.6 * random.nextDouble());
+            double durationMs = settings.setUpMs() * faults.setUpTimeFactor * (0.7 + 0.6 * random.nextDouble());
             loop.schedule(durationMs, () -> finishSetUp(exchange, session));
         }
 
@@ -400,7 +400,7 @@
                 deferredTasks.add(() -> finishSetUp(exchange, session));
                 return;
             }
-            if (random.nextDouble() < faults.resets) {
+            if (random.nextDouble() < faults.setUpResetShare) {
                 model.remove(session);
                 exchange.connection().write(ByteBuffer.wrap("HTTP/1.1 201 Crea".getBytes(StandardCharsets.ISO_8859_1)));
                 exchange.connection().reset(new IOException("a fault"));
@@ -611,7 +611,7 @@
         private void endSession(BoxSession session, String reason) {
             model.remove(session);
             BodyStream stream = streams.get(session.manager);
-            if (stream != null && !faults.mute) {
+            if (stream != null && !faults.silentEventStreams) {
                 ObjectNode message = Documents.MAPPER
                         .createObjectNode()
                         .put("key", session.key)
@@ -622,7 +622,7 @@
         }
 
         private void sendServedEvents() {
-            if (faults.mute || faults.hang) {
+            if (faults.silentEventStreams || faults.hang) {
                 return;
             }
             servedPaths.forEach((manager, last) -> {
@@ -644,7 +644,7 @@
         }
 
         private void sendKeepAlives() {
-            if (!faults.mute && !faults.hang) {
+            if (!faults.silentEventStreams && !faults.hang) {
                 new ArrayList<>(streams.values()).forEach(out -> out.write(EventStream.keepAliveComment()));
             }
         }
@@ -675,10 +675,10 @@
                 }
             }
             loop.schedule(
-                    settings.noteDelayMs() + faults.reportLateMs,
+                    settings.noteDelayMs() + faults.reportDelayMs,
                     () -> oldestSessions.forEach((manager, session) -> {
                         BodyStream stream = streams.get(manager);
-                        if (!isStopped() && stream != null && !faults.mute && !faults.hang) {
+                        if (!isStopped() && stream != null && !faults.silentEventStreams && !faults.hang) {
                             ObjectNode message = Documents.MAPPER
                                     .createObjectNode()
                                     .put("session", session)
--- a/standin/src/main/java/calicovale/standin/Rack.java
+++ b/standin/src/main/java/calicovale/standin/Rack.java
@@ -19,7 +19,7 @@
     }
 
     /** Injects a fault that divides the uplink's capacity; a divisor of 1 ends the fault. */
-    public void sag(double divisor) {
+    public void setUplinkDivisor(double divisor) {
         uplinkDivisor = divisor;
     }
 
--- a/standin/src/test/java/calicovale/standin/MediaBoxTest.java
+++ b/standin/src/test/java/calicovale/standin/MediaBoxTest.java
@@ -101,7 +101,7 @@
             box.crash();
             return true;
         });
-        assertFalse(loop.call(box::running));
+        assertFalse(loop.call(box::isRunning));
         assertEquals(address, loop.call(() -> box.start(true)));
         assertEquals(410, send("GET", base + "1/0.m4s", "").statusCode());
         assertEquals(
@@ -121,9 +121,9 @@
                 setUp("a" + i + ".0", 0);
             }
         });
-        assertTrue(loop.call(box::fallen));
+        assertTrue(loop.call(box::crashedByOverload));
         loop.call(() -> box.start(true));
-        assertFalse(loop.call(box::running));
+        assertFalse(loop.call(box::isRunning));
     }
 
     @Test
@@ -156,7 +156,7 @@
         model.add(session);
         assertEquals(0.8, model.linkUtilization(), 1e-9);
         assertEquals(50 / 80.0, model.rateShare(), 1e-9, "the uplink limits more than the link");
-        rack.sag(2);
+        rack.setUplinkDivisor(2);
         assertEquals(25 / 80.0, model.rateShare(), 1e-9);
         assertTrue(model.expiredSessions(100).isEmpty());
         assertEquals("lease", model.expiredSessions(101).get(session));
--- a/stitch/src/main/java/calicovale/stitch/ChangeBook.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeSelector.java
@@ -16,7 +16,7 @@
  * make the same choice. A change that missed a boundary is shown at the next one that plays before the change expires,
  * or not at all.
  */
-public final class ChangeBook {
+public final class ChangeSelector {
 
     /**
      * State of a session at a boundary.
@@ -32,7 +32,7 @@
      * @param returning true if the viewer continues a lecture that it began in another session, in which case changes
      *     that the earlier session was shown are not shown again
      */
-    public record Facts(
+    public record SessionState(
             String session,
             String viewer,
             String title,
@@ -75,7 +75,7 @@
      * @param maxChanges maximum number of active changes
      * @param maxShowings maximum number of recorded showings, over all changes
      */
-    public ChangeBook(int maxChanges, int maxShowings) {
+    public ChangeSelector(int maxChanges, int maxShowings) {
         this.maxChanges = maxChanges;
         this.maxShowings = maxShowings;
     }
@@ -92,15 +92,15 @@
      * Returns whether a change can be added. It cannot if the maximum number of changes is reached, or if it would
      * replace a change that has been shown to a session.
      */
-    public boolean accepts(Change change) {
+    public boolean canAdd(Change change) {
         return changes.containsKey(change.id())
                 ? !showingKeysByChange.containsKey(change.id())
                 : changes.size() < maxChanges;
     }
 
-    /** Adds a change or replaces the one with the same id. Returns false if {@link #accepts} refuses it. */
+    /** Adds a change or replaces the one with the same id. Returns false if {@link #canAdd} refuses it. */
     public boolean add(Change change) {
-        if (!accepts(change)) {
+        if (!canAdd(change)) {
             return false;
         }
         changes.put(change.id(), change);
@@ -116,7 +116,7 @@
     }
 
     /** Removes expired changes, and the recorded showings of all changes that are no longer active. */
-    public void expire(double nowMs) {
+    public void removeExpired(double nowMs) {
         if (changes.values().removeIf(c -> c.validUntilMs() < nowMs)) {
             version++;
         }
@@ -142,7 +142,7 @@
     }
 
     /** Returns the keys under which a showing is recorded: by viewer (v), by session (s), by lecture and viewer (r). */
-    private static List<String> showingKeys(Change change, Facts session) {
+    private static List<String> showingKeys(Change change, SessionState session) {
         if (session.viewer().isEmpty()) {
             return List.of("s " + session.session());
         }
@@ -152,7 +152,7 @@
     }
 
     /** Returns whether a change was shown to this session, or to its viewer if the change is shown once per viewer. */
-    public boolean wasShown(Change change, Facts session) {
+    public boolean wasShown(Change change, SessionState session) {
         Set<String> keysShownTo = showingKeysByChange.get(change.id());
         if (keysShownTo == null) {
             return false;
@@ -169,21 +169,21 @@
     /**
      * Returns whether one more showing, which takes up to two keys, can be recorded. Otherwise no change is started.
      */
-    public boolean canShow() {
+    public boolean canRecordShowing() {
         return showingCount + 2 <= maxShowings;
     }
 
     /**
      * Records that a session's playlist shows a change. Returns the showing's keys, for {@link SessionLedger.Showing}.
      */
-    public List<String> shown(Change change, Facts session) {
+    public List<String> recordShowing(Change change, SessionState session) {
         List<String> keys = showingKeys(change, session);
-        keys.forEach(name -> remember(change.id(), name));
+        keys.forEach(name -> restoreShowing(change.id(), name));
         return keys;
     }
 
-    /** Restores a showing by a key that {@link #shown} returned. Returns false at the maximum. */
-    public boolean remember(String changeId, String showingKey) {
+    /** Restores a showing by a key that {@link #recordShowing} returned. Returns false at the maximum. */
+    public boolean restoreShowing(String changeId, String showingKey) {
         if (showingCount >= maxShowings) {
             return false;
         }
@@ -196,7 +196,7 @@
     }
 
     /** Returns the changes that a session may still be shown, in selection order. */
-    public List<Change> candidates(Facts session) {
+    public List<Change> candidates(SessionState session) {
         List<Change> result = new ArrayList<>(0);
         for (Change change : changes.values()) {
             if (change.audience().includes(session.title(), session.sessionClass(), session.tenant(), session.session())
@@ -215,14 +215,14 @@
      * @param boundaryS position of the boundary in the lecture, in seconds
      * @param boundaryMs time on the common clock at which the boundary will play, in ms
      */
-    public Decision at(List<Change> candidates, Facts session, double boundaryS, double boundaryMs) {
+    public Decision chooseAt(List<Change> candidates, SessionState session, double boundaryS, double boundaryMs) {
         List<String> withoutRendition = null;
         for (int i = 0; i < candidates.size(); i++) {
             Change change = candidates.get(i);
             if (!isDue(change, boundaryS, boundaryMs) || wasShown(change, session)) {
                 continue;
             }
-            Change.Rendition rendition = rendition(change, session);
+            Change.Rendition rendition = selectRendition(change, session);
             if (rendition != null) {
                 return new Decision(
                         new Choice(change, rendition), withoutRendition == null ? List.of() : withoutRendition);
@@ -234,7 +234,7 @@
         return withoutRendition == null ? Decision.NONE : new Decision(null, withoutRendition);
     }
 
-    /** Returns whether a change is due at a boundary; parameters as for {@link #at}. */
+    /** Returns whether a change is due at a boundary; parameters as for {@link #chooseAt}. */
     public static boolean isDue(Change change, double boundaryS, double boundaryMs) {
         return boundaryMs <= change.validUntilMs()
                 && (change.atMs() >= 0 ? boundaryMs >= change.atMs() : boundaryS >= change.lectureS());
@@ -244,7 +244,7 @@
      * Returns the highest rendition within the current rung's rate that keeps the class's floor, or null if there is
      * none.
      */
-    public static Change.Rendition rendition(Change change, Facts session) {
+    public static Change.Rendition selectRendition(Change change, SessionState session) {
         Change.Rendition best = null;
         for (Change.Rendition rendition : change.renditions()) {
             if (rendition.rung() >= session.lowestRung() && rendition.rateKb() * session.scale() <= session.rateKb()) {
@@ -256,11 +256,11 @@
 
     /**
      * Returns the rendition in which a started piece continues after the session's rung changed. It is that of {@link
-     * #rendition}, or else the lowest one that keeps the floor, because a started piece is always played to its end.
+     * #selectRendition}, or else the lowest one that keeps the floor, because a started piece is always played to its end.
      * Null if no rendition keeps the floor.
      */
-    public static Change.Rendition onward(Change change, Facts session) {
-        Change.Rendition bestRendition = rendition(change, session);
+    public static Change.Rendition renditionToContinue(Change change, SessionState session) {
+        Change.Rendition bestRendition = selectRendition(change, session);
         for (Change.Rendition rendition : change.renditions()) {
             if (bestRendition == null && rendition.rung() >= session.lowestRung()) {
                 return rendition;
--- a/stitch/src/main/java/calicovale/stitch/ChangeStore.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeStore.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns the names of the watched files from which active documents were read, by document id. */
-    public Map<String, String> files() {
+    public Map<String, String> sourceFiles() {
         return Map.copyOf(sourceFiles);
     }
 
--- a/stitch/src/main/java/calicovale/stitch/RecordLog.java
+++ b/stitch/src/main/java/calicovale/stitch/RecordLog.java
@@ -29,10 +29,10 @@
      * What was read when a log was opened.
      *
      * @param records all records, those of the snapshot first
-     * @param ofSnapshot number of records that came from the snapshot
-     * @param bytesCut bytes of a torn tail that were truncated
+     * @param snapshotRecords number of records that came from the snapshot
+     * @param truncatedBytes bytes of a torn tail that were truncated
      */
-    public record Recovery(List<String> records, int ofSnapshot, long bytesCut) {}
+    public record Recovery(List<String> records, int snapshotRecords, long truncatedBytes) {}
 
     private final Path log;
     private final Path snapshot;
--- a/stitch/src/main/java/calicovale/stitch/SessionLedger.java
+++ b/stitch/src/main/java/calicovale/stitch/SessionLedger.java
@@ -26,8 +26,8 @@
      * State of one session, up to which its playlist may have been delivered.
      *
      * @param token secret part of the session's URL
-     * @param sequence upper bound, exclusive, of the media sequence numbers that may have been delivered
-     * @param number upper bound, inclusive, of the discontinuity sequence numbers that may have been delivered
+     * @param mediaSequence upper bound, exclusive, of the media sequence numbers that may have been delivered
+     * @param discontinuitySequence upper bound, inclusive, of the discontinuity sequence numbers that may have been delivered
      * @param segment index of the lecture's segment that played at {@code atMs}
      * @param targetS EXT-X-TARGETDURATION as delivered, in seconds
      * @param dateMs programme date that the playlist had reached at {@code atMs}, in ms
@@ -41,8 +41,8 @@
             String title,
             int top,
             double waitMs,
-            long sequence,
-            int number,
+            long mediaSequence,
+            int discontinuitySequence,
             int segment,
             long targetS,
             double dateMs,
@@ -51,10 +51,10 @@
     /**
      * A record that a change was shown.
      *
-     * @param change id of the change
-     * @param name key that {@link ChangeBook#shown} returned
+     * @param changeId id of the change
+     * @param key key that {@link ChangeSelector#recordShowing} returned
      */
-    public record Showing(String change, String name) {}
+    public record Showing(String changeId, String key) {}
 
     /**
      * Updates that are written together.
@@ -64,7 +64,7 @@
      * @param showings new showings
      * @param aliveMs time on the common clock at which the process was running, in ms
      */
-    public record Steps(
+    public record Update(
             Collection<Entry> entries, Collection<String> endedTokens, Collection<Showing> showings, double aliveMs) {}
 
     private final RecordLog log;
@@ -116,7 +116,8 @@
     }
 
     private void addShowing(Showing showing) {
-        showings.computeIfAbsent(showing.change(), id -> new LinkedHashSet<>()).add(showing.name());
+        showings.computeIfAbsent(showing.changeId(), id -> new LinkedHashSet<>())
+                .add(showing.key());
     }
 
     /** Returns what was read when the ledger was opened. */
@@ -149,7 +150,7 @@
      *
      * @param activeChanges ids of the active changes; a snapshot drops the showings of all others
      */
-    public void write(Steps steps, Set<String> activeChanges) throws IOException {
+    public void write(Update steps, Set<String> activeChanges) throws IOException {
         log.append(records(steps));
         aliveMs = Math.max(aliveMs, steps.aliveMs());
         steps.entries().forEach(e -> entries.put(e.token(), e));
@@ -158,14 +159,14 @@
         // 400 bytes per session is about twice the session's size in a snapshot
         if (log.length() > Math.max(snapshotBytes, 400L * entries.size())) {
             showings.keySet().retainAll(activeChanges);
-            log.snapshot(records(new Steps(entries.values(), List.of(), showings(), aliveMs)));
+            log.snapshot(records(new Update(entries.values(), List.of(), showings(), aliveMs)));
         }
     }
 
     /** Maximum number of items in a record, because the log limits the bytes of a record. */
     private static final int MAX_ITEMS_PER_RECORD = 1000;
 
-    private static List<String> records(Steps steps) {
+    private static List<String> records(Update steps) {
         List<String> result = new ArrayList<>();
         ObjectNode node = Documents.MAPPER.createObjectNode().put("alive", steps.aliveMs());
         int count = 0;
@@ -179,8 +180,8 @@
                     .add(entry.title())
                     .add(entry.top())
                     .add(entry.waitMs())
-                    .add(entry.sequence())
-                    .add(entry.number())
+                    .add(entry.mediaSequence())
+                    .add(entry.discontinuitySequence())
                     .add(entry.segment())
                     .add(entry.targetS())
                     .add(entry.dateMs())
@@ -193,7 +194,7 @@
         }
         for (Showing showing : steps.showings()) {
             ArrayNode pair = node.withArray("/shown").addArray();
-            pair.add(showing.change()).add(showing.name());
+            pair.add(showing.changeId()).add(showing.key());
             node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
         }
         result.add(node.toString());
--- a/stitch/src/test/java/calicovale/stitch/ChangeBookTest.java
+++ b/stitch/src/test/java/calicovale/stitch/ChangeSelectorTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class ChangeBookTest {
+class ChangeSelectorTest {
     private static final String PIECE = "\"piece\":{\"title\":\"storm\",\"renditions\":["
             + "{\"rung\":0,\"rateKb\":10,\"durationsS\":[2,2,1.5]},{\"rung\":1,\"rateKb\":20,\"durationsS\":[2,2,1.5]},"
             + "{\"rung\":3,\"rateKb\":60,\"durationsS\":[2,2,1.5]}]}";
@@ -24,45 +24,47 @@
                 "c", "{\"schema\":\"calicovale/change/1\",\"id\":\"" + id + "\"," + PIECE + "," + otherMembers + "}");
     }
 
-    private static ChangeBook.Facts facts(String session, String viewer, int lowestRung, double rateKb) {
-        return new ChangeBook.Facts(session, viewer, "t1", "course", "north", lowestRung, rateKb, 1, false);
+    private static ChangeSelector.SessionState facts(String session, String viewer, int lowestRung, double rateKb) {
+        return new ChangeSelector.SessionState(session, viewer, "t1", "course", "north", lowestRung, rateKb, 1, false);
     }
 
-    private static ChangeBook.Decision decide(ChangeBook book, ChangeBook.Facts session, double placeS, double atMs) {
-        return book.at(book.candidates(session), session, placeS, atMs);
+    private static ChangeSelector.Decision decide(
+            ChangeSelector book, ChangeSelector.SessionState session, double placeS, double atMs) {
+        return book.chooseAt(book.candidates(session), session, placeS, atMs);
     }
 
-    private static String chosenChangeId(ChangeBook book, ChangeBook.Facts session, double placeS, double atMs) {
-        ChangeBook.Choice choice = decide(book, session, placeS, atMs).choice();
+    private static String chosenChangeId(
+            ChangeSelector book, ChangeSelector.SessionState session, double placeS, double atMs) {
+        ChangeSelector.Choice choice = decide(book, session, placeS, atMs).choice();
         return choice == null ? null : choice.change().id();
     }
 
     @Test
     void changeIsDueFromItsTimeOrPlaceUntilItExpires() throws InvalidDocumentException {
-        ChangeBook book = new ChangeBook(10, 1000);
+        ChangeSelector book = new ChangeSelector(10, 1000);
         assertTrue(book.add(change("clock", "\"start\":{\"atMs\":1000},\"validUntilMs\":5000")));
         assertTrue(book.add(change("place", "\"start\":{\"lectureS\":60},\"validUntilMs\":9000")));
-        ChangeBook.Facts session = facts("s", "v", 0, 100);
+        ChangeSelector.SessionState session = facts("s", "v", 0, 100);
         assertNull(chosenChangeId(book, session, 0, 999));
         assertEquals("clock", chosenChangeId(book, session, 0, 1000));
         assertEquals("clock", chosenChangeId(book, session, 0, 5000), "late, but before it expires");
         assertNull(chosenChangeId(book, session, 0, 5001), "not shown after it expired");
         assertEquals("place", chosenChangeId(book, session, 60, 6000));
-        book.expire(5001);
+        book.removeExpired(5001);
         assertEquals(List.of("place"), book.changes().stream().map(Change::id).toList());
     }
 
     @Test
     void higherPriorityIsChosenFirstAndEachChangeOnce() throws InvalidDocumentException {
-        ChangeBook book = new ChangeBook(10, 1000);
+        ChangeSelector book = new ChangeSelector(10, 1000);
         book.add(change("b", "\"start\":{\"atMs\":0},\"validUntilMs\":5000,\"priority\":1"));
         book.add(change("a", "\"start\":{\"atMs\":0},\"validUntilMs\":5000,\"priority\":1"));
         book.add(change("urgent", "\"start\":{\"atMs\":900},\"validUntilMs\":5000,\"priority\":9,\"once\":\"viewer\""));
-        ChangeBook.Facts session = facts("s", "v", 0, 100);
+        ChangeSelector.SessionState session = facts("s", "v", 0, 100);
         for (String expected : List.of("urgent", "a", "b")) {
-            ChangeBook.Choice choice = decide(book, session, 0, 1000).choice();
+            ChangeSelector.Choice choice = decide(book, session, 0, 1000).choice();
             assertEquals(expected, choice.change().id());
-            book.shown(choice.change(), session);
+            book.recordShowing(choice.change(), session);
         }
         assertNull(chosenChangeId(book, session, 0, 1000));
         assertEquals(
@@ -74,12 +76,12 @@
 
     @Test
     void changeWaitsUntilARenditionKeepsTheClassFloor() throws InvalidDocumentException {
-        ChangeBook book = new ChangeBook(10, 1000);
+        ChangeSelector book = new ChangeSelector(10, 1000);
         book.add(change("c", "\"start\":{\"atMs\":0},\"validUntilMs\":5000"));
         assertEquals(
                 10,
                 decide(book, facts("s", "v", 0, 15), 0, 1).choice().rendition().rateKb());
-        ChangeBook.Decision decision = decide(book, facts("s", "v", 1, 15), 0, 1);
+        ChangeSelector.Decision decision = decide(book, facts("s", "v", 1, 15), 0, 1);
         assertNull(decision.choice());
         assertEquals(List.of("c"), decision.withoutRendition());
         assertEquals(
@@ -92,7 +94,7 @@
 
     @Test
     void changeIsShownToItsAudienceOnlyAndNotAfterWithdrawal() throws InvalidDocumentException {
-        ChangeBook book = new ChangeBook(1, 1000);
+        ChangeSelector book = new ChangeSelector(1, 1000);
         assertTrue(book.add(change(
                 "c",
                 "\"start\":{\"atMs\":0},\"validUntilMs\":5000,\"for\":{\"classes\":[\"course\"],"
@@ -101,9 +103,10 @@
                 book.add(change("d", "\"start\":{\"atMs\":0},\"validUntilMs\":5000")),
                 "the maximum number of changes is reached");
         assertEquals("c", chosenChangeId(book, facts("s", "v", 0, 100), 0, 1));
-        assertNull(
-                chosenChangeId(book, new ChangeBook.Facts("s", "v", "t3", "course", "north", 0, 100, 1, false), 0, 1));
-        assertNull(chosenChangeId(book, new ChangeBook.Facts("s", "v", "t1", "talk", "north", 0, 100, 1, false), 0, 1));
+        assertNull(chosenChangeId(
+                book, new ChangeSelector.SessionState("s", "v", "t3", "course", "north", 0, 100, 1, false), 0, 1));
+        assertNull(chosenChangeId(
+                book, new ChangeSelector.SessionState("s", "v", "t1", "talk", "north", 0, 100, 1, false), 0, 1));
         assertTrue(book.withdraw("c"));
         assertFalse(book.withdraw("c"));
         assertNull(chosenChangeId(book, facts("s", "v", 0, 100), 0, 1));
@@ -134,8 +137,8 @@
             @ForAll @DoubleRange(min = 0.5, max = 2) double scale)
             throws InvalidDocumentException {
         Change change = change("c", "\"start\":{\"atMs\":0},\"validUntilMs\":5000");
-        Change.Rendition rendition = ChangeBook.rendition(
-                change, new ChangeBook.Facts("s", "v", "t", "k", "n", lowestRung, rateKb, scale, false));
+        Change.Rendition rendition = ChangeSelector.selectRendition(
+                change, new ChangeSelector.SessionState("s", "v", "t", "k", "n", lowestRung, rateKb, scale, false));
         boolean possible =
                 change.renditions().stream().anyMatch(x -> x.rung() >= lowestRung && x.rateKb() * scale <= rateKb);
         assertEquals(possible, rendition != null);
--- a/stitch/src/test/java/calicovale/stitch/RecordLogTest.java
+++ b/stitch/src/test/java/calicovale/stitch/RecordLogTest.java
@@ -61,7 +61,7 @@
             Files.write(folder.resolve("changes.log"), java.util.Arrays.copyOf(completeLog, cut));
             RecordLog.Recovery recovery = openAndAppend("after");
             assertEquals(List.of("one"), recovery.records());
-            assertEquals(cut - secondRecordOffset, recovery.bytesCut());
+            assertEquals(cut - secondRecordOffset, recovery.truncatedBytes());
             assertEquals(List.of("one", "after"), openAndAppend().records());
         }
     }
@@ -88,7 +88,7 @@
         }
         RecordLog.Recovery recovery = openAndAppend();
         assertEquals(List.of("both", "three"), recovery.records());
-        assertEquals(1, recovery.ofSnapshot());
+        assertEquals(1, recovery.snapshotRecords());
         // state after a crash: the snapshot is in place and the log is not yet emptied
         Files.write(folder.resolve("changes.log"), logBeforeSnapshot);
         assertEquals(List.of("both", "one", "two"), openAndAppend().records());
