--- a/cli/src/main/java/calicovale/cli/ChangeCommand.java
+++ b/cli/src/main/java/calicovale/cli/ChangeCommand.java
@@ -65,7 +65,7 @@
                 boolean succeeded = response.statusCode() < 300;
                 (succeeded ? spec.commandLine().getOut() : spec.commandLine().getErr())
                         .println(manager + ": " + response.statusCode() + " " + response.body());
-                // a failure at one manager, such as one that already lists the change, must not keep it from the others
+                // a failure at one manager does not stop the request to the others
                 status = Math.max(
                         status, succeeded ? Main.OK : response.statusCode() == 422 ? Main.BAD_INPUT : Main.FAILED);
             } catch (IOException e) {
--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -21,8 +21,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code calicovale check}, which validates files against the schemas that their members {@code schema}
- * name.
+ * The command {@code calicovale check}, which validates files against the schemas that their members
+ * {@code schema} name.
  */
 @Command(
         name = "check",
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Returns why a file could not be read. A mismatch can only be text after the document; its own message names
-     * classes.
+     * Returns why a file could not be read. A mismatch can only be text after the document; its own
+     * message names classes.
      */
     private static String reason(IOException e) {
         return e instanceof MismatchedInputException
--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -17,8 +17,8 @@
 import calicovale.protocols.net.Clock;
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.net.Tap;
+import calicovale.stitch.ActiveChanges;
 import calicovale.stitch.Change;
-import calicovale.stitch.ChangeSelector;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -36,13 +36,16 @@
  */
 public final class FrontProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FrontProcess.class);
+    /** Time in which the last answers and messages to boxes are sent at a shutdown, in ms. */
+    private static final double LAST_MESSAGES_MS = 200;
+
     private final EventLoop loop;
     private final FrontSettings settings;
     private final PlayerSessionManager manager;
     private final HttpServer playerServer;
     private final Counters counters = new Counters();
     private final CommonClock commonClock;
-    private final ChangeSelector changeBook;
+    private final ActiveChanges activeChanges;
     private final SessionLedgerWriter ledgerWriter;
     private final PeerGossip peers;
     private ChangeService changeService;
@@ -81,11 +84,11 @@
                 limits.connections());
         HttpClient client = new HttpClient(
                 loop, limits, settings.bounds().perBox(), settings.times().connectMs());
-        changeBook = new ChangeSelector(
-                settings.bounds().changes(), settings.bounds().shown());
+        activeChanges =
+                new ActiveChanges(settings.bounds().changes(), settings.bounds().shown());
         ledgerWriter = openLedger();
         manager = new PlayerSessionManager(
-                loop, settings, commonClock, random, client, changeBook, ledgerWriter, counters, incarnation);
+                loop, settings, commonClock, random, client, activeChanges, ledgerWriter, counters, incarnation);
         try {
             peers = settings.gossip() == null ? null : new PeerGossip(loop, settings, random, manager.host());
         } catch (InvalidDocumentException e) {
@@ -137,7 +140,7 @@
             return new SessionLedgerWriter(
                     loop,
                     settings.sessionsFolder(),
-                    () -> changeBook.changes().stream().map(Change::id).collect(Collectors.toUnmodifiableSet()),
+                    () -> activeChanges.changes().stream().map(Change::id).collect(Collectors.toUnmodifiableSet()),
                     () -> commonClock.timeAt(loop.clock().nanos() / 1e6),
                     settings.times().aliveMs(),
                     counters);
@@ -156,7 +159,7 @@
         try {
             changeService = new ChangeService(
                     loop,
-                    changeBook,
+                    activeChanges,
                     manager.host()::nowMs,
                     settings,
                     manager::onChangesUpdated,
@@ -270,8 +273,8 @@
             manager.drain(() -> {
                 manager.releaseAllSessions();
                 playerServer.drain();
-                // the last answers and messages to boxes are sent in the following turns of the loop, within 200 ms
-                loop.schedule(200, () -> drained.complete(null));
+                // the last answers and messages to boxes are sent in the following turns of the loop
+                loop.schedule(LAST_MESSAGES_MS, () -> drained.complete(null));
             });
         });
         drained.join();
--- a/front/src/main/java/calicovale/front/box/BoxClient.java
+++ b/front/src/main/java/calicovale/front/box/BoxClient.java
@@ -42,25 +42,25 @@
         /**
          * Called for a note on the use of a link or the delivered share.
          *
-         * @param session id of one of this manager's sessions at the box
+         * @param requestId request id of one of this manager's sessions at the box
          * @param kind kind of the note, as the box sent it
          * @param value its value, as the box sent it
          */
-        void onNote(BoxClient box, String session, String kind, double value);
+        void onNote(BoxClient box, String requestId, String kind, double value);
 
         /** Called when a session has ended at the box; {@code load} is the load reported with it, or empty. */
-        void onEnded(BoxClient box, String key, String reason, Map<String, Double> load);
+        void onEnded(BoxClient box, String attemptKey, String reason, Map<String, Double> load);
 
         /** Called when a segment was delivered completely; {@code path} is relative to the session's base. */
-        void onServed(BoxClient box, String key, String path);
+        void onServed(BoxClient box, String attemptKey, String path);
 
         /**
          * Called when the event stream is connected.
          *
-         * @param keys keys of this manager's sessions at the box
+         * @param attemptKeys attempt keys of this manager's sessions at the box
          * @param askedAtMs monotonic time, in ms, at which the request for the stream was sent
          */
-        void onHeld(BoxClient box, Set<String> keys, double askedAtMs);
+        void onHeld(BoxClient box, Set<String> attemptKeys, double askedAtMs);
 
         /** Called when all sessions of this manager at the box are considered lost. */
         void onLost(BoxClient box, String reason);
@@ -68,8 +68,8 @@
 
     /** Receives the outcome of a set-up. One of its methods is called, once. */
     public interface SetUpListener {
-        /** The box set the session up (status 201); {@code base} is the URL of its base, with a trailing slash. */
-        void started(String base, HttpHead head);
+        /** The box set the session up (status 201); {@code baseUri} is the URI of its base, with a trailing slash. */
+        void started(String baseUri, HttpHead head);
 
         /** The box answered with another status; {@code load} is the load reported with it, or empty. */
         void answered(int status, Map<String, Double> load);
@@ -89,8 +89,7 @@
     private InetSocketAddress address;
     private String incarnation;
     /**
-     * Monotonic time, in ms, since which the event stream is disconnected or the sessions are lost; -1 while
-     * connected.
+     * Monotonic time, in ms, since which the event stream is disconnected or the sessions are lost; -1 while connected.
      */
     private double disconnectedAtMs = -1;
 
@@ -138,7 +137,7 @@
                     }
 
                     @Override
-                    public void onSilenceCheck() {
+                    public void onPeriodicCheck() {
                         if (disconnectedAtMs >= 0 && nowMs() - disconnectedAtMs > times.lostMs()) {
                             onSessionsLost("no contact for " + (long) times.lostMs() + " ms");
                         }
@@ -153,14 +152,13 @@
         return id;
     }
 
-    /** Returns the box's address. */
+    /** Returns the address at which the directory last listed the box. */
     public InetSocketAddress address() {
         return address;
     }
 
     /**
-     * Sets the address at which the directory lists the box. A new address means a new process: the sessions are
-     * lost.
+     * Sets the address at which the directory lists the box. A new address means a new process: the sessions are lost.
      */
     public void address(InetSocketAddress next) {
         if (!next.equals(address)) {
@@ -231,14 +229,14 @@
     /**
      * Sends a session's rung.
      *
-     * @param change number of the message; of messages that arrive out of order the box keeps the one of the highest
-     *     number
+     * @param changeNumber number of the message; of messages that arrive out of order the box keeps the one of the
+     *     highest number
      */
-    public void sendRung(String key, int rung, int change) {
+    public void sendRung(String key, int rung, int changeNumber) {
         sendMessage(
                 "PUT",
                 key,
-                Documents.MAPPER.createObjectNode().put("rung", rung).put("change", change),
+                Documents.MAPPER.createObjectNode().put("rung", rung).put("change", changeNumber),
                 null);
     }
 
--- a/front/src/main/java/calicovale/front/box/LoadReport.java
+++ b/front/src/main/java/calicovale/front/box/LoadReport.java
@@ -5,8 +5,7 @@
 import java.util.Map;
 
 /**
- * Parses the load that a box reports in its responses: ORCA's {@code endpoint-load-metrics} header in the TEXT
- * format.
+ * Parses the load that a box reports in its responses: ORCA's {@code endpoint-load-metrics} header in the TEXT format.
  */
 public final class LoadReport {
     private static final String METRIC_NAME_PREFIX = "named_metrics.";
--- a/front/src/main/java/calicovale/front/directory/DirectoryClient.java
+++ b/front/src/main/java/calicovale/front/directory/DirectoryClient.java
@@ -271,7 +271,7 @@
                         StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
             } catch (IOException e) {
-                LOG.warn("cannot save the box list: {}", e.getMessage());
+                LOG.warn("cannot save the box list to {}: {}", savedListFile, e.getMessage());
             }
         });
     }
--- a/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
+++ b/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
@@ -25,16 +25,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the session ledger from the loop to the disk with group commit: steps that are recorded while a write is in
+ * Writes the session ledger from the loop to the disk with group commit: updates that are recorded while a write is in
  * progress are written together by the next one, so that one force to disk serves all of them. The number of pending
- * steps is bounded by the number of sessions held, because a later step of a session replaces its earlier one. When a
- * write fails, the failure is logged and counted, the front continues without the ledger, and the steps are written
+ * entries is bounded by the number of sessions held, because a later entry of a session replaces its earlier one. When
+ * a write fails, the failure is logged and counted, the front continues without the ledger, and the updates are written
  * again with the next attempt. Only for use on the loop's thread or before the loop starts, except {@link
  * #setDiskFault}, {@link #kill} and {@link #close}.
  */
 public final class SessionLedgerWriter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(SessionLedgerWriter.class);
-    /** Length of the log, in bytes, above which it is replaced by a snapshot; about 20,000 steps. */
+    /** Length of the log, in bytes, above which it is replaced by a snapshot; about 20,000 entries. */
     private static final long SNAPSHOT_MIN_LOG_BYTES = 4 << 20;
     /**
      * Delay before the next attempt after a failed write, in ms, so that a full disk is not written to continuously.
@@ -120,7 +120,7 @@
         return ledger != null;
     }
 
-    /** Returns the sessions read from the ledger at the start. Must be called before the first step is recorded. */
+    /** Returns the sessions read from the ledger at the start. Must be called before the first entry is recorded. */
     public Collection<Entry> recoveredEntries() {
         return ledger == null ? List.of() : ledger.entries();
     }
@@ -131,8 +131,7 @@
     }
 
     /**
-     * Returns the last common time, in ms since 1970, at which the previous process is known to have run; 0 if none
-     * is.
+     * Returns the last common time, in ms since 1970, at which the previous process is known to have run; 0 if none is.
      */
     public double recoveredAliveMs() {
         return ledger == null ? 0 : ledger.aliveMs();
@@ -143,8 +142,8 @@
         diskFault = fault;
     }
 
-    /** Records a step of a session, which replaces the session's pending step. It is written by the next write. */
-    public void recordStep(Entry entry) {
+    /** Records a session's entry, which replaces its pending one. It is written by the next write. */
+    public void recordEntry(Entry entry) {
         if (isEnabled()) {
             endedTokens.remove(entry.token());
             entries.put(entry.token(), entry);
@@ -159,10 +158,10 @@
         }
     }
 
-    /** Records that a change is shown, under the names by which showings are remembered. */
-    public void recordShowings(String changeId, Collection<String> names) {
+    /** Records that a change is shown, under the keys of the showing. */
+    public void recordShowings(String changeId, Collection<String> keys) {
         if (isEnabled()) {
-            names.forEach(name -> showings.add(new Showing(changeId, name)));
+            keys.forEach(key -> showings.add(new Showing(changeId, key)));
         }
     }
 
@@ -187,8 +186,8 @@
      * Writes everything pending as one batch, unless a write is in progress or neither a callback nor a note is due.
      */
     private void writePending() {
-        // after a failure nothing is written before the retry sets the flag; whenKept runs new callbacks at once until
-        // then
+        // after a failed write, whenWritten runs callbacks at once, so nothing is written before the
+        // retry sets aliveNoteDue
         if (writeInProgress || !aliveNoteDue && pendingCallbacks.isEmpty()) {
             return;
         }
@@ -202,14 +201,14 @@
         pendingCallbacks = new ArrayList<>();
         aliveNoteDue = false;
         writeInProgress = true;
-        Update steps = new Update(batchEntries.values(), batchEndedTokens, batchShowings, nowMs.getAsDouble());
+        Update update = new Update(batchEntries.values(), batchEndedTokens, batchShowings, nowMs.getAsDouble());
         Set<String> activeIds = activeChangeIds.get();
         try {
             diskExecutor.execute(() -> {
                 IOException error = null;
                 try {
                     diskFault.beforeWrite();
-                    ledger.write(steps, activeIds);
+                    ledger.write(update, activeIds);
                 } catch (IOException e) {
                     error = e;
                 }
@@ -220,7 +219,7 @@
                         if (result == null) {
                             counters.increment("sessions-log-writes");
                             if (lastWriteFailed) {
-                                LOG.warn("session ledger: writing to disk works again");
+                                LOG.warn("session ledger: writing to the folder in /sessionsFolder works again");
                             }
                             lastWriteFailed = false;
                         } else {
@@ -242,7 +241,7 @@
         }
     }
 
-    /** Makes the steps of a failed batch pending again and schedules the next attempt. */
+    /** Makes the updates of a failed batch pending again and schedules the next attempt. */
     private void onWriteFailed(
             IOException error,
             Map<String, Entry> batchEntries,
@@ -250,10 +249,14 @@
             List<Showing> batchShowings) {
         counters.increment("sessions-log-failed");
         if (!lastWriteFailed) {
-            LOG.error("cannot write the session ledger; sessions continue without it: {}", error.getMessage());
+            LOG.error(
+                    "cannot write the session ledger in the folder of the setting /sessionsFolder; sessions continue"
+                            + " without it, and the write is tried again every {} ms: {}",
+                    (long) RETRY_DELAY_MS,
+                    error.getMessage());
         }
         lastWriteFailed = true;
-        // steps of the failed batch are pending again, except where a newer step of the same session was recorded
+        // updates of the failed batch are pending again, except where a newer one of the same session was recorded
         batchEntries.forEach((token, entry) -> {
             if (!endedTokens.contains(token)) {
                 entries.putIfAbsent(token, entry);
@@ -273,7 +276,7 @@
         return lastWriteFailed;
     }
 
-    /** Stops abruptly, like a killed process: pending steps are dropped, and a write in progress may be incomplete. */
+    /** Stops abruptly, like a killed process: pending updates are lost, and a write in progress may be incomplete. */
     public void kill() {
         if (isEnabled()) {
             diskExecutor.shutdownNow();
@@ -298,7 +301,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.warn("cannot close the session ledger: {}", e.getMessage());
+            LOG.warn(
+                    "cannot close the session ledger in the folder of the setting /sessionsFolder: {}", e.getMessage());
         }
     }
 }
--- a/front/src/main/java/calicovale/front/operators/ChangeService.java
+++ b/front/src/main/java/calicovale/front/operators/ChangeService.java
@@ -7,8 +7,8 @@
 import calicovale.protocols.json.Documents;
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.net.EventLoop;
+import calicovale.stitch.ActiveChanges;
 import calicovale.stitch.Change;
-import calicovale.stitch.ChangeSelector;
 import calicovale.stitch.ChangeStore;
 import calicovale.stitch.RecordLog;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -31,11 +31,11 @@
 /**
  * Takes programme changes from operators, over HTTP and from a watched folder. A change takes effect, and its request
  * is answered, once it is on disk; without a folder for the log it takes effect at once. One thread does all disk
- * work, in order. The book of changes is used on the loop's thread only.
+ * work, in order. The active changes are used on the loop's thread only.
  */
 public final class ChangeService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeService.class);
-    private static final String PATH = "/v1/changes";
+    private static final String CHANGES_PATH = "/v1/changes";
     /** Upper bound of the tasks that wait for the disk thread. */
     private static final int MAX_QUEUED_DISK_TASKS = 64;
     /** Length of the log, in bytes, above which it is replaced by a snapshot. */
@@ -47,11 +47,11 @@
     private static final double RETRY_DELAY_MS = 200;
 
     private final EventLoop loop;
-    private final ChangeSelector changeBook;
+    private final ActiveChanges activeChanges;
     private final DoubleSupplier nowMs;
     private final FrontSettings settings;
     private final Runnable onChange;
-    private final Function<String, ObjectNode> changeTally;
+    private final Function<String, ObjectNode> changeCounts;
     private final Counters counters;
     private final ThreadPoolExecutor diskExecutor;
     private final ChangeStore store;
@@ -60,29 +60,30 @@
     private final Map<String, String> changeIdsByFile = new HashMap<>();
 
     /**
-     * Adds the changes in the log of the settings' /changesFolder to the book and starts to scan the watched folder.
+     * Adds the changes in the log of the settings' /changesFolder to the active ones and starts to scan the watched
+     * folder, if there is one.
      *
      * @param nowMs returns the common time, in ms since 1970
-     * @param onChange runs after each modification of the book
-     * @param changeTally returns, for a change's id, how many of this manager's sessions showed, wait for or left out
-     *     the change
+     * @param onChange runs after each modification of the active changes
+     * @param changeCounts returns, for a change's id, how many of this manager's sessions were shown the change, wait
+     *     for it, left it out, or had it cut short
      * @throws IOException if the log cannot be opened or holds an invalid record
      */
     public ChangeService(
             EventLoop loop,
-            ChangeSelector changeBook,
+            ActiveChanges activeChanges,
             DoubleSupplier nowMs,
             FrontSettings settings,
             Runnable onChange,
-            Function<String, ObjectNode> changeTally,
+            Function<String, ObjectNode> changeCounts,
             Counters counters)
             throws IOException {
         this.loop = loop;
         this.nowMs = nowMs;
-        this.changeBook = changeBook;
+        this.activeChanges = activeChanges;
         this.settings = settings;
         this.onChange = onChange;
-        this.changeTally = changeTally;
+        this.changeCounts = changeCounts;
         this.counters = counters;
         diskExecutor = new ThreadPoolExecutor(
                 1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_DISK_TASKS), task -> {
@@ -105,13 +106,13 @@
         loop.execute(this::runPeriodicWork);
     }
 
-    /** Adds the changes in the log to the book. */
+    /** Adds the changes in the log to the active ones. */
     private void recover() throws IOException {
         for (String document : store.documents()) {
             try {
                 // parsed without keys, because the signature was checked when the change was accepted, and the keys in
                 // the settings may have been replaced since
-                changeBook.add(Change.parse("changes.log", document));
+                activeChanges.add(Change.parse("changes.log", document));
             } catch (InvalidDocumentException e) {
                 throw new IOException(
                         "the log of programme changes has a record that is not a valid change: " + e.getMessage());
@@ -155,10 +156,10 @@
         removeExpiredChanges();
         String path = exchange.head().path();
         String method = exchange.head().method();
-        String id = path.startsWith(PATH + "/") ? path.substring(PATH.length() + 1) : null;
-        if (path.equals(PATH) && method.equals("GET")) {
+        String id = path.startsWith(CHANGES_PATH + "/") ? path.substring(CHANGES_PATH.length() + 1) : null;
+        if (path.equals(CHANGES_PATH) && method.equals("GET")) {
             respondWithAllChanges(exchange);
-        } else if (path.equals(PATH) && method.equals("POST")) {
+        } else if (path.equals(CHANGES_PATH) && method.equals("POST")) {
             add(new String(exchange.body(), StandardCharsets.UTF_8), "change", null, httpReply(exchange));
         } else if (id != null && method.equals("GET")) {
             respondWithChange(exchange, id);
@@ -166,15 +167,17 @@
             withdraw(id, httpReply(exchange));
         } else {
             exchange.problem(
-                    404, "Not Found", "GET and POST " + PATH + ", GET and DELETE " + PATH + "/ID are expected");
+                    404,
+                    "Not Found",
+                    "GET and POST " + CHANGES_PATH + ", GET and DELETE " + CHANGES_PATH + "/ID are expected");
         }
     }
 
     /** Removes changes whose time of validity is over. */
     private void removeExpiredChanges() {
-        long versionBefore = changeBook.version();
-        changeBook.removeExpired(nowMs.getAsDouble());
-        if (changeBook.version() != versionBefore) {
+        long versionBefore = activeChanges.version();
+        activeChanges.removeExpired(nowMs.getAsDouble());
+        if (activeChanges.version() != versionBefore) {
             onChange.run();
         }
     }
@@ -204,7 +207,7 @@
     private void respondWithAllChanges(Exchange exchange) {
         ArrayNode all = Documents.MAPPER.createArrayNode();
         try {
-            for (Change change : changeBook.changes()) {
+            for (Change change : activeChanges.changes()) {
                 all.add(Documents.MAPPER.readTree(change.json()));
             }
         } catch (IOException e) {
@@ -214,7 +217,7 @@
     }
 
     private void respondWithChange(Exchange exchange, String id) {
-        Change change = changeBook.get(id);
+        Change change = activeChanges.get(id);
         if (change == null) {
             exchange.problem(404, "Not Found", "no change " + id);
             return;
@@ -222,7 +225,7 @@
         exchange.respond(
                 200,
                 "application/json",
-                "{\"change\":" + change.json() + ",\"sessions\":" + changeTally.apply(id) + "}");
+                "{\"change\":" + change.json() + ",\"sessions\":" + changeCounts.apply(id) + "}");
     }
 
     // --- Additions and withdrawals ---
@@ -243,13 +246,13 @@
             reply.refused(422, "Unprocessable Content", e.faults());
             return;
         }
-        Change existing = changeBook.get(change.id());
+        Change existing = activeChanges.get(change.id());
         if (existing != null && existing.json().equals(change.json())) {
             // the same document again: the request is idempotent
             reply.accepted(true, existing);
             return;
         }
-        if (!changeBook.canAdd(change)) {
+        if (!activeChanges.canAdd(change)) {
             counters.increment("changes-refused");
             reply.refused(
                     409,
@@ -264,7 +267,7 @@
         writeThen(reply, () -> store.add(change.id(), change.json(), file), () -> {
             // another change may have reached bounds.changes during the write; this one is on disk by then and takes
             // effect after the next start
-            boolean active = changeBook.add(change);
+            boolean active = activeChanges.add(change);
             if (file != null) {
                 changeIdsByFile.put(file, change.id());
             }
@@ -276,12 +279,12 @@
     }
 
     private void withdraw(String id, Reply reply) {
-        if (changeBook.get(id) == null) {
+        if (activeChanges.get(id) == null) {
             reply.refused(404, "Not Found", List.of("no change " + id));
             return;
         }
         writeThen(reply, () -> store.withdraw(id), () -> {
-            changeBook.withdraw(id);
+            activeChanges.withdraw(id);
             changeIdsByFile.values().remove(id);
             counters.increment("changes-withdrawn");
             LOG.info("change {} withdrawn", id);
@@ -304,7 +307,10 @@
                 diskWrite.write();
                 return true;
             } catch (IOException e) {
-                LOG.error("cannot write the log of programme changes: {}", e.getMessage());
+                LOG.error(
+                        "cannot write the log of programme changes in {}: {}",
+                        settings.changesFolder(),
+                        e.getMessage());
                 return false;
             }
         };
@@ -381,8 +387,8 @@
         }
         for (String file : scan.removed()) {
             String id = changeIdsByFile.remove(file);
-            if (id != null && changeBook.get(id) != null) {
-                logAndRun(file, () -> withdraw(id, watchedFileReply(file, () -> {})));
+            if (id != null && activeChanges.get(id) != null) {
+                processWatchedFile(file, () -> withdraw(id, watchedFileReply(file, () -> {})));
             }
         }
         for (FolderScanner.ChangedFile changedFile : scan.changed()) {
@@ -391,7 +397,7 @@
                 LOG.warn("watched folder: {}", changedFile.fault());
                 continue;
             }
-            logAndRun(
+            processWatchedFile(
                     changedFile.file(),
                     () -> add(
                             changedFile.text(),
@@ -412,8 +418,8 @@
                         watchedFileReply(changedFile.file(), () -> scheduleRetry(changedFile))));
     }
 
-    /** Logs the name of a watched file that was added, changed or removed, and runs the action for it. */
-    private void logAndRun(String file, Runnable action) {
+    /** Processes a watched file that was added, changed or removed: logs its name and runs the action for it. */
+    private void processWatchedFile(String file, Runnable action) {
         LOG.info("watched folder: processing {}", file);
         action.run();
     }
--- a/front/src/main/java/calicovale/front/package-info.java
+++ b/front/src/main/java/calicovale/front/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Creates, starts and shuts down one session manager and its components. It contains no decisions on sessions.
+ * Creates, starts and shuts down one session manager and its components. This package must not make decisions.
  */
 package calicovale.front;
--- a/front/src/main/java/calicovale/front/player/BoxEventHandler.java
+++ b/front/src/main/java/calicovale/front/player/BoxEventHandler.java
@@ -32,7 +32,7 @@
     private final Counters counters;
     private final SessionRegistry registry;
     private final String incarnation;
-    private final Map<Long, BoxClient> boxLinks = new TreeMap<>();
+    private final Map<Long, BoxClient> boxClients = new TreeMap<>();
     private ControllerHost host;
     private ProgrammeChanges programmeChanges;
     private SessionPlacer placer;
@@ -61,9 +61,9 @@
         placer = sessionPlacer;
     }
 
-    /** Returns the link to a box; null if no list has contained it. */
+    /** Returns the client of a box; null if no list has contained it. */
     BoxClient box(long boxNumber) {
-        return boxLinks.get(boxNumber);
+        return boxClients.get(boxNumber);
     }
 
     @Override
@@ -93,7 +93,7 @@
             return;
         }
         counters.increment("sessions-ended");
-        LOG.atInfo().addKeyValue("session", session.requestId).log("ended at box {}: {}", box.id(), reason);
+        LOG.atInfo().addKeyValue("session", session.requestId).log("session ended at box {}: {}", box.id(), reason);
         placer.leaveBox(session, Outcome.OK, load);
         if (!session.forPiece) {
             session.state = Session.State.ENDED;
@@ -132,9 +132,9 @@
     /** Applies a list of boxes; the addresses first, so that a set-up that the controller decides on finds its box. */
     void onList(ServerList list, Map<Long, InetSocketAddress> addresses) {
         addresses.forEach((id, address) -> {
-            BoxClient box = boxLinks.get(id);
+            BoxClient box = boxClients.get(id);
             if (box == null) {
-                boxLinks.put(
+                boxClients.put(
                         id,
                         new BoxClient(
                                 id,
--- a/front/src/main/java/calicovale/front/player/PieceAvailability.java
+++ b/front/src/main/java/calicovale/front/player/PieceAvailability.java
@@ -72,7 +72,7 @@
         if (lookup == null) {
             lookup = new Lookup();
             lookups.put(key, lookup);
-            evictOldest();
+            evictLeastRecentlyUsed();
             queryBox(box, key, lookup);
         }
         boolean cached = lookup.state != State.AVAILABLE || sourceCache.get(title, rung) != null;
@@ -95,11 +95,11 @@
     }
 
     /** Removes the answers used least recently above the limit; pending queries stay. */
-    private void evictOldest() {
-        Iterator<Lookup> oldest = lookups.values().iterator();
-        while (lookups.size() > maxLookups && oldest.hasNext()) {
-            if (oldest.next().state != State.PENDING) {
-                oldest.remove();
+    private void evictLeastRecentlyUsed() {
+        Iterator<Lookup> leastRecentlyUsed = lookups.values().iterator();
+        while (lookups.size() > maxLookups && leastRecentlyUsed.hasNext()) {
+            if (leastRecentlyUsed.next().state != State.PENDING) {
+                leastRecentlyUsed.remove();
                 counters.increment("piece-holders-dropped");
             }
         }
--- a/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
+++ b/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
@@ -14,7 +14,7 @@
 import calicovale.protocols.http.HttpHead;
 import calicovale.protocols.json.Documents;
 import calicovale.protocols.net.EventLoop;
-import calicovale.stitch.ChangeSelector;
+import calicovale.stitch.ActiveChanges;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -54,7 +54,7 @@
             CommonClock commonClock,
             RandomGenerator random,
             HttpClient client,
-            ChangeSelector changeBook,
+            ActiveChanges activeChanges,
             SessionLedgerWriter ledger,
             Counters counters,
             String incarnation) {
@@ -80,7 +80,7 @@
         programmeChanges = new ProgrammeChanges(
                 loop,
                 settings,
-                changeBook,
+                activeChanges,
                 sourceCache,
                 ledger,
                 host::nowMs,
@@ -96,7 +96,7 @@
                 persistence.remove(session);
             }
         });
-        ledger.recoveredShowings().forEach(s -> changeBook.restoreShowing(s.changeId(), s.key()));
+        ledger.recoveredShowings().forEach(s -> activeChanges.addShowingKey(s.changeId(), s.key()));
     }
 
     /** Returns the controller's host, for measurements. */
@@ -250,7 +250,8 @@
     }
 
     /**
-     * Returns the change book's version that the last complete pass over all sessions covers, and its duration in ms.
+     * Returns the version of the active changes that the last complete pass over all sessions covers, and the duration
+     * of that pass in ms.
      */
     public double[] lastChangePass() {
         return new double[] {programmeChanges.completedPassVersion(), programmeChanges.lastPassMs()};
--- a/front/src/main/java/calicovale/front/player/PlaylistRequests.java
+++ b/front/src/main/java/calicovale/front/player/PlaylistRequests.java
@@ -174,7 +174,7 @@
     /** Sends the playlist of a piece that a session's player plays as an interstitial. */
     void handlePiecePlaylist(Exchange exchange, String token, String changeId) {
         Session session = registry.byToken.get(token);
-        StitchedPiece piece = session == null ? null : session.playlist.plannedPiece(changeId);
+        StitchedPiece piece = session == null ? null : session.playlist.stitchedPiece(changeId);
         if (piece == null) {
             counters.increment("not-found");
             exchange.problem(404, "Not Found", "no such piece in a session here");
--- a/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
+++ b/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
@@ -9,8 +9,8 @@
 import calicovale.front.settings.FrontSettings.Holders;
 import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
+import calicovale.stitch.ActiveChanges;
 import calicovale.stitch.Change;
-import calicovale.stitch.ChangeSelector;
 import calicovale.stitch.SessionLedger.Showing;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,9 +26,9 @@
 
 /**
  * Applies programme changes to this manager's sessions: keeps each session's candidate changes, finds the box that
- * serves a change's piece, and records each showing on disk before a player gets it. The {@link ChangeSelector} selects the
- * change at a boundary. The controller sets up a piece that the session's box lacks at a box that holds it, like a
- * session.
+ * serves a change's piece, and records each showing on disk before a player gets it. {@link ActiveChanges} selects the
+ * change at a boundary. A piece that the session's box lacks is set up, like a session, at a box that holds it; the
+ * controller chooses that box.
  */
 final class ProgrammeChanges {
     private static final Logger LOG = LoggerFactory.getLogger(ProgrammeChanges.class);
@@ -54,14 +54,17 @@
         /** Ends the set-up of a piece, or its pending request. */
         void releasePiece(Session piece);
 
-        /** Reports to the controller and the box the rung whose rate a session now takes from its box's link. */
+        /**
+         * Reports to the controller and the box a session's delivery rung: the rung whose rate the session now takes
+         * from its box's link.
+         */
         void reportDeliveryRung(Session session, int rung);
     }
 
     /** State of one session's programme changes. */
-    static final class SessionState {
-        /** Version of the change book from which the candidates were computed. */
-        private long plannedVersion = -1;
+    static final class ProgrammeState {
+        /** Version of the active changes from which the candidates were computed. */
+        private long candidatesVersion = -1;
         /** Changes that may still be shown in this session. */
         private List<Change> candidates = List.of();
         /** Ids of changes already logged for this session as waiting or left out. */
@@ -82,7 +85,10 @@
         private List<Showing> showings = List.of();
         /** Monotonic time until which answers carry the cookie, in ms. */
         private double cookieUntilMs;
-        /** Delivery rung last reported to controller and box; -1 if it is the session's own rung. */
+        /**
+         * Delivery rung last reported to the controller and the box: the rung whose rate the session takes from its
+         * box's link while a piece plays; -1 if it is the session's own rung.
+         */
         private int reportedRung = -1;
 
         private boolean tallied;
@@ -98,7 +104,7 @@
 
     private final EventLoop loop;
     private final FrontSettings settings;
-    private final ChangeSelector changeBook;
+    private final ActiveChanges activeChanges;
     private final SourcePlaylistCache sourceCache;
     private final PieceAvailability pieceAvailability;
     private final SessionLedgerWriter ledger;
@@ -116,7 +122,7 @@
     ProgrammeChanges(
             EventLoop loop,
             FrontSettings settings,
-            ChangeSelector changeBook,
+            ActiveChanges activeChanges,
             SourcePlaylistCache sourceCache,
             SessionLedgerWriter ledger,
             DoubleSupplier commonTimeMs,
@@ -124,7 +130,7 @@
             SessionOperations sessionOperations) {
         this.loop = loop;
         this.settings = settings;
-        this.changeBook = changeBook;
+        this.activeChanges = activeChanges;
         this.sourceCache = sourceCache;
         this.pieceAvailability = new PieceAvailability(
                 loop, sourceCache, settings.bounds().sources(), settings.times().holdersMs(), counters);
@@ -151,11 +157,11 @@
 
     // --- Candidates ---
 
-    private ChangeSelector.SessionState facts(Session session, int rung) {
+    private ActiveChanges.SessionFacts sessionFacts(Session session, int rung) {
         SessionClass sessionClass = settings.controller().classes().get(session.sessionClass);
         String tenant =
                 settings.tenantNames().isEmpty() ? "" : settings.tenantNames().get(session.tenant);
-        return new ChangeSelector.SessionState(
+        return new ActiveChanges.SessionFacts(
                 session.token,
                 session.viewer,
                 session.title,
@@ -167,20 +173,20 @@
                 session.returning);
     }
 
-    /** Recomputes a session's candidates if the change book has changed since. */
+    /** Recomputes a session's candidates if the active changes have changed since. */
     private void updateCandidates(Session session) {
-        SessionState state = session.programmeState;
-        if (state.plannedVersion == changeBook.version()) {
+        ProgrammeState state = session.programmeState;
+        if (state.candidatesVersion == activeChanges.version()) {
             return;
         }
         for (Showing showing : state.showings) {
             // another manager showed it to the viewer; this manager may have learnt of the change only now
-            if (changeBook.get(showing.changeId()) != null) {
-                changeBook.restoreShowing(showing.changeId(), showing.key());
+            if (activeChanges.get(showing.changeId()) != null) {
+                activeChanges.addShowingKey(showing.changeId(), showing.key());
             }
         }
-        state.plannedVersion = changeBook.version();
-        state.candidates = changeBook.candidates(facts(session, session.rung));
+        state.candidatesVersion = activeChanges.version();
+        state.candidates = activeChanges.candidates(sessionFacts(session, session.rung));
     }
 
     /**
@@ -188,12 +194,12 @@
      * number in each turn of the event loop.
      */
     void onChangesUpdated() {
-        countsByChange.keySet().removeIf(id -> changeBook.get(id) == null);
-        if (requestedPassVersion == changeBook.version()) {
+        countsByChange.keySet().removeIf(id -> activeChanges.get(id) == null);
+        if (requestedPassVersion == activeChanges.version()) {
             return;
         }
         boolean passRunning = requestedPassVersion > completedPassVersion;
-        requestedPassVersion = changeBook.version();
+        requestedPassVersion = activeChanges.version();
         if (!passRunning) {
             passStartedAtMs = nowMs();
             runPass(List.copyOf(sessionOperations.allSessions()).iterator(), requestedPassVersion);
@@ -211,7 +217,7 @@
         if (remaining.hasNext()) {
             loop.schedule(0, () -> runPass(remaining, passVersion));
         } else if (passVersion < requestedPassVersion) {
-            // the change book was updated during this pass
+            // the active changes were updated during this pass
             runPass(List.copyOf(sessionOperations.allSessions()).iterator(), requestedPassVersion);
         } else {
             completedPassVersion = passVersion;
@@ -220,7 +226,7 @@
         }
     }
 
-    /** Returns the change book's version that the last complete pass covers; -1 if there was none. */
+    /** Returns the version of the active changes that the last complete pass covers; -1 if there was none. */
     long completedPassVersion() {
         return completedPassVersion;
     }
@@ -239,13 +245,13 @@
         double endMs = toCommonMs(Math.max(nowMs(), session.playlist.endMs()));
         double positionS =
                 session.lecture.startS(Math.min(session.playlist.nextSegment(), session.lecture.segmentCount()));
-        ChangeSelector.SessionState facts = facts(session, session.rung);
+        ActiveChanges.SessionFacts facts = sessionFacts(session, session.rung);
         for (Change change : session.programmeState.candidates) {
             boolean soon = change.atMs() >= 0
                     ? change.atMs() <= endMs + leadMs
                     : change.lectureS() <= positionS + leadMs / 1000;
             Change.Rendition rendition =
-                    soon && change.validUntilMs() >= endMs ? ChangeSelector.selectRendition(change, facts) : null;
+                    soon && change.validUntilMs() >= endMs ? ActiveChanges.selectRendition(change, facts) : null;
             if (rendition != null
                     && session.state == Session.State.PLAYING
                     && playingSetUp(session, change) == null
@@ -260,9 +266,9 @@
 
     /** Returns the stitcher that selects the pieces put between the segments of a session's lecture. */
     StitchedPiece.Stitcher stitcher(Session session) {
-        if (changeBook.isEmpty()
+        if (activeChanges.isEmpty()
                 && session.programmeState.recordedChange == null
-                && !session.playlist.hasPlannedPieces()) {
+                && !session.playlist.hasStitchedPieces()) {
             return StitchedPiece.Stitcher.NONE;
         }
         return new StitchedPiece.Stitcher() {
@@ -285,7 +291,7 @@
 
     /** Returns the piece to put before a segment, at a common time in ms; null if none, WAIT if not decided yet. */
     private StitchedPiece pieceBefore(Session session, int segment, double boundaryS, double boundaryMs) {
-        SessionState state = session.programmeState;
+        ProgrammeState state = session.programmeState;
         updateCandidates(session);
         if (state.skippedBoundary == segment || state.candidates.isEmpty() && state.recordedChange == null) {
             return null;
@@ -294,8 +300,8 @@
             return state.recordedChangeDurable ? beginPiece(session, segment) : StitchedPiece.WAIT;
         }
         while (true) {
-            ChangeSelector.SessionState facts = facts(session, session.rung);
-            ChangeSelector.Decision decision = changeBook.chooseAt(state.candidates, facts, boundaryS, boundaryMs);
+            ActiveChanges.SessionFacts facts = sessionFacts(session, session.rung);
+            ActiveChanges.Decision decision = activeChanges.chooseAt(state.candidates, facts, boundaryS, boundaryMs);
             for (String changeId : decision.withoutRendition()) {
                 reportOnce(
                         session,
@@ -327,7 +333,7 @@
                         .toList();
                 continue;
             }
-            if (!changeBook.canRecordShowing()) {
+            if (!activeChanges.canRecordShowing()) {
                 counters.increment("bound-shown-hit");
                 return null;
             }
@@ -340,16 +346,16 @@
     }
 
     /** Records a showing before the player gets it, so that after a crash in between the change counts as shown. */
-    private void recordShowing(Session session, Change change, ChangeSelector.SessionState facts) {
-        SessionState state = session.programmeState;
+    private void recordShowing(Session session, Change change, ActiveChanges.SessionFacts facts) {
+        ProgrammeState state = session.programmeState;
         state.recordedChange = change.id();
         state.recordedChangeDurable = !ledger.isEnabled();
-        List<String> names = changeBook.recordShowing(change, facts);
-        ledger.recordShowings(change.id(), names);
+        List<String> keys = activeChanges.recordShowing(change, facts);
+        ledger.recordShowings(change.id(), keys);
         state.showings = new ArrayList<>(state.showings);
-        names.stream()
-                .filter(name -> !name.startsWith("s "))
-                .forEach(name -> state.showings.add(new Showing(change.id(), name)));
+        keys.stream()
+                .filter(key -> !key.startsWith("s "))
+                .forEach(key -> state.showings.add(new Showing(change.id(), key)));
         if (ledger.isEnabled()) {
             ledger.whenWritten(() -> {
                 if (change.id().equals(state.recordedChange)) {
@@ -364,8 +370,8 @@
      * Returns the piece of the recorded change to put before a segment; null if it was withdrawn or is not available.
      */
     private StitchedPiece beginPiece(Session session, int segment) {
-        SessionState state = session.programmeState;
-        Change change = changeBook.get(state.recordedChange);
+        ProgrammeState state = session.programmeState;
+        Change change = activeChanges.get(state.recordedChange);
         if (change == null) {
             // withdrawn while its showing was being written
             state.recordedChange = null;
@@ -416,8 +422,8 @@
     /** Returns a change's piece at the box that has it; WAIT while a box is queried, null if no box has it yet. */
     private StitchedPiece resolvePiece(Session session, Change change, int segment) {
         Session pieceSetUp = playingSetUp(session, change);
-        Change.Rendition rendition = ChangeSelector.selectRendition(
-                change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
+        Change.Rendition rendition = ActiveChanges.selectRendition(
+                change, sessionFacts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
         if (rendition == null) {
             return null;
         }
@@ -464,7 +470,7 @@
      * queried, null if it was withdrawn or is not available.
      */
     private StitchedPiece relistPiece(Session session, StitchedPiece piece) {
-        Change change = changeBook.get(piece.changeId());
+        Change change = activeChanges.get(piece.changeId());
         StitchedPiece current = change == null ? null : resolvePiece(session, change, piece.beforeSegment());
         if (current == StitchedPiece.WAIT && session.programmeState.skippedBoundary != piece.beforeSegment()) {
             return current;
@@ -491,13 +497,13 @@
      * Returns the piece at the rendition that suits the session's current rung; the same piece if none is available.
      */
     private StitchedPiece continuePiece(Session session, StitchedPiece piece) {
-        Change change = changeBook.get(piece.changeId());
+        Change change = activeChanges.get(piece.changeId());
         Session pieceSetUp = change == null ? null : playingSetUp(session, change);
         if (change == null || pieceSetUp == null && session.programmeState.pieceSetUps.containsKey(piece.changeId())) {
             return piece;
         }
-        Change.Rendition rendition = ChangeSelector.renditionToContinue(
-                change, facts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
+        Change.Rendition rendition = ActiveChanges.renditionToContinue(
+                change, sessionFacts(session, pieceSetUp != null ? pieceSetUp.rung : session.rung));
         if (rendition == null || rendition.rung() == piece.rung()) {
             return piece;
         }
@@ -528,7 +534,7 @@
 
     /** Requests the set-up of a change's piece, unless one is pending or the last request is too recent. */
     private void requestSetUp(Session session, Change change) {
-        SessionState state = session.programmeState;
+        ProgrammeState state = session.programmeState;
         Double requestedAtMs = state.setUpRequestedAtMs.get(change.id());
         Session current = state.pieceSetUps.get(change.id());
         boolean placing = current != null && current.state == Session.State.PLACING;
@@ -574,7 +580,7 @@
 
     /** Handles an extended playlist: releases set-ups of played pieces and reports a changed delivery rung. */
     void onExtended(Session session) {
-        SessionState state = session.programmeState;
+        ProgrammeState state = session.programmeState;
         if (!state.pieceSetUps.isEmpty()) {
             for (Map.Entry<String, Session> entry : new ArrayList<>(state.pieceSetUps.entrySet())) {
                 boolean stillDue = state.candidates.stream().anyMatch(c -> c.id().equals(entry.getKey()))
@@ -600,7 +606,7 @@
      * Returns the lowest rung, from the class's lowest to the session's, whose rate is at least that of the rendition.
      */
     private int ladderRungFor(Session session, StitchedPiece piece) {
-        Change change = changeBook.get(piece.changeId());
+        Change change = activeChanges.get(piece.changeId());
         if (change == null) {
             return session.programmeState.reportedRung < 0 ? session.rung : session.programmeState.reportedRung;
         }
@@ -639,7 +645,7 @@
      * it is called without, and the boundary is skipped.
      */
     void whenReady(Session session, Runnable body) {
-        SessionState state = session.programmeState;
+        ProgrammeState state = session.programmeState;
         boolean[] done = new boolean[1];
         Runnable once = () -> {
             if (!done[0]) {
--- a/front/src/main/java/calicovale/front/player/Session.java
+++ b/front/src/main/java/calicovale/front/player/Session.java
@@ -43,7 +43,7 @@
     final double waitMs;
 
     final SessionPlaylist playlist;
-    final ProgrammeChanges.SessionState programmeState = new ProgrammeChanges.SessionState();
+    final ProgrammeChanges.ProgrammeState programmeState = new ProgrammeChanges.ProgrammeState();
     /** Numbers and date that the ledger permits the playlist to use. */
     Reservation reservation = new Reservation();
     /** Whether the player plays pieces as HLS interstitials. */
@@ -89,7 +89,7 @@
     double attemptStartedAtMs;
 
     boolean lastAttemptTimedOut;
-    /** Box of the current attempt; null if the directory no longer lists it. */
+    /** Box of the current attempt; null if no list of the directory has contained it. */
     BoxClient box;
     /** URI at the box below which the session's segments are. */
     String baseUri;
--- a/front/src/main/java/calicovale/front/player/SessionPersistence.java
+++ b/front/src/main/java/calicovale/front/player/SessionPersistence.java
@@ -24,6 +24,10 @@
      * is left, so a session takes about one ledger record per half of this.
      */
     private static final int RESERVED_SEGMENTS = 32;
+    /** Number of unused discontinuity sequence numbers below which a new reservation starts. */
+    private static final int DISCONTINUITY_MARGIN = 2;
+    /** Number of target durations that are added to those ahead in the window for the latest program date-time. */
+    private static final int EXTRA_WINDOW_SEGMENTS = 2;
 
     private final EventLoop loop;
     private final FrontSettings settings;
@@ -83,7 +87,8 @@
                                 session.reservation.dateMs, session.reservation.recordedAtMs, playlist.targetS());
         boolean sufficient = covered
                 && playlist.nextSequence() + RESERVED_SEGMENTS / 2 <= session.reservation.mediaSequenceLimit
-                && playlist.discontinuitySequence() + 2 <= session.reservation.discontinuitySequenceLimit;
+                && playlist.discontinuitySequence() + DISCONTINUITY_MARGIN
+                        <= session.reservation.discontinuitySequenceLimit;
         if (!sufficient && !session.reservation.writePending) {
             reserve(session);
         }
@@ -99,7 +104,7 @@
         next.dateMs = playlist.endDateMs();
         next.recordedAtMs = commonTimeMs.getAsDouble();
         session.reservation.writePending = true;
-        ledger.recordStep(ledgerEntry(session, next));
+        ledger.recordEntry(ledgerEntry(session, next));
         ledger.whenWritten(() -> {
             next.writePending = false;
             session.reservation = next;
@@ -132,7 +137,7 @@
     private double latestDateMs(double dateMs, double recordedAtMs, long targetS) {
         return dateMs
                 + Math.max(0, commonTimeMs.getAsDouble() - recordedAtMs)
-                + 1000.0 * (settings.playlist().segmentsAhead() + 2) * targetS;
+                + 1000.0 * (settings.playlist().segmentsAhead() + EXTRA_WINDOW_SEGMENTS) * targetS;
     }
 
     /** Calls {@code body} once all records passed to the ledger so far are on disk, or after a timeout without them. */
@@ -179,7 +184,14 @@
                         entry.targetS(),
                         latestDateMs(entry.dateMs(), entry.atMs(), entry.targetS())));
         Session session = new Session(
-                token, classIndex, tenantIndex, entry.viewer(), entry.title(), entry.top(), entry.waitMs(), playlist);
+                token,
+                classIndex,
+                tenantIndex,
+                entry.viewer(),
+                entry.title(),
+                entry.topRung(),
+                entry.waitMs(),
+                playlist);
         session.playlistDelivered = true;
         session.returning = true;
         session.state = Session.State.LOST;
--- a/front/src/main/java/calicovale/front/player/SessionPlacer.java
+++ b/front/src/main/java/calicovale/front/player/SessionPlacer.java
@@ -38,7 +38,7 @@
     private final Counters counters;
     private final SessionRegistry registry;
     private final PlayerResponses responses;
-    private final LongFunction<BoxClient> boxLinks;
+    private final LongFunction<BoxClient> boxClients;
     private final String incarnation;
     private ControllerHost host;
     private ProgrammeChanges programmeChanges;
@@ -48,7 +48,7 @@
     /**
      * Creates the placer; {@link #setCollaborators} must be called before it is used.
      *
-     * @param boxLinks returns the link to a box by its number, or null if the directory does not list that box
+     * @param boxClients returns the client of a box by its number, or null if no list has contained the box
      * @param incarnation distinguishes this process from earlier ones of the same manager number;
      *     part of every request id
      */
@@ -58,14 +58,14 @@
             Counters counters,
             SessionRegistry registry,
             PlayerResponses responses,
-            LongFunction<BoxClient> boxLinks,
+            LongFunction<BoxClient> boxClients,
             String incarnation) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
         this.registry = registry;
         this.responses = responses;
-        this.boxLinks = boxLinks;
+        this.boxClients = boxClients;
         this.incarnation = incarnation;
     }
 
@@ -142,9 +142,7 @@
         }
         session.departed = true;
         counters.increment("departed");
-        LOG.atInfo()
-                .addKeyValue("session", session.requestId)
-                .log("viewer disconnected before the request was answered");
+        LOG.atInfo().addKeyValue("session", session.requestId).log("nobody waits for the request any more");
         // while an attempt is outstanding the request stays registered, until the controller cancels the attempt or it
         // ends by itself
         host.raise(new Departed(session.requestId));
@@ -195,7 +193,7 @@
     @Override
     public void attempt(String requestId, long boxNumber, double timeoutMs) {
         Session session = registry.byRequestId.get(requestId);
-        BoxClient box = boxLinks.apply(boxNumber);
+        BoxClient box = boxClients.apply(boxNumber);
         session.attempt++;
         session.box = box;
         session.attemptStartedAtMs = nowMs();
@@ -422,7 +420,9 @@
     /** Handles the loss of a session's box or of the session at the box; the player's next reload is a new request. */
     void loseSession(Session session, String reason) {
         counters.increment("sessions-lost");
-        LOG.atInfo().addKeyValue("session", session.requestId).log("lost at box {}: {}", session.box.id(), reason);
+        LOG.atInfo()
+                .addKeyValue("session", session.requestId)
+                .log("session lost at box {}: {}", session.box.id(), reason);
         leaveBox(session, Outcome.RESET, Map.of());
     }
 }
--- a/front/src/main/java/calicovale/front/player/SessionRegistry.java
+++ b/front/src/main/java/calicovale/front/player/SessionRegistry.java
@@ -60,8 +60,9 @@
     }
 
     /**
-     * Changes a session's state after its placement succeeded or failed, or after it left its box. A session that is
-     * lost is removed: at once if no player has its playlist, else after a time without a reload.
+     * Changes a session's state after its placement succeeded or failed, or after it left its box. A lost session
+     * is removed: at once if no player has its playlist or it is the set-up of a piece, else after /times/endedKeptMs
+     * unless it is placed again.
      */
     void changeState(Session session, Session.State state) {
         if (session.state == Session.State.PLACING) {
--- a/front/src/main/java/calicovale/front/player/SourcePlaylistCache.java
+++ b/front/src/main/java/calicovale/front/player/SourcePlaylistCache.java
@@ -50,11 +50,11 @@
         sourcesByRung[rung] = source;
         while (sourceCount > maxSources && sourcesByTitle.size() > 1) {
             counters.increment("sources-dropped");
-            var oldest = sourcesByTitle.entrySet().iterator();
-            sourceCount -= (int) Arrays.stream(oldest.next().getValue())
+            var leastRecentlyUsed = sourcesByTitle.entrySet().iterator();
+            sourceCount -= (int) Arrays.stream(leastRecentlyUsed.next().getValue())
                     .filter(Objects::nonNull)
                     .count();
-            oldest.remove();
+            leastRecentlyUsed.remove();
         }
     }
 
--- a/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
+++ b/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
@@ -10,9 +10,9 @@
  * plays and removed at the front; a listed segment is never altered. A change of rung, box or programme begins a new
  * run, which players see as a discontinuity.
  *
- * <p>The pieces put into a session are its plan. They relate the lecture's time to the programme's time and keep their
- * boundary, so that a piece that was listed and then lost with its box is listed again when the lecture reaches that
- * boundary again.
+ * <p>The pieces put into a session form its piece list. They relate the lecture's time to the programme's time and
+ * keep their boundary, so that a piece that was listed and then lost with its box is listed again when the lecture
+ * reaches that boundary again.
  */
 public final class SessionPlaylist {
 
@@ -33,7 +33,7 @@
      * @param firstSegment index of its first segment in the source
      * @param source the lecture or piece that its segments belong to
      * @param piece the piece; null for the lecture
-     * @param planIndex for a piece its index in the plan; for the lecture the number of planned pieces before it
+     * @param pieceIndex for a piece its index in the piece list; for the lecture the number of pieces before it
      * @param discontinuitySequence number of discontinuities in the playlist up to and including its first segment
      * @param startMs monotonic time at which its first segment plays, in ms
      * @param dateMs program date-time of its first segment, in ms
@@ -45,7 +45,7 @@
             String baseUri,
             SourcePlaylist source,
             StitchedPiece piece,
-            int planIndex,
+            int pieceIndex,
             int discontinuitySequence,
             double startMs,
             double dateMs) {}
@@ -73,9 +73,9 @@
 
     private final List<Run> runs = new ArrayList<>(2);
     private final List<InterstitialTag> interstitialTags = new ArrayList<>(0);
-    private final List<StitchedPiece> plannedPieces = new ArrayList<>(0);
-    /** Index in the plan of the current piece, or of the next one that the lecture reaches. */
-    private int nextPlanIndex;
+    private final List<StitchedPiece> stitchedPieces = new ArrayList<>(0);
+    /** Index in the piece list of the current piece, or of the next one that the lecture reaches. */
+    private int nextPieceIndex;
     /** The lecture's playlist at the last extension; null before the first. */
     private SourcePlaylist lecture;
 
@@ -110,12 +110,12 @@
     }
 
     /** Creates a playlist that continues after a restart. */
-    public SessionPlaylist(WindowShape shape, double startMs, double dateMs, RestartState progress) {
-        this(shape, startMs, Math.max(dateMs, progress.dateMs()));
-        nextSequence = progress.nextSequence();
-        discontinuitySequence = progress.discontinuitySequence();
-        nextSegment = progress.lectureSegment();
-        targetS = progress.targetS();
+    public SessionPlaylist(WindowShape shape, double startMs, double dateMs, RestartState restartState) {
+        this(shape, startMs, Math.max(dateMs, restartState.dateMs()));
+        nextSequence = restartState.nextSequence();
+        discontinuitySequence = restartState.discontinuitySequence();
+        nextSegment = restartState.lectureSegment();
+        targetS = restartState.targetS();
         restored = true;
     }
 
@@ -150,13 +150,13 @@
     }
 
     /** Returns whether any piece was put in. */
-    public boolean hasPlannedPieces() {
-        return !plannedPieces.isEmpty();
+    public boolean hasStitchedPieces() {
+        return !stitchedPieces.isEmpty();
     }
 
     /** Returns a change's piece as it was put in; null if it was not. */
-    public StitchedPiece plannedPiece(String changeId) {
-        for (StitchedPiece piece : plannedPieces) {
+    public StitchedPiece stitchedPiece(String changeId) {
+        for (StitchedPiece piece : stitchedPieces) {
             if (piece.changeId().equals(changeId)) {
                 return piece;
             }
@@ -211,19 +211,19 @@
         Run run = runs.get(runIndex);
         int segment = run.firstSegment();
         int end = run.firstSegment() + (int) (runEndSequence(runIndex) - run.firstSequence());
-        int planIndex = run.planIndex();
+        int pieceIndex = run.pieceIndex();
         double startMs = run.startMs();
         while (segment < end && startMs + segmentMs(source, segment) <= timeMs) {
             startMs += segmentMs(source, segment++);
             // the player pauses the lecture during an interstitial
             while (run.piece() == null
-                    && planIndex < plannedPieces.size()
-                    && plannedPieces.get(planIndex).isInterstitial()
-                    && plannedPieces.get(planIndex).beforeSegment() <= segment) {
-                startMs += plannedPieces.get(planIndex).beforeSegment() == segment
-                        ? plannedPieces.get(planIndex).lectureDelayMs(source)
+                    && pieceIndex < stitchedPieces.size()
+                    && stitchedPieces.get(pieceIndex).isInterstitial()
+                    && stitchedPieces.get(pieceIndex).beforeSegment() <= segment) {
+                startMs += stitchedPieces.get(pieceIndex).beforeSegment() == segment
+                        ? stitchedPieces.get(pieceIndex).lectureDelayMs(source)
                         : 0;
-                planIndex++;
+                pieceIndex++;
             }
         }
         return segment;
@@ -316,19 +316,19 @@
                             + 1000
                                     * (run.piece().source().startS(resumePieceSegment)
                                             - run.piece().source().startS(run.firstSegment())));
-            nextPlanIndex = run.planIndex();
+            nextPieceIndex = run.pieceIndex();
             nextSegment = run.piece().beforeSegment();
         } else {
             resumePieceSegment = 0;
             nextSegment = run.firstSegment() + (int) Math.max(0, sequence - run.firstSequence());
             resumeMs = Math.max(
                     nowMs, run.startMs() + 1000 * (source.startS(nextSegment) - source.startS(run.firstSegment())));
-            nextPlanIndex = run.planIndex();
-            while (nextPlanIndex < plannedPieces.size()
-                    && plannedPieces.get(nextPlanIndex).isInterstitial()
-                    && plannedPieces.get(nextPlanIndex).beforeSegment() > run.firstSegment()
-                    && plannedPieces.get(nextPlanIndex).beforeSegment() <= nextSegment) {
-                nextPlanIndex++;
+            nextPieceIndex = run.pieceIndex();
+            while (nextPieceIndex < stitchedPieces.size()
+                    && stitchedPieces.get(nextPieceIndex).isInterstitial()
+                    && stitchedPieces.get(nextPieceIndex).beforeSegment() > run.firstSegment()
+                    && stitchedPieces.get(nextPieceIndex).beforeSegment() <= nextSegment) {
+                nextPieceIndex++;
             }
         }
         currentPiece = null;
@@ -364,28 +364,28 @@
                 return true;
             }
             if (currentPiece == null) {
-                while (nextPlanIndex < plannedPieces.size()
-                        && plannedPieces.get(nextPlanIndex).beforeSegment() < nextSegment) {
+                while (nextPieceIndex < stitchedPieces.size()
+                        && stitchedPieces.get(nextPieceIndex).beforeSegment() < nextSegment) {
                     // its boundary lies in a part of the lecture that another piece has replaced since
-                    nextPlanIndex++;
+                    nextPieceIndex++;
                 }
-                boolean planned = nextPlanIndex < plannedPieces.size()
-                        && plannedPieces.get(nextPlanIndex).beforeSegment() == nextSegment;
-                StitchedPiece next = planned
-                        ? stitcher.relistPiece(plannedPieces.get(nextPlanIndex))
+                boolean alreadyStitched = nextPieceIndex < stitchedPieces.size()
+                        && stitchedPieces.get(nextPieceIndex).beforeSegment() == nextSegment;
+                StitchedPiece next = alreadyStitched
+                        ? stitcher.relistPiece(stitchedPieces.get(nextPieceIndex))
                         : stitcher.pieceBefore(nextSegment, source.startS(nextSegment), endMs);
                 if (next == StitchedPiece.WAIT) {
                     return false;
                 }
-                if (next != null || planned) {
-                    beginPiece(source, next, planned);
+                if (next != null || alreadyStitched) {
+                    beginPiece(source, next, alreadyStitched);
                     continue;
                 }
                 addSegment(source, nextSegment, rung, baseUri, null);
                 nextSegment++;
             } else {
                 currentPiece = stitcher.continuePiece(currentPiece);
-                plannedPieces.set(nextPlanIndex, currentPiece);
+                stitchedPieces.set(nextPieceIndex, currentPiece);
                 addSegment(
                         currentPiece.source(),
                         nextPieceSegment++,
@@ -400,18 +400,18 @@
         return true;
     }
 
-    /** Begins a piece at the current boundary; {@code piece} is null if a planned one is not available any more. */
-    private void beginPiece(SourcePlaylist source, StitchedPiece piece, boolean planned) {
+    /** Begins a piece at the current boundary; {@code piece} is null if one of the list is not available any more. */
+    private void beginPiece(SourcePlaylist source, StitchedPiece piece, boolean alreadyStitched) {
         if (piece == null) {
             // it was withdrawn, or no box that this session can use has it
-            nextPlanIndex++;
+            nextPieceIndex++;
             resumePieceSegment = 0;
             return;
         }
-        if (planned) {
-            plannedPieces.set(nextPlanIndex, piece);
+        if (alreadyStitched) {
+            stitchedPieces.set(nextPieceIndex, piece);
         } else {
-            plannedPieces.add(nextPlanIndex, piece);
+            stitchedPieces.add(nextPieceIndex, piece);
         }
         if (piece.isInterstitial()) {
             interstitialTags.add(new InterstitialTag(
@@ -423,7 +423,7 @@
             // the player pauses the lecture meanwhile, so what follows plays later at the same program date-time
             endMs += piece.lectureDelayMs(source);
             dateOffsetMs -= piece.lectureDelayMs(source);
-            nextPlanIndex++;
+            nextPieceIndex++;
             return;
         }
         currentPiece = piece;
@@ -433,7 +433,7 @@
 
     private void finishPiece(int resumeSegment) {
         currentPiece = null;
-        nextPlanIndex++;
+        nextPieceIndex++;
         nextSegment = resumeSegment;
     }
 
@@ -456,7 +456,7 @@
                     baseUri,
                     segmentSource,
                     piece,
-                    nextPlanIndex,
+                    nextPieceIndex,
                     discontinuitySequence,
                     endMs,
                     endDateMs()));
--- a/front/src/main/java/calicovale/front/playlist/StitchedPiece.java
+++ b/front/src/main/java/calicovale/front/playlist/StitchedPiece.java
@@ -11,8 +11,8 @@
  * @param baseUri URI below which its segments are
  * @param source its segments
  * @param beforeSegment the lecture's segment before which it is put
- * @param resumeSegment the lecture's segment that follows it: equal to {@code from} if the piece is inserted, later if it replaces
- *     segments of the lecture
+ * @param resumeSegment the lecture's segment that follows it; equal to {@code beforeSegment} if the piece is inserted,
+ *     later if it replaces segments of the lecture
  * @param assetUri URI of its own playlist, which the player plays as an HLS interstitial; null if its segments are put
  *     into the session's playlist
  */
@@ -35,8 +35,8 @@
         Stitcher NONE = (segment, boundaryS, boundaryMs) -> null;
 
         /**
-         * Returns the piece to put before a segment; null if there is none. After {@link Piece#WAIT} nothing is added,
-         * and the caller has to extend the playlist again later.
+         * Returns the piece to put before a segment; null if there is none. After {@link StitchedPiece#WAIT} nothing is
+         * added, and the caller has to extend the playlist again later.
          *
          * @param boundaryS start of the segment in the lecture, in seconds
          * @param boundaryMs monotonic time at which the boundary will play, in ms
@@ -45,7 +45,7 @@
 
         /**
          * Returns a piece that was put in but not played to its end, at the box that has it now; null to leave it out,
-         * or {@link Piece#WAIT}.
+         * or {@link StitchedPiece#WAIT}.
          */
         default StitchedPiece relistPiece(StitchedPiece piece) {
             return null;
--- a/front/src/main/java/calicovale/front/settings/FrontSettings.java
+++ b/front/src/main/java/calicovale/front/settings/FrontSettings.java
@@ -31,8 +31,7 @@
 import java.util.Set;
 
 /**
- * The validated settings of one session manager. The JSON Schema {@code front.schema.json} names their keys and
- * ranges.
+ * The validated settings of one session manager. The JSON Schema {@code front.schema.json} names their keys and ranges.
  *
  * @param controller the settings of the controller
  * @param seed seed of the controller's random source
@@ -104,8 +103,8 @@
      * @param boxes number of boxes in the list
      * @param changes number of programme changes
      * @param shown number of showings of changes that are remembered
-     * @param plansPerTurn number of sessions that are planned in one turn of the loop after a programme change was
-     *     added or withdrawn
+     * @param plansPerTurn number of sessions whose candidate changes are recomputed in one turn of the loop after a
+     *     programme change was added, withdrawn or has expired
      * @param watched number of documents in the watched folder
      */
     public record Bounds(
@@ -129,10 +128,11 @@
      * @param silentMs time without any received byte after which an event stream is considered dead
      * @param lostMs time without contact to a box after which its sessions are considered lost
      * @param backoffMs upper bound of the delay before the first reconnection of an event stream
-     * @param backoffMostMs upper bound of the delay before any reconnection of an event stream
+     * @param backoffMostMs upper bound of the delay before any reconnection of an event stream; also the minimum
+     *     interval between two set-up requests for one piece of a session
      * @param clockEveryMs interval between readings of the common clock
      * @param endedKeptMs time after a session's end for which its playlist is still served
-     * @param sourceMs timeout for fetching a lecture's playlist from a box
+     * @param sourceMs timeout for fetching a lecture's or a piece's playlist from a box
      * @param drainMs upper bound of the duration of a drain
      * @param stitchWaitMs upper bound of a reload's wait for the disk, or for a box's answer on whether it has a piece
      * @param holdersMs time for which it is cached whether a box holds a piece
@@ -198,18 +198,18 @@
         List<SessionClass> classes = new ArrayList<>();
         for (int i = 0; i < root.get("classes").size(); i++) {
             JsonNode classNode = root.get("classes").get(i);
-            String place = name + ": /classes/" + i;
+            String location = name + ": /classes/" + i;
             if (classNames.contains(classNode.get("name").asText())) {
-                faults.add(place + "/name: a name that no other class has is expected");
+                faults.add(location + "/name: a name that no other class has is expected");
             }
             classNames.add(classNode.get("name").asText());
             int lowestRung = classNode.get("lowestRung").asInt();
             int highestRung = classNode.get("highestRung").asInt();
             if (highestRung >= rungs) {
-                faults.add(place + "/highestRung: a rung of the ladder is expected (0 to " + (rungs - 1) + ")");
+                faults.add(location + "/highestRung: a rung of the ladder is expected (0 to " + (rungs - 1) + ")");
             }
             if (lowestRung > highestRung) {
-                faults.add(place + "/lowestRung: a rung that is not above the class's highestRung is expected");
+                faults.add(location + "/lowestRung: a rung that is not above the class's highestRung is expected");
             }
             classes.add(new SessionClass(
                     classNode.get("worth").asDouble(),
@@ -265,9 +265,9 @@
         try {
             crossOrigin = crossOrigin(root.path("crossOrigin"));
         } catch (IllegalArgumentException e) {
-            faults.add(name
-                    + ": /crossOrigin/origins: named origins are expected with /crossOrigin/credentials or beside others:"
-                    + " " + e.getMessage());
+            faults.add(
+                    name + ": /crossOrigin/origins: * alone and without /crossOrigin/credentials, or a list of origins,"
+                            + " is expected");
         }
         GossipSettings gossip = null;
         try {
@@ -391,8 +391,8 @@
     /** Response headers that a player's page may read. */
     private static final List<String> EXPOSED_HEADERS = List.of("Calicovale-Session", "Retry-After", "Date");
     /**
-     * Request headers that a player's page may send: CMCD (CTA-5004), Range, and Cache-Control, which fetch adds to a
-     * reload.
+     * Request headers that a player's page may send: CMCD (CTA-5004), Range, and Cache-Control, which fetch adds
+     * to a reload.
      */
     private static final List<String> ALLOWED_REQUEST_HEADERS =
             List.of("CMCD-Object", "CMCD-Request", "CMCD-Session", "CMCD-Status", "Range", "Cache-Control");
--- a/front/src/main/java/calicovale/front/stream/ReconnectingEventStream.java
+++ b/front/src/main/java/calicovale/front/stream/ReconnectingEventStream.java
@@ -38,7 +38,7 @@
         void onDisconnected(Failure failure);
 
         /** Called while the stream is started, every third of the silence timeout, connected or not. */
-        default void onSilenceCheck() {}
+        default void onPeriodicCheck() {}
     }
 
     private final EventLoop loop;
@@ -97,7 +97,7 @@
         counters.increment(connectionName.replaceAll(":.*", "") + "-streams-" + event);
     }
 
-    /** Returns whether the stream is started. */
+    /** Returns whether the stream is started, connected or not. */
     public boolean isStarted() {
         return started;
     }
@@ -206,7 +206,7 @@
             count("silent");
             currentCall.cancel();
         }
-        listener.onSilenceCheck();
+        listener.onPeriodicCheck();
         if (started && silenceTimer == null) {
             silenceTimer = loop.schedule(silenceTimeoutMs / 3, this::checkSilence);
         }
--- a/front/src/main/java/calicovale/front/time/CommonClock.java
+++ b/front/src/main/java/calicovale/front/time/CommonClock.java
@@ -8,8 +8,7 @@
  */
 public final class CommonClock {
     /**
-     * Growth of the error bound of an old exchange, in ms per s of its age, because clocks drift by less than 100
-     * ppm.
+     * Growth of the error bound of an old exchange, in ms per s of its age, because clocks drift by less than 100 ppm.
      */
     private static final double DRIFT_MS_PER_S = 0.1;
 
@@ -42,17 +41,15 @@
             return;
         }
         if (sampleCount++ == 0) {
-            // times returned before the first exchange came from the wall clock, and nobody was served by them: they
-            // must
-            // not be a lower bound of the common time
+            // times returned before the first exchange came from the wall clock, and nobody was served by them, so they
+            // must not be a lower bound of the common time
             lastReturnedMs = Double.NEGATIVE_INFINITY;
         }
         double agedErrorMs =
                 errorMs == Double.MAX_VALUE ? errorMs : errorMs + DRIFT_MS_PER_S * (receivedMs - sampledAtMs) / 1000;
         double measuredOffsetMs = remoteMs - (sentMs + receivedMs) / 2;
         // an exchange with a larger error is used only if it contradicts the estimate, because then the directory's
-        // clock
-        // was set
+        // clock was set
         if (halfRoundTripMs <= agedErrorMs || Math.abs(measuredOffsetMs - offsetMs) > halfRoundTripMs + agedErrorMs) {
             offsetMs = measuredOffsetMs;
             errorMs = halfRoundTripMs;
--- a/front/src/test/java/calicovale/front/FrontSettingsTest.java
+++ b/front/src/test/java/calicovale/front/FrontSettingsTest.java
@@ -46,8 +46,10 @@
                 .replace("\"port\": 9", "\"port\": 70000")
                 .replace("\"of\": 3", "\"off\": 3")
                 .replace("127.0.0.1\", \"port\": 0", "10.0.0.1\", \"port\": 0"));
-        for (String place : List.of("/classes/0/worth", "/directory/port", "/manager", "/listen/host")) {
-            assertTrue(schemaFaults.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + schemaFaults);
+        for (String location : List.of("/classes/0/worth", "/directory/port", "/manager", "/listen/host")) {
+            assertTrue(
+                    schemaFaults.stream().anyMatch(f -> f.startsWith("f: " + location)),
+                    location + " in " + schemaFaults);
         }
         List<String> contradictions = faults(VALID_SETTINGS
                 .replace("\"number\": 1", "\"number\": 3")
@@ -55,15 +57,15 @@
                 .replace("[10, 20, 30]", "[10, 10, 30]")
                 .replace("\"highestRung\": 2", "\"highestRung\": 3")
                 .replace("\"lowestRung\": 1", "\"lowestRung\": 4"));
-        for (String place : List.of(
+        for (String location : List.of(
                 "/manager/number",
                 "/media/rungWorth",
                 "/media/rungKb/1",
                 "/classes/0/highestRung",
                 "/classes/0/lowestRung")) {
             assertTrue(
-                    contradictions.stream().anyMatch(f -> f.startsWith("f: " + place)),
-                    place + " in " + contradictions);
+                    contradictions.stream().anyMatch(f -> f.startsWith("f: " + location)),
+                    location + " in " + contradictions);
         }
     }
 
@@ -73,8 +75,8 @@
                 "\\{",
                 "{\"changesWatch\": \"w\", \"changeKeys\": {\"ops\": \"" + "_".repeat(43)
                         + "\"}, \"crossOrigin\": {\"origins\": [\"*\"], \"credentials\": true},"));
-        for (String place : List.of("/operators", "/crossOrigin/origins")) {
-            assertTrue(faults.stream().anyMatch(f -> f.startsWith("f: " + place)), place + " in " + faults);
+        for (String location : List.of("/operators", "/crossOrigin/origins")) {
+            assertTrue(faults.stream().anyMatch(f -> f.startsWith("f: " + location)), location + " in " + faults);
         }
         assertTrue(faults(VALID_SETTINGS.replaceFirst("\\{", "{\"crossOrigin\": {\"origins\": [\"page\", \"*\"]},"))
                         .size()
--- a/front/src/test/java/calicovale/front/SessionPlaylistTest.java
+++ b/front/src/test/java/calicovale/front/SessionPlaylistTest.java
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Guards against altering a listed segment or its discontinuity number, over random rungs, losses, pieces and
-     * times.
+     * Guards against altering a listed segment or its discontinuity number, over random rungs, losses,
+     * pieces and times.
      */
     @Test
     void listedSegmentsAreNeverAltered() throws HlsException {
--- a/standin/src/main/java/calicovale/standin/BoxContent.java
+++ b/standin/src/main/java/calicovale/standin/BoxContent.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Returns the number of a generated segment from its file name; -1 for the initialization section, -2 for no such
-     * file.
+     * Returns the number of a generated segment from its file name; -1 for the initialization section, -2 for
+     * no such file.
      */
     private int segmentNumber(String title, String file) {
         if (file.equals("init.mp4")) {
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns the bytes of a file, or null if there is none. A generated segment has the size for {@code rateKb}, in
-     * kB/s.
+     * Returns the bytes of a file, or null if there is none. A generated segment has the size
+     * for {@code rateKb}, in kB/s.
      */
     byte[] bytes(String title, int rung, String file, double rateKb) throws IOException {
         if (!holds(title)) {
--- a/standin/src/main/java/calicovale/standin/BoxModel.java
+++ b/standin/src/main/java/calicovale/standin/BoxModel.java
@@ -23,8 +23,9 @@
         int lastChangeNumber;
         boolean confirmed;
         double leaseUntilMs;
-        double lastRequestMs;
-        /** Time since which the manager has no event stream; negative if it has one or the session is not confirmed. */
+        /** Time of the confirmation, last segment request or last end of a transfer, in ms. */
+        double lastActivityMs;
+        /** Time since which the manager is known to have no event stream, in ms; negative otherwise. */
         double managerLostMs = -1;
 
         int activeTransfers;
@@ -98,7 +99,7 @@
     /** Returns whether set-ups are refused now. */
     boolean isFull() {
         return sessionsByKey.size() >= settings.streams()
-                || settings.fullFrom() > 0 && linkUtilization() >= settings.fullFrom();
+                || settings.fullFrom() > 0 && linkDemandRatio() >= settings.fullFrom();
     }
 
     BoxSession get(String key) {
@@ -153,17 +154,17 @@
     }
 
     /** Returns the sessions' demand divided by the link's capacity, which may exceed 1. */
-    double linkUtilization() {
+    double linkDemandRatio() {
         return demandKb / linkKb();
     }
 
-    double uplinkUtilization() {
-        return rack.utilization();
+    double uplinkDemandRatio() {
+        return rack.demandRatio();
     }
 
     /** Returns the fraction of their rates that sessions get. */
     double rateShare() {
-        return Math.min(1, 1 / Math.max(1e-9, Math.max(linkUtilization(), rack.utilization())));
+        return Math.min(1, 1 / Math.max(1e-9, Math.max(linkDemandRatio(), rack.demandRatio())));
     }
 
     /** Returns the sessions that end now, each with the reason that is sent to its manager. */
@@ -176,7 +177,7 @@
                 result.put(session, "manager-lost");
             } else if (session.confirmed
                     && session.activeTransfers == 0
-                    && nowMs - session.lastRequestMs > settings.idleMs()) {
+                    && nowMs - session.lastActivityMs > settings.idleMs()) {
                 result.put(session, "idle");
             }
         }
--- a/standin/src/main/java/calicovale/standin/BoxSettings.java
+++ b/standin/src/main/java/calicovale/standin/BoxSettings.java
@@ -19,19 +19,20 @@
  * @param listen address to listen on; port 0 selects a free port
  * @param streams maximum number of sessions and set-ups
  * @param linkKb capacity of the box's link, in kB/s
- * @param fullFrom link utilization from which set-ups are refused; 0 if they are never refused for it
+ * @param fullFrom ratio of demand to capacity of the link from which set-ups are refused; 0 if they are never refused
+ *     for it
  * @param coldFrom set-up rate right after a cold start, as a fraction of the warm set-up rate
  * @param warmAfterMs time after a cold start until the box is warm, in ms
  * @param tipMultiple multiple of the present set-up rate above which a cold box crashes
  * @param tipMs window over which arriving set-ups are counted against {@code tipMultiple}, in ms
  * @param setUpMs mean duration of a set-up, in ms
  * @param reportEveryMs interval at which the load in response headers is refreshed, in ms
- * @param noteEveryMs interval between notes of the link utilization, in ms
+ * @param noteEveryMs interval between notes of the link's ratio of demand to capacity, in ms
  * @param noteDelayMs delay of notes, in ms
- * @param uplinkNotes whether notes of the rack's uplink utilization are sent too
+ * @param uplinkNotes whether notes of that ratio of the rack's uplink are sent too
  * @param segmentS duration of a generated segment, in seconds
  * @param segments number of segments of a generated lecture
- * @param idleMs time without a segment request after which a session ends, in ms
+ * @param idleMs time without a segment request or transfer after which a session ends, in ms
  * @param graceMs time without the manager's event stream after which a session ends, in ms
  * @param beatMs interval between keep-alive comments on event streams, in ms
  * @param pieces number of segments of generated pieces, by title; all other titles are lectures
@@ -70,17 +71,17 @@
      * @throws InvalidDocumentException if the file cannot be read or is not valid; names all faults
      */
     public static BoxSettings read(Path file) throws InvalidDocumentException {
-        return fromJson(Documents.read(file, BoxSettings.class, "box.schema.json"));
+        return fromJson(file.toString(), Documents.read(file, BoxSettings.class, "box.schema.json"));
     }
 
     /**
      * Parses and validates settings.
      *
-     * @param name name of the document, with which faults found by the schema begin
+     * @param name name of the document, with which each fault begins
      * @throws InvalidDocumentException if the text is not valid; names all faults
      */
     public static BoxSettings parse(String name, String text) throws InvalidDocumentException {
-        return fromJson(Documents.check(name, text, BoxSettings.class, "box.schema.json"));
+        return fromJson(name, Documents.check(name, text, BoxSettings.class, "box.schema.json"));
     }
 
     /** Reads the number of segments by title. */
@@ -103,11 +104,11 @@
                 List.of("GET", "HEAD"));
     }
 
-    private static BoxSettings fromJson(JsonNode document) throws InvalidDocumentException {
+    private static BoxSettings fromJson(String name, JsonNode document) throws InvalidDocumentException {
         JsonNode listen = document.get("listen");
         String content = document.path("content").asText(null);
         if (content != null && !java.nio.file.Files.isDirectory(Path.of(content))) {
-            throw new InvalidDocumentException(List.of("/content: a folder is expected: " + content));
+            throw new InvalidDocumentException(List.of(name + ": /content: a folder is expected: " + content));
         }
         Set<String> absent = new HashSet<>();
         document.path("absent").forEach(title -> absent.add(title.asText()));
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -39,10 +39,16 @@
  */
 public final class MediaBox {
     private static final Logger LOG = LoggerFactory.getLogger(MediaBox.class);
-    /** Interval at which transfers are given their share of the link. */
+    /** Interval at which transfers are given their share of the link, in ms. */
     private static final double PACING_INTERVAL_MS = 40;
-    /** Interval between events that report the last segments delivered completely. */
+    /** Interval between events that report the last segments delivered completely, in ms. */
     private static final double SERVED_EVENT_INTERVAL_MS = 250;
+    /** Interval between checks for sessions that end, in ms. */
+    private static final double EXPIRY_CHECK_INTERVAL_MS = 200;
+    /** Interval between notes of the delivered share, in ms. */
+    private static final double SHARE_NOTE_INTERVAL_MS = 1000;
+    /** Maximum number of load reports kept for delayed reporting. */
+    private static final int MAX_LOAD_REPORTS = 100;
     /** Maximum multiple of its own rate that a transfer gets while the link has spare capacity. */
     private static final double MAX_RATE_FACTOR = 3;
 
@@ -51,7 +57,10 @@
 
     /** Faults injected into a box. Each lasts until it is reset. */
     public static final class Faults {
-        /** The box accepts connections and reads requests but does not answer until the fault ends. */
+        /**
+         * The box accepts connections and reads requests but does not answer until the fault ends; deferred requests
+         * are handled then.
+         */
         public boolean hang;
         /** A hanging box does not notice that clients have closed their connections, and handles their requests too. */
         public boolean ignorePeerClosed;
@@ -88,7 +97,7 @@
         this.address = settings.listen();
     }
 
-    /** Returns the settings. */
+    /** Returns the settings that the box was created with. */
     public BoxSettings settings() {
         return settings;
     }
@@ -126,8 +135,8 @@
     }
 
     /**
-     * Starts the process, on the same port as before after a crash. Does nothing if it is running or crashed by
-     * overload.
+     * Starts the process, on the same port as before after a crash. Does nothing if it is running or
+     * crashed by overload.
      *
      * @param cold whether the box has to warm up
      * @return the address that the box listens on
@@ -176,8 +185,8 @@
         }
     }
 
-    /** Utilization of the link and of the rack's uplink at a time. */
-    private record LoadReport(double atMs, double linkUtilization, double uplinkUtilization) {}
+    /** Ratios of demand to capacity of the link and of the rack's uplink at a time. */
+    private record LoadReport(double atMs, double linkDemandRatio, double uplinkDemandRatio) {}
 
     /** One response body that is paced by the link. */
     private static final class Transfer {
@@ -241,10 +250,10 @@
             repeatEvery(PACING_INTERVAL_MS, this::paceTransfers);
             repeatEvery(settings.beatMs(), this::sendKeepAlives);
             repeatEvery(SERVED_EVENT_INTERVAL_MS, this::sendServedEvents);
-            repeatEvery(200, this::endExpiredSessions);
+            repeatEvery(EXPIRY_CHECK_INTERVAL_MS, this::endExpiredSessions);
             repeatEvery(settings.reportEveryMs(), this::recordLoad);
-            repeatEvery(settings.noteEveryMs(), this::sendUtilizationNotes);
-            repeatEvery(1000, this::sendShareNote);
+            repeatEvery(settings.noteEveryMs(), this::sendDemandRatioNotes);
+            repeatEvery(SHARE_NOTE_INTERVAL_MS, this::sendShareNote);
             recordLoad();
         }
 
@@ -303,8 +312,8 @@
             return new Headers()
                     .add(
                             "endpoint-load-metrics",
-                            "TEXT named_metrics.util=" + formatMetric(Math.min(1, report.linkUtilization()))
-                                    + ",named_metrics.x1=" + formatMetric(report.uplinkUtilization()));
+                            "TEXT named_metrics.util=" + formatMetric(Math.min(1, report.linkDemandRatio()))
+                                    + ",named_metrics.x1=" + formatMetric(report.uplinkDemandRatio()));
         }
 
         private String formatMetric(double value) {
@@ -312,8 +321,8 @@
         }
 
         private void recordLoad() {
-            reports.addLast(new LoadReport(nowMs(), model.linkUtilization(), model.uplinkUtilization()));
-            while (reports.size() > 100) {
+            reports.addLast(new LoadReport(nowMs(), model.linkDemandRatio(), model.uplinkDemandRatio()));
+            while (reports.size() > MAX_LOAD_REPORTS) {
                 reports.removeFirst();
             }
         }
@@ -326,7 +335,7 @@
                 return;
             }
             if (random.nextDouble() < faults.setUpErrorShare) {
-                exchange.problem(500, loadHeaders(), "Internal Server Error", "a fault", "");
+                exchange.problem(500, loadHeaders(), "Internal Server Error", "injected fault", "");
                 return;
             }
             JsonNode request;
@@ -372,7 +381,7 @@
             session.leaseUntilMs = nowMs()
                     + settings.setUpMs() * faults.setUpTimeFactor
                     + request.path("leaseMs").asDouble(1000);
-            session.lastRequestMs = nowMs();
+            session.lastActivityMs = nowMs();
             model.add(session);
             exchange.onPeerClosed(() -> {
                 if (!ignorePeerClosed && !faults.ignorePeerClosed && !isStopped()) {
@@ -403,7 +412,7 @@
             if (random.nextDouble() < faults.setUpResetShare) {
                 model.remove(session);
                 exchange.connection().write(ByteBuffer.wrap("HTTP/1.1 201 Crea".getBytes(StandardCharsets.ISO_8859_1)));
-                exchange.connection().reset(new IOException("a fault"));
+                exchange.connection().reset(new IOException("injected fault"));
                 return;
             }
             ObjectNode answer = Documents.MAPPER.createObjectNode().put("base", "/s/" + session.token + "/");
@@ -423,7 +432,7 @@
                 JsonNode request = Documents.MAPPER.readTree(exchange.body());
                 if (request.path("confirmed").asBoolean()) {
                     session.confirmed = true;
-                    session.lastRequestMs = nowMs();
+                    session.lastActivityMs = nowMs();
                     if (!streams.containsKey(session.manager)) {
                         session.managerLostMs = nowMs();
                     }
@@ -540,7 +549,7 @@
                 byte[] body = range.whole()
                         ? content
                         : Arrays.copyOfRange(content, (int) range.first(), (int) (range.first() + range.length()));
-                session.lastRequestMs = nowMs();
+                session.lastActivityMs = nowMs();
                 session.activeTransfers++;
                 BodyStream stream = exchange.stream(
                         range.whole() ? 200 : 206, headers.add("Content-Type", "video/mp4"), body.length);
@@ -554,7 +563,7 @@
                 exchange.onPeerClosed(() -> {
                     if (transfers.remove(transfer)) {
                         session.activeTransfers--;
-                        session.lastRequestMs = nowMs();
+                        session.lastActivityMs = nowMs();
                     }
                 });
             } catch (IOException e) {
@@ -571,13 +580,13 @@
             for (Transfer transfer : transfers) {
                 demandKb += transfer.rateKb;
             }
-            double uplinkUtilization = model.uplinkUtilization();
+            double uplinkDemandRatio = model.uplinkDemandRatio();
             double rateFactor = Math.min(MAX_RATE_FACTOR, model.linkKb() / Math.max(1, demandKb));
-            if (uplinkUtilization > 1) {
-                rateFactor = Math.min(rateFactor, 1 / uplinkUtilization);
+            if (uplinkDemandRatio > 1) {
+                rateFactor = Math.min(rateFactor, 1 / uplinkDemandRatio);
             }
-            if (model.linkUtilization() > 1) {
-                rateFactor = Math.min(rateFactor, 1 / model.linkUtilization());
+            if (model.linkDemandRatio() > 1) {
+                rateFactor = Math.min(rateFactor, 1 / model.linkDemandRatio());
             }
             for (Transfer transfer : new ArrayList<>(transfers)) {
                 transfer.creditBytes += transfer.rateKb * rateFactor * PACING_INTERVAL_MS;
@@ -594,7 +603,7 @@
                 transfer.creditBytes = Math.min(transfer.creditBytes, MAX_PENDING_BYTES);
                 if (transfer.sentBytes == transfer.content.length && transfers.remove(transfer)) {
                     transfer.session.activeTransfers--;
-                    transfer.session.lastRequestMs = nowMs();
+                    transfer.session.lastActivityMs = nowMs();
                     transfer.stream.end();
                     if (transfer.servedPath != null) {
                         servedPaths
@@ -649,10 +658,10 @@
             }
         }
 
-        private void sendUtilizationNotes() {
-            sendNote("link", model.linkUtilization());
+        private void sendDemandRatioNotes() {
+            sendNote("link", model.linkDemandRatio());
             if (settings.uplinkNotes()) {
-                sendNote("uplink", model.uplinkUtilization());
+                sendNote("uplink", model.uplinkDemandRatio());
             }
         }
 
@@ -664,8 +673,8 @@
         }
 
         /**
-         * Sends a note to each manager with confirmed sessions, after a delay. A note names the manager's oldest
-         * session.
+         * Sends a note to each manager with confirmed sessions, after a delay. A note names the
+         * manager's oldest session.
          */
         private void sendNote(String kind, double value) {
             Map<String, String> oldestSessions = new LinkedHashMap<>();
--- a/standin/src/main/java/calicovale/standin/Rack.java
+++ b/standin/src/main/java/calicovale/standin/Rack.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns the demand divided by the capacity, which may exceed 1; 0 if the uplink is unlimited. */
-    public double utilization() {
+    public double demandRatio() {
         if (uplinkKb <= 0) {
             return 0;
         }
--- a/standin/src/test/java/calicovale/standin/MediaBoxTest.java
+++ b/standin/src/test/java/calicovale/standin/MediaBoxTest.java
@@ -154,23 +154,23 @@
         BoxModel.BoxSession session = new BoxModel.BoxSession("a.0", "m", "token", "t", new double[] {10, 80}, 1);
         session.leaseUntilMs = 100;
         model.add(session);
-        assertEquals(0.8, model.linkUtilization(), 1e-9);
+        assertEquals(0.8, model.linkDemandRatio(), 1e-9);
         assertEquals(50 / 80.0, model.rateShare(), 1e-9, "the uplink limits more than the link");
         rack.setUplinkDivisor(2);
         assertEquals(25 / 80.0, model.rateShare(), 1e-9);
         assertTrue(model.expiredSessions(100).isEmpty());
         assertEquals("lease", model.expiredSessions(101).get(session));
         session.confirmed = true;
-        session.lastRequestMs = 100;
+        session.lastActivityMs = 100;
         assertTrue(model.expiredSessions(1000).isEmpty());
         assertEquals("idle", model.expiredSessions(1101).get(session));
         session.managerLostMs = 100;
         assertEquals("manager-lost", model.expiredSessions(601).get(session));
         model.setRung(session, 0, 2);
         model.setRung(session, 1, 1);
-        assertEquals(0.1, model.linkUtilization(), 1e-9, "an older message must not undo a newer one");
+        assertEquals(0.1, model.linkDemandRatio(), 1e-9, "an older message must not undo a newer one");
         model.remove(session);
-        assertEquals(0, rack.utilization(), 1e-9);
+        assertEquals(0, rack.demandRatio(), 1e-9);
     }
 
     @Test
--- a/stitch/src/main/java/calicovale/stitch/ChangeSelector.java
+++ b/stitch/src/main/java/calicovale/stitch/ActiveChanges.java
@@ -16,10 +16,10 @@
  * make the same choice. A change that missed a boundary is shown at the next one that plays before the change expires,
  * or not at all.
  */
-public final class ChangeSelector {
+public final class ActiveChanges {
 
     /**
-     * State of a session at a boundary.
+     * Facts of a session that decide which changes it is shown.
      *
      * @param session id of the session, which stays the same when the session moves or returns
      * @param viewer id of the viewer; empty if unknown, in which case once per viewer means once per session
@@ -32,7 +32,7 @@
      * @param returning true if the viewer continues a lecture that it began in another session, in which case changes
      *     that the earlier session was shown are not shown again
      */
-    public record SessionState(
+    public record SessionFacts(
             String session,
             String viewer,
             String title,
@@ -75,14 +75,14 @@
      * @param maxChanges maximum number of active changes
      * @param maxShowings maximum number of recorded showings, over all changes
      */
-    public ChangeSelector(int maxChanges, int maxShowings) {
+    public ActiveChanges(int maxChanges, int maxShowings) {
         this.maxChanges = maxChanges;
         this.maxShowings = maxShowings;
     }
 
     /**
-     * Returns a version that increases when a change is added, withdrawn or expires. Older candidate lists are then
-     * stale.
+     * Returns a version that increases when a change is added, withdrawn or expires. Older candidate lists
+     * are then stale.
      */
     public long version() {
         return version;
@@ -142,7 +142,7 @@
     }
 
     /** Returns the keys under which a showing is recorded: by viewer (v), by session (s), by lecture and viewer (r). */
-    private static List<String> showingKeys(Change change, SessionState session) {
+    private static List<String> showingKeys(Change change, SessionFacts session) {
         if (session.viewer().isEmpty()) {
             return List.of("s " + session.session());
         }
@@ -152,7 +152,7 @@
     }
 
     /** Returns whether a change was shown to this session, or to its viewer if the change is shown once per viewer. */
-    public boolean wasShown(Change change, SessionState session) {
+    public boolean wasShown(Change change, SessionFacts session) {
         Set<String> keysShownTo = showingKeysByChange.get(change.id());
         if (keysShownTo == null) {
             return false;
@@ -176,14 +176,14 @@
     /**
      * Records that a session's playlist shows a change. Returns the showing's keys, for {@link SessionLedger.Showing}.
      */
-    public List<String> recordShowing(Change change, SessionState session) {
+    public List<String> recordShowing(Change change, SessionFacts session) {
         List<String> keys = showingKeys(change, session);
-        keys.forEach(name -> restoreShowing(change.id(), name));
+        keys.forEach(key -> addShowingKey(change.id(), key));
         return keys;
     }
 
-    /** Restores a showing by a key that {@link #recordShowing} returned. Returns false at the maximum. */
-    public boolean restoreShowing(String changeId, String showingKey) {
+    /** Adds a key of a showing, as {@link #recordShowing} returns them. Returns false at the maximum. */
+    public boolean addShowingKey(String changeId, String showingKey) {
         if (showingCount >= maxShowings) {
             return false;
         }
@@ -196,7 +196,7 @@
     }
 
     /** Returns the changes that a session may still be shown, in selection order. */
-    public List<Change> candidates(SessionState session) {
+    public List<Change> candidates(SessionFacts session) {
         List<Change> result = new ArrayList<>(0);
         for (Change change : changes.values()) {
             if (change.audience().includes(session.title(), session.sessionClass(), session.tenant(), session.session())
@@ -215,7 +215,7 @@
      * @param boundaryS position of the boundary in the lecture, in seconds
      * @param boundaryMs time on the common clock at which the boundary will play, in ms
      */
-    public Decision chooseAt(List<Change> candidates, SessionState session, double boundaryS, double boundaryMs) {
+    public Decision chooseAt(List<Change> candidates, SessionFacts session, double boundaryS, double boundaryMs) {
         List<String> withoutRendition = null;
         for (int i = 0; i < candidates.size(); i++) {
             Change change = candidates.get(i);
@@ -241,10 +241,10 @@
     }
 
     /**
-     * Returns the highest rendition within the current rung's rate that keeps the class's floor, or null if there is
-     * none.
+     * Returns the highest rendition within the current rung's rate that keeps the class's floor, or null if
+     * there is none.
      */
-    public static Change.Rendition selectRendition(Change change, SessionState session) {
+    public static Change.Rendition selectRendition(Change change, SessionFacts session) {
         Change.Rendition best = null;
         for (Change.Rendition rendition : change.renditions()) {
             if (rendition.rung() >= session.lowestRung() && rendition.rateKb() * session.scale() <= session.rateKb()) {
@@ -256,10 +256,10 @@
 
     /**
      * Returns the rendition in which a started piece continues after the session's rung changed. It is that of {@link
-     * #selectRendition}, or else the lowest one that keeps the floor, because a started piece is always played to its end.
-     * Null if no rendition keeps the floor.
+     * #selectRendition}, or else the lowest one that keeps the floor, because a started piece is always played to its
+     * end. Null if no rendition keeps the floor.
      */
-    public static Change.Rendition renditionToContinue(Change change, SessionState session) {
+    public static Change.Rendition renditionToContinue(Change change, SessionFacts session) {
         Change.Rendition bestRendition = selectRendition(change, session);
         for (Change.Rendition rendition : change.renditions()) {
             if (bestRendition == null && rendition.rung() >= session.lowestRung()) {
--- a/stitch/src/main/java/calicovale/stitch/RecordLog.java
+++ b/stitch/src/main/java/calicovale/stitch/RecordLog.java
@@ -183,9 +183,9 @@
     }
 
     /**
-     * Replaces the snapshot and the log by a snapshot with these records. The complete snapshot is moved into place
-     * before the log is emptied. After a crash in between, both are read, so applying a record twice must have no
-     * further effect.
+     * Replaces the snapshot and the log by a snapshot with these records. The complete snapshot is moved into
+     * place before the log is emptied. After a crash in between, both are read, so applying a record twice must
+     * have no further effect.
      */
     public void snapshot(List<String> records) throws IOException {
         Path newSnapshot = snapshot.resolveSibling(snapshot.getFileName() + ".next");
--- a/stitch/src/main/java/calicovale/stitch/SessionLedger.java
+++ b/stitch/src/main/java/calicovale/stitch/SessionLedger.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 
 /**
- * Stores on disk the session state that must survive a restart of the manager: how far each session's playlist may have
- * been delivered, and which changes were shown to whom. An update is on disk before the playlist that it permits is
- * delivered to a player, so that after a kill no media sequence number goes back and no change is shown twice. Not
- * thread-safe.
+ * Stores on disk the session state that must survive a restart of the manager: how far each session's playlist may
+ * have been delivered, and which changes were shown to whom. An update is on disk before the playlist that it
+ * permits is delivered to a player, so that after a kill no media sequence number goes back and no change is shown
+ * twice. Not thread-safe.
  */
 public final class SessionLedger implements AutoCloseable {
 
@@ -26,11 +26,18 @@
      * State of one session, up to which its playlist may have been delivered.
      *
      * @param token secret part of the session's URL
+     * @param sessionClass name of the session's class
+     * @param tenant name of the session's tenant; empty if there are no tenants
+     * @param viewer name that the viewer gave; may be empty
+     * @param title title of the lecture
+     * @param topRung highest rung that the player can play
+     * @param waitMs time within which a placement of the session must be answered, in ms
      * @param mediaSequence upper bound, exclusive, of the media sequence numbers that may have been delivered
-     * @param discontinuitySequence upper bound, inclusive, of the discontinuity sequence numbers that may have been delivered
+     * @param discontinuitySequence upper bound, inclusive, of the discontinuity sequence numbers that may have been
+     *     delivered
      * @param segment index of the lecture's segment that played at {@code atMs}
      * @param targetS EXT-X-TARGETDURATION as delivered, in seconds
-     * @param dateMs programme date that the playlist had reached at {@code atMs}, in ms
+     * @param dateMs program date-time that the playlist had reached at {@code atMs}, in ms
      * @param atMs time on the managers' common clock, in ms
      */
     public record Entry(
@@ -39,7 +46,7 @@
             String tenant,
             String viewer,
             String title,
-            int top,
+            int topRung,
             double waitMs,
             long mediaSequence,
             int discontinuitySequence,
@@ -52,7 +59,7 @@
      * A record that a change was shown.
      *
      * @param changeId id of the change
-     * @param key key that {@link ChangeSelector#recordShowing} returned
+     * @param key key that {@link ActiveChanges#recordShowing} returned
      */
     public record Showing(String changeId, String key) {}
 
@@ -67,6 +74,9 @@
     public record Update(
             Collection<Entry> entries, Collection<String> endedTokens, Collection<Showing> showings, double aliveMs) {}
 
+    /** Minimum length of the log per session, in bytes, to replace it; about twice a session's size in a snapshot. */
+    private static final long SNAPSHOT_BYTES_PER_SESSION = 400L;
+
     private final RecordLog log;
     private final RecordLog.Recovery recovery;
     private final long snapshotBytes;
@@ -133,13 +143,13 @@
     /** Returns all showings. */
     public List<Showing> showings() {
         List<Showing> result = new ArrayList<>();
-        showings.forEach((change, names) -> names.forEach(name -> result.add(new Showing(change, name))));
+        showings.forEach((change, keys) -> keys.forEach(key -> result.add(new Showing(change, key))));
         return result;
     }
 
     /**
-     * Returns the last time on the common clock, in ms, at which the process that wrote the ledger is known to have
-     * run.
+     * Returns the last time on the common clock, in ms, at which the process that wrote the ledger is known
+     * to have run.
      */
     public double aliveMs() {
         return aliveMs;
@@ -150,14 +160,13 @@
      *
      * @param activeChanges ids of the active changes; a snapshot drops the showings of all others
      */
-    public void write(Update steps, Set<String> activeChanges) throws IOException {
-        log.append(records(steps));
-        aliveMs = Math.max(aliveMs, steps.aliveMs());
-        steps.entries().forEach(e -> entries.put(e.token(), e));
-        entries.keySet().removeAll(steps.endedTokens());
-        steps.showings().forEach(this::addShowing);
-        // 400 bytes per session is about twice the session's size in a snapshot
-        if (log.length() > Math.max(snapshotBytes, 400L * entries.size())) {
+    public void write(Update update, Set<String> activeChanges) throws IOException {
+        log.append(records(update));
+        aliveMs = Math.max(aliveMs, update.aliveMs());
+        update.entries().forEach(e -> entries.put(e.token(), e));
+        entries.keySet().removeAll(update.endedTokens());
+        update.showings().forEach(this::addShowing);
+        if (log.length() > Math.max(snapshotBytes, SNAPSHOT_BYTES_PER_SESSION * entries.size())) {
             showings.keySet().retainAll(activeChanges);
             log.snapshot(records(new Update(entries.values(), List.of(), showings(), aliveMs)));
         }
@@ -166,11 +175,11 @@
     /** Maximum number of items in a record, because the log limits the bytes of a record. */
     private static final int MAX_ITEMS_PER_RECORD = 1000;
 
-    private static List<String> records(Update steps) {
+    private static List<String> records(Update update) {
         List<String> result = new ArrayList<>();
-        ObjectNode node = Documents.MAPPER.createObjectNode().put("alive", steps.aliveMs());
+        ObjectNode node = Documents.MAPPER.createObjectNode().put("alive", update.aliveMs());
         int count = 0;
-        for (Entry entry : steps.entries()) {
+        for (Entry entry : update.entries()) {
             node.withArray("/s")
                     .addArray()
                     .add(entry.token())
@@ -178,7 +187,7 @@
                     .add(entry.tenant())
                     .add(entry.viewer())
                     .add(entry.title())
-                    .add(entry.top())
+                    .add(entry.topRung())
                     .add(entry.waitMs())
                     .add(entry.mediaSequence())
                     .add(entry.discontinuitySequence())
@@ -188,11 +197,11 @@
                     .add(entry.atMs());
             node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
         }
-        for (String token : steps.endedTokens()) {
+        for (String token : update.endedTokens()) {
             node.withArray("/over").add(token);
             node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
         }
-        for (Showing showing : steps.showings()) {
+        for (Showing showing : update.showings()) {
             ArrayNode pair = node.withArray("/shown").addArray();
             pair.add(showing.changeId()).add(showing.key());
             node = ++count % MAX_ITEMS_PER_RECORD == 0 ? startNextRecord(result, node) : node;
