--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -335,7 +335,7 @@
                 return;
             }
             if (random.nextDouble() < faults.setUpErrorShare) {
-                exchange.problem(500, loadHeaders(), "Internal Server Error", "injected fault", "");
+                exchange.problem(500, loadHeaders(), "Internal Server Error", "a fault", "");
                 return;
             }
             JsonNode request;
