--- a/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
@@ -13,22 +13,23 @@
 import java.util.Map;
 
 /**
- * Owns one scripted day as its file states it.
+ * A scripted day, as read from a day file.
  *
- * @param name of the day
- * @param seconds for which viewers come
- * @param seed of all that is random
- * @param service the managers' settings without their own parts, as JSON
- * @param settings the same, checked, for a first manager
- * @param managers how many session managers
- * @param gossip the managers' place in a group without their own parts, or null: they share nothing
- * @param skewMs the error of each manager's wall clock; managers beyond the list have none
- * @param boxes what boxes are like
- * @param directoryLagMs how late the list is
- * @param directoryStartsAtS when the directory is there
- * @param viewers who comes
- * @param changes programme changes that operators tell
- * @param faults what goes wrong
+ * @param name name of the day
+ * @param seconds time for which viewers arrive, in seconds
+ * @param seed seed of all random numbers
+ * @param service settings that all managers share, as JSON, without those that {@link #settings(int, int, int, List,
+ *        Path)} adds
+ * @param settings the same settings, parsed and validated with placeholders for what differs between managers
+ * @param managers number of session managers
+ * @param gossip gossip settings that all managers share, or null if the managers exchange no gossip
+ * @param skewMs error of each manager's wall clock in ms, by manager number; managers beyond the list have none
+ * @param boxes properties of the boxes
+ * @param directoryLagMs delay with which the directory publishes changes of its list, in ms
+ * @param directoryStartsAtS time at which the directory starts, in seconds from the start of the run
+ * @param viewers the viewers that arrive
+ * @param changes programme changes and withdrawals that operators send
+ * @param faults faults that are injected
  */
 public record Day(
         String name,
@@ -46,10 +47,27 @@
         List<Telling> changes,
         List<Fault> faults) {
 
-    /** What boxes are like. */
+    /**
+     * Properties of the boxes.
+     *
+     * @param count number of boxes
+     * @param maxStreams maximum number of sessions and set-ups of a box
+     * @param linkKb mean link capacity of a box, in kB/s
+     * @param linkSpread largest deviation of a box's link capacity from the mean, as a fraction of the mean
+     * @param setUpMs mean duration of a set-up, in ms
+     * @param segmentS duration of a generated segment, in seconds
+     * @param segments number of segments of a generated lecture
+     * @param idleMs time without a segment request after which a session ends, in ms
+     * @param graceMs time without the manager's event stream after which a session ends, in ms
+     * @param uplinkNotes whether notes of the rack's uplink utilization are sent too
+     * @param pieces number of segments of generated pieces, by title
+     * @param boxesWithPieces boxes that hold the pieces; empty if all do
+     * @param crossOrigin origins of the pages that may read segments
+     * @param content folder of HLS content, or null if content is generated
+     */
     public record Boxes(
             int count,
-            double streams,
+            double maxStreams,
             double linkKb,
             double linkSpread,
             double setUpMs,
@@ -59,64 +77,104 @@
             double graceMs,
             boolean uplinkNotes,
             Map<String, Integer> pieces,
-            List<Integer> piecesOn,
+            List<Integer> boxesWithPieces,
             CrossOrigin crossOrigin,
             String content) {}
 
-    /** Who comes. */
+    /**
+     * The viewers that arrive.
+     *
+     * @param arrivalsPerSecond mean rate of arrivals outside surges
+     * @param titles number of different lectures
+     * @param returnProbability probability that a viewer returns after a refusal or an interruption
+     * @param returnDelayRangeMs lowest and highest delay before a viewer returns, in ms
+     * @param impatientProbability probability that a viewer gives up its request before its deadline
+     * @param impatientTimeoutRangeMs lowest and highest time after which such a viewer gives up, in ms
+     * @param surges times with a different rate of arrivals
+     * @param classes classes of the viewers
+     */
     public record Viewers(
-            double perSecond,
+            double arrivalsPerSecond,
             int titles,
-            double comeAgain,
-            double[] comeAgainMs,
-            double impatient,
-            double[] impatientMs,
+            double returnProbability,
+            double[] returnDelayRangeMs,
+            double impatientProbability,
+            double[] impatientTimeoutRangeMs,
             List<Surge> surges,
-            List<Kind> classes) {}
+            List<ViewerClass> classes) {}
 
-    /** Viewers come {@code times} as often for a while. */
-    public record Surge(double at, double lasts, double times) {}
+    /** A time during which the rate of arrivals is multiplied by {@code rateFactor}; times in seconds of the day. */
+    public record Surge(double startS, double durationS, double rateFactor) {}
 
-    /** Viewers of one class. */
-    public record Kind(String name, double part, double[] seconds, List<Integer> tops) {}
+    /**
+     * Viewers of one class.
+     *
+     * @param name name of the session class
+     * @param relativeWeight share of the viewers, relative to the sum over all classes
+     * @param watchTimeRangeS lowest and highest time for which a viewer stays, in seconds
+     * @param topRungs highest rungs that viewers ask for, one chosen at random; empty for the highest of the class
+     */
+    public record ViewerClass(String name, double relativeWeight, double[] watchTimeRangeS, List<Integer> topRungs) {}
 
     /**
-     * Operators tell or withdraw a change.
+     * A programme change that operators send, or withdraw, at a time of the day.
      *
-     * @param at seconds of the day
-     * @param managers who is told; empty: all
-     * @param change its document, or null; where {@code startsInS} is a number, its start and end are set from then on
-     * @param withdraw id of a change to be withdrawn, or null
+     * @param atS time in seconds of the day
+     * @param managers numbers of the managers to which it is sent; empty for all
+     * @param change document of the change, or null for a withdrawal
+     * @param startsInS delay in seconds from sending to the start of the change, which replaces the document's start
+     *        and end; NaN to leave them as they are
+     * @param withdrawId id of the change to be withdrawn, or null
      */
-    public record Telling(double at, List<Integer> managers, ObjectNode change, double startsInS, String withdraw) {}
+    public record Telling(double atS, List<Integer> managers, ObjectNode change, double startsInS, String withdrawId) {}
 
-    /** One fault; fields that its kind does not use have no meaning. */
+    /**
+     * A fault; components that its kind does not use are ignored.
+     *
+     * @param kind kind of the fault, as in the day file
+     * @param atS time at which it begins, in seconds of the day
+     * @param durationS time after which it ends, in seconds; 0 for a fault that is not undone
+     * @param boxes ids of the boxes concerned
+     * @param rack number of the rack concerned
+     * @param manager number of the manager concerned
+     * @param value strength of the fault; its unit depends on the kind
+     * @param ignorePeerClosed whether boxes that hang do not notice closed connections
+     */
     public record Fault(
             String kind,
-            double at,
-            double lasts,
+            double atS,
+            double durationS,
             List<Integer> boxes,
             int rack,
             int manager,
             double value,
-            boolean deaf) {}
+            boolean ignorePeerClosed) {}
 
-    /** Reads a day file and checks it whole. */
+    /**
+     * Reads and validates a day file.
+     *
+     * @throws InvalidDocumentException if the file cannot be read or is not valid; names all faults
+     */
     public static Day read(Path file) throws InvalidDocumentException {
         return of(file.toString(), Documents.read(file, Day.class, "day.schema.json"));
     }
 
-    /** Checks a text whole. */
+    /**
+     * Parses and validates the text of a day file.
+     *
+     * @param name name of the document, with which faults begin
+     * @throws InvalidDocumentException if the text is not valid; names all faults
+     */
     public static Day parse(String name, String text) throws InvalidDocumentException {
         return of(name, Documents.check(name, text, Day.class, "day.schema.json"));
     }
 
-    /** The same day with another seed. */
-    public Day withSeed(long other) {
+    /** Returns the same day with another seed. */
+    public Day withSeed(long newSeed) {
         return new Day(
                 name,
                 seconds,
-                other,
+                newSeed,
                 service,
                 settings,
                 managers,
@@ -130,104 +188,121 @@
                 faults);
     }
 
-    private static void gossip(ObjectNode service, ObjectNode group, int number, List<String> seeds, Path state) {
-        ObjectNode g = group.deepCopy();
-        g.put("group", "day")
-                .put("member", "m" + number)
-                .put("keyFile", state.resolve("m" + number + ".key").toString())
+    private static void addGossipSettings(
+            ObjectNode service, ObjectNode group, int managerNumber, List<String> seeds, Path state) {
+        ObjectNode gossipSettings = group.deepCopy();
+        gossipSettings
+                .put("group", "day")
+                .put("member", "m" + managerNumber)
+                .put("keyFile", state.resolve("m" + managerNumber + ".key").toString())
                 .put("rosterFolder", state.resolve("roster").toString());
-        g.putObject("listen").put("host", "127.0.0.1").put("port", 0);
-        seeds.forEach(g.putArray("seeds")::add);
-        service.set("gossip", g);
+        gossipSettings.putObject("listen").put("host", "127.0.0.1").put("port", 0);
+        seeds.forEach(gossipSettings.putArray("seeds")::add);
+        service.set("gossip", gossipSettings);
     }
 
     /**
-     * A manager's settings of this day.
+     * Returns the settings of one manager: the shared settings and those that differ between managers.
      *
-     * @param seeds where other managers of its group are reached
-     * @param state the folder below which managers keep what outlives them
+     * @param managerNumber number of the manager, from 0
+     * @param listenPort port for players
+     * @param directoryPort port of the box directory
+     * @param seeds gossip addresses of other managers, as {@code host:port}
+     * @param state folder below which managers keep state across restarts
      */
-    public FrontSettings settings(int number, int listenPort, int directoryPort, List<String> seeds, Path state) {
-        ObjectNode n = service.deepCopy();
-        n.putObject("manager").put("number", number).put("of", managers).put("seed", seed * 1000 + number);
-        n.putObject("listen").put("host", "127.0.0.1").put("port", listenPort);
-        ObjectNode d = n.putObject("directory").put("host", "127.0.0.1").put("port", directoryPort);
-        d.put("savedList", state.resolve("list-" + number + ".json").toString());
+    public FrontSettings settings(
+            int managerNumber, int listenPort, int directoryPort, List<String> seeds, Path state) {
+        ObjectNode managerSettings = service.deepCopy();
+        managerSettings
+                .putObject("manager")
+                .put("number", managerNumber)
+                .put("of", managers)
+                .put("seed", seed * 1000 + managerNumber);
+        managerSettings.putObject("listen").put("host", "127.0.0.1").put("port", listenPort);
+        ObjectNode directorySettings =
+                managerSettings.putObject("directory").put("host", "127.0.0.1").put("port", directoryPort);
+        directorySettings.put(
+                "savedList", state.resolve("list-" + managerNumber + ".json").toString());
         if (gossip != null) {
-            gossip(n, gossip, number, seeds, state);
+            addGossipSettings(managerSettings, gossip, managerNumber, seeds, state);
         }
-        // what managers keep is each one's own
+        // each manager has its own subfolder for its persistent state
         for (String folder : List.of("changesFolder", "sessionsFolder")) {
-            if (n.has(folder)) {
-                n.put(
+            if (managerSettings.has(folder)) {
+                managerSettings.put(
                         folder,
-                        state.resolve(n.get(folder).asText())
-                                .resolve("m" + number)
+                        state.resolve(managerSettings.get(folder).asText())
+                                .resolve("m" + managerNumber)
                                 .toString());
             }
         }
         try {
-            return FrontSettings.parse("service", n.toString());
+            return FrontSettings.parse("service", managerSettings.toString());
         } catch (InvalidDocumentException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Day of(String name, JsonNode n) throws InvalidDocumentException {
+    private static Day of(String name, JsonNode document) throws InvalidDocumentException {
         List<String> faults = new ArrayList<>();
-        ObjectNode whole = n.get("service").deepCopy();
-        for (String own : List.of("manager", "listen", "directory", "gossip")) {
-            if (whole.has(own)) {
-                faults.add(name + ": /service/" + own + ": nothing is expected, the rehearsal sets it");
+        ObjectNode serviceWithPlaceholders = document.get("service").deepCopy();
+        for (String key : List.of("manager", "listen", "directory", "gossip")) {
+            if (serviceWithPlaceholders.has(key)) {
+                faults.add(name + ": /service/" + key + ": this key must be absent, because the rehearsal sets it");
             }
         }
-        int managers = n.get("managers").get("count").asInt();
-        whole.putObject("manager").put("number", 0).put("of", managers);
-        whole.putObject("listen").put("host", "127.0.0.1").put("port", 0);
-        whole.putObject("directory").put("host", "127.0.0.1").put("port", 1);
-        ObjectNode group = (ObjectNode) n.get("managers").get("gossip");
+        int managers = document.get("managers").get("count").asInt();
+        serviceWithPlaceholders.putObject("manager").put("number", 0).put("of", managers);
+        serviceWithPlaceholders.putObject("listen").put("host", "127.0.0.1").put("port", 0);
+        serviceWithPlaceholders.putObject("directory").put("host", "127.0.0.1").put("port", 1);
+        ObjectNode group = (ObjectNode) document.get("managers").get("gossip");
         if (group != null) {
-            gossip(whole, group, 0, List.of(), Path.of("state"));
+            addGossipSettings(serviceWithPlaceholders, group, 0, List.of(), Path.of("state"));
         }
         FrontSettings settings = null;
         try {
-            settings = FrontSettings.parse(name + ": /service", whole.toString());
+            settings = FrontSettings.parse(name + ": /service", serviceWithPlaceholders.toString());
         } catch (InvalidDocumentException e) {
             faults.addAll(e.faults());
         }
-        JsonNode b = n.get("boxes");
-        int count = b.get("count").asInt();
+        JsonNode boxSettings = document.get("boxes");
+        int count = boxSettings.get("count").asInt();
         Boxes boxes = new Boxes(
                 count,
-                b.get("streams").asDouble(),
-                b.get("linkKb").asDouble(),
-                b.path("linkSpread").asDouble(),
-                b.path("setUpMs").asDouble(20),
-                b.path("segmentS").asDouble(2),
-                b.path("segments").asInt(20),
-                b.path("idleMs").asDouble(8000),
-                b.path("graceMs").asDouble(4000),
-                b.path("uplinkNotes").asBoolean(),
-                BoxSettings.pieces(b.path("pieces")),
-                numbers(b.path("piecesOn")),
-                BoxSettings.crossOrigin(b.path("origins")),
-                b.path("content").asText(null));
-        JsonNode v = n.get("viewers");
-        List<Kind> kinds = new ArrayList<>();
-        for (int i = 0; i < v.get("classes").size(); i++) {
-            JsonNode k = v.get("classes").get(i);
-            List<Integer> tops = new ArrayList<>();
-            k.path("tops").forEach(top -> tops.add(top.asInt()));
-            kinds.add(new Kind(k.get("name").asText(), k.get("part").asDouble(), range(k, "seconds", 10, 20), tops));
+                boxSettings.get("streams").asDouble(),
+                boxSettings.get("linkKb").asDouble(),
+                boxSettings.path("linkSpread").asDouble(),
+                boxSettings.path("setUpMs").asDouble(20),
+                boxSettings.path("segmentS").asDouble(2),
+                boxSettings.path("segments").asInt(20),
+                boxSettings.path("idleMs").asDouble(8000),
+                boxSettings.path("graceMs").asDouble(4000),
+                boxSettings.path("uplinkNotes").asBoolean(),
+                BoxSettings.pieces(boxSettings.path("pieces")),
+                integers(boxSettings.path("piecesOn")),
+                BoxSettings.crossOrigin(boxSettings.path("origins")),
+                boxSettings.path("content").asText(null));
+        JsonNode viewerSettings = document.get("viewers");
+        List<ViewerClass> viewerClasses = new ArrayList<>();
+        for (int i = 0; i < viewerSettings.get("classes").size(); i++) {
+            JsonNode classSettings = viewerSettings.get("classes").get(i);
+            List<Integer> topRungs = new ArrayList<>();
+            classSettings.path("tops").forEach(top -> topRungs.add(top.asInt()));
+            viewerClasses.add(new ViewerClass(
+                    classSettings.get("name").asText(),
+                    classSettings.get("part").asDouble(),
+                    rangeOrDefault(classSettings, "seconds", 10, 20),
+                    topRungs));
             if (settings != null) {
-                int c = settings.classNames().indexOf(k.get("name").asText());
-                if (c < 0) {
+                int classId =
+                        settings.classNames().indexOf(classSettings.get("name").asText());
+                if (classId < 0) {
                     faults.add(name + ": /viewers/classes/" + i + "/name: a class of /service/classes is expected");
-                } else if (tops.stream()
+                } else if (topRungs.stream()
                         .anyMatch(top -> top
-                                < n.get("service")
+                                < document.get("service")
                                         .get("classes")
-                                        .get(c)
+                                        .get(classId)
                                         .get("lowestRung")
                                         .asInt())) {
                     faults.add(
@@ -236,91 +311,94 @@
             }
         }
         List<Surge> surges = new ArrayList<>();
-        v.path("surges")
+        viewerSettings
+                .path("surges")
                 .forEach(s -> surges.add(new Surge(
                         s.get("at").asDouble(),
                         s.get("for").asDouble(),
                         s.get("times").asDouble())));
-        List<Fault> script = new ArrayList<>();
-        for (int i = 0; i < n.path("faults").size(); i++) {
-            JsonNode f = n.get("faults").get(i);
-            List<Integer> which = numbers(f.path("boxes"));
-            if (which.stream().anyMatch(box -> box >= count)) {
+        List<Fault> scriptedFaults = new ArrayList<>();
+        for (int i = 0; i < document.path("faults").size(); i++) {
+            JsonNode faultSettings = document.get("faults").get(i);
+            List<Integer> boxIds = integers(faultSettings.path("boxes"));
+            if (boxIds.stream().anyMatch(box -> box >= count)) {
                 faults.add(name + ": /faults/" + i + "/boxes: numbers below " + count + " are expected");
             }
-            if (f.path("manager").asInt() >= managers) {
+            if (faultSettings.path("manager").asInt() >= managers) {
                 faults.add(name + ": /faults/" + i + "/manager: a number below " + managers + " is expected");
             }
-            script.add(new Fault(
-                    f.get("kind").asText(),
-                    f.get("at").asDouble(),
-                    f.path("for").asDouble(),
-                    which,
-                    f.path("rack").asInt(),
-                    f.path("manager").asInt(),
-                    f.path("value").asDouble(),
-                    f.path("deaf").asBoolean()));
+            scriptedFaults.add(new Fault(
+                    faultSettings.get("kind").asText(),
+                    faultSettings.get("at").asDouble(),
+                    faultSettings.path("for").asDouble(),
+                    boxIds,
+                    faultSettings.path("rack").asInt(),
+                    faultSettings.path("manager").asInt(),
+                    faultSettings.path("value").asDouble(),
+                    faultSettings.path("deaf").asBoolean()));
         }
-        List<Telling> tellings = new ArrayList<>();
-        for (int i = 0; i < n.path("changes").size(); i++) {
-            JsonNode c = n.get("changes").get(i);
-            List<Integer> whom = numbers(c.path("managers"));
-            if (whom.stream().anyMatch(m -> m >= managers)) {
+        List<Telling> scriptedChanges = new ArrayList<>();
+        for (int i = 0; i < document.path("changes").size(); i++) {
+            JsonNode changeSettings = document.get("changes").get(i);
+            List<Integer> managerNumbers = integers(changeSettings.path("managers"));
+            if (managerNumbers.stream().anyMatch(m -> m >= managers)) {
                 faults.add(name + ": /changes/" + i + "/managers: numbers below " + managers + " are expected");
             }
-            if (c.has("change") == c.has("withdraw")) {
+            if (changeSettings.has("change") == changeSettings.has("withdraw")) {
                 faults.add(name + ": /changes/" + i + ": one of change and withdraw is expected");
             }
-            tellings.add(new Telling(
-                    c.get("at").asDouble(),
-                    whom,
-                    (ObjectNode) c.get("change"),
-                    c.path("startsInS").asDouble(Double.NaN),
-                    c.path("withdraw").asText(null)));
+            scriptedChanges.add(new Telling(
+                    changeSettings.get("at").asDouble(),
+                    managerNumbers,
+                    (ObjectNode) changeSettings.get("change"),
+                    changeSettings.path("startsInS").asDouble(Double.NaN),
+                    changeSettings.path("withdraw").asText(null)));
         }
-        if (!tellings.isEmpty() && !whole.has("operators")) {
+        if (!scriptedChanges.isEmpty() && !serviceWithPlaceholders.has("operators")) {
             faults.add(name + ": /service/operators: an address is expected with /changes");
         }
         if (!faults.isEmpty()) {
             throw new InvalidDocumentException(faults);
         }
-        List<Double> skews = new ArrayList<>();
-        n.get("managers").path("skewMs").forEach(ms -> skews.add(ms.asDouble()));
-        JsonNode d = n.path("directory");
+        List<Double> skewsMs = new ArrayList<>();
+        document.get("managers").path("skewMs").forEach(ms -> skewsMs.add(ms.asDouble()));
+        JsonNode directorySettings = document.path("directory");
         return new Day(
-                n.get("name").asText(),
-                n.get("seconds").asDouble(),
-                n.path("seed").asLong(1),
-                (ObjectNode) n.get("service"),
+                document.get("name").asText(),
+                document.get("seconds").asDouble(),
+                document.path("seed").asLong(1),
+                (ObjectNode) document.get("service"),
                 settings,
                 managers,
                 group,
-                skews,
+                skewsMs,
                 boxes,
-                d.path("lagMs").asDouble(500),
-                d.path("startsAtS").asDouble(),
+                directorySettings.path("lagMs").asDouble(500),
+                directorySettings.path("startsAtS").asDouble(),
                 new Viewers(
-                        v.get("perSecond").asDouble(),
-                        v.path("titles").asInt(20),
-                        v.path("comeAgain").asDouble(0.9),
-                        range(v, "comeAgainMs", 1000, 3000),
-                        v.path("impatient").asDouble(),
-                        range(v, "impatientMs", 5, 200),
+                        viewerSettings.get("perSecond").asDouble(),
+                        viewerSettings.path("titles").asInt(20),
+                        viewerSettings.path("comeAgain").asDouble(0.9),
+                        rangeOrDefault(viewerSettings, "comeAgainMs", 1000, 3000),
+                        viewerSettings.path("impatient").asDouble(),
+                        rangeOrDefault(viewerSettings, "impatientMs", 5, 200),
                         surges,
-                        kinds),
-                tellings,
-                script);
+                        viewerClasses),
+                scriptedChanges,
+                scriptedFaults);
     }
 
-    private static List<Integer> numbers(JsonNode array) {
+    private static List<Integer> integers(JsonNode array) {
         List<Integer> result = new ArrayList<>();
         array.forEach(v -> result.add(v.asInt()));
         return List.copyOf(result);
     }
 
-    private static double[] range(JsonNode n, String key, double low, double high) {
-        return n.has(key)
-                ? new double[] {n.get(key).get(0).asDouble(), n.get(key).get(1).asDouble()}
-                : new double[] {low, high};
+    private static double[] rangeOrDefault(JsonNode object, String key, double defaultLow, double defaultHigh) {
+        return object.has(key)
+                ? new double[] {
+                    object.get(key).get(0).asDouble(), object.get(key).get(1).asDouble()
+                }
+                : new double[] {defaultLow, defaultHigh};
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/day/package-info.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/day/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns day files: what is started, who comes, what goes wrong and when. It must not know how it is carried out.
+ * Day files: which processes are started, which viewers arrive, and which faults occur when. How a day is carried out
+ * is defined in the package {@code run}, not here.
  */
 package calicovale.rehearsal.day;
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Operators.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Operators.java
@@ -19,98 +19,112 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the operators of a rehearsal: they tell managers of programme changes at the day's times, again while one is down, and
- * mark on the tape when a manager took it.
+ * Simulated operators of a rehearsal. They send programme changes and withdrawals to managers at the times of the
+ * day, retry while a manager is unreachable, and mark in the recording when a manager accepted one.
  */
 public final class Operators implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Operators.class);
-    private static final Duration WAIT = Duration.ofSeconds(5);
-    /** Ms after which a manager that could not be told is told again; so often at most. */
-    private static final long AGAIN_MS = 200;
+    /** Timeout for connecting to a manager, and for a whole request. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+    /** Delay before a request that failed is sent again, in ms. */
+    private static final long RETRY_INTERVAL_MS = 200;
+    /** Maximum number of retries of one request. */
+    private static final int MAX_RETRIES = 50;
+    /** Validity in ms, from its start, of a change whose start is relative to the time of sending. */
+    private static final double CHANGE_VALIDITY_MS = 600_000;
 
-    private static final int MOST_TIMES = 50;
-    /** Ms for which a change counts whose start the day sets. */
-    private static final double VALID_MS = 600_000;
-
-    private final Rehearsal run;
-    private final Tape tape;
+    private final Rehearsal rehearsal;
+    private final Tape recording;
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(WAIT)
+            .connectTimeout(REQUEST_TIMEOUT)
             .build();
-    private final ScheduledExecutorService hand = Executors.newSingleThreadScheduledExecutor(body -> {
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(body -> {
         Thread thread = new Thread(body, "operators");
         thread.setDaemon(true);
         return thread;
     });
 
-    /** Operators of a run that has started. */
-    public Operators(Rehearsal run, Tape tape) {
-        this.run = run;
-        this.tape = tape;
+    /** Creates the operators of a rehearsal that has started. */
+    public Operators(Rehearsal rehearsal, Tape recording) {
+        this.rehearsal = rehearsal;
+        this.recording = recording;
     }
 
-    /** Tells what the day has, from now on. */
-    public void begin(List<Day.Telling> tellings) {
-        for (Day.Telling t : tellings) {
-            hand.schedule(() -> tell(t), Math.round(1000 * t.at()), TimeUnit.MILLISECONDS);
+    /** Schedules the changes of the day; their times count from now. */
+    public void schedule(List<Day.Telling> scriptedChanges) {
+        for (Day.Telling scripted : scriptedChanges) {
+            executor.schedule(() -> tell(scripted), Math.round(1000 * scripted.atS()), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Tells now; returns when the managers named took it. */
-    public void tell(Day.Telling t) {
-        List<Integer> whom = t.managers().isEmpty()
-                ? IntStream.range(0, run.managers().size()).boxed().toList()
-                : t.managers();
-        ObjectNode change = t.change() == null ? null : t.change().deepCopy();
-        if (change != null && !Double.isNaN(t.startsInS())) {
-            double at = System.currentTimeMillis() + 1000 * t.startsInS();
-            change.putObject("start").put("atMs", at);
-            change.put("validUntilMs", at + VALID_MS);
+    /**
+     * Sends a change or withdrawal to its managers now. Returns after one request to each; requests to managers that
+     * were unreachable are retried in the background.
+     */
+    public void tell(Day.Telling scripted) {
+        List<Integer> targets = scripted.managers().isEmpty()
+                ? IntStream.range(0, rehearsal.managers().size()).boxed().toList()
+                : scripted.managers();
+        ObjectNode change = scripted.change() == null ? null : scripted.change().deepCopy();
+        if (change != null && !Double.isNaN(scripted.startsInS())) {
+            double startAtMs = System.currentTimeMillis() + 1000 * scripted.startsInS();
+            change.putObject("start").put("atMs", startAtMs);
+            change.put("validUntilMs", startAtMs + CHANGE_VALIDITY_MS);
         }
-        for (int m : whom) {
-            tell(m, change, t.withdraw(), 0);
+        for (int managerNumber : targets) {
+            tell(managerNumber, change, scripted.withdrawId(), 0);
         }
     }
 
-    private void tell(int m, ObjectNode change, String withdraw, int times) {
+    private void tell(int managerNumber, ObjectNode change, String withdrawId, int retries) {
         try {
-            URI at = URI.create("http://127.0.0.1:"
-                    + run.managers().get(m).operatorsAddress().getPort() + "/v1/changes"
-                    + (change == null ? "/" + withdraw : ""));
-            HttpRequest.Builder request = HttpRequest.newBuilder(at).timeout(WAIT);
-            HttpRequest whole = change == null
+            URI uri = URI.create("http://127.0.0.1:"
+                    + rehearsal.managers().get(managerNumber).operatorsAddress().getPort() + "/v1/changes"
+                    + (change == null ? "/" + withdrawId : ""));
+            HttpRequest.Builder request = HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT);
+            HttpRequest httpRequest = change == null
                     ? request.DELETE().build()
                     : request.POST(HttpRequest.BodyPublishers.ofString(change.toString()))
                             .build();
-            HttpResponse<String> answer = client.send(whole, HttpResponse.BodyHandlers.ofString());
-            if (answer.statusCode() < 300) {
-                ObjectNode n = Documents.MAPPER.createObjectNode().put("wallMs", System.currentTimeMillis());
+            HttpResponse<String> response = client.send(httpRequest, HttpResponse.BodyHandlers.ofString());
+            if (response.statusCode() < 300) {
+                ObjectNode detail = Documents.MAPPER.createObjectNode().put("wallMs", System.currentTimeMillis());
                 if (change == null) {
-                    n.put("id", withdraw);
+                    detail.put("id", withdrawId);
                 } else {
-                    n.set("change", change);
+                    detail.set("change", change);
                 }
-                tape.mark(change == null ? "change-withdrawn" : "change-told", "manager:" + m, n.toString());
+                recording.mark(
+                        change == null ? "change-withdrawn" : "change-told",
+                        "manager:" + managerNumber,
+                        detail.toString());
                 return;
             }
-            LOG.warn("manager {} answered {}: {}", m, answer.statusCode(), answer.body());
-            if (answer.statusCode() != 503) {
+            LOG.warn(
+                    "manager {} refused a programme change with status {}: {}",
+                    managerNumber,
+                    response.statusCode(),
+                    response.body());
+            if (response.statusCode() != 503) {
                 return;
             }
         } catch (IOException | IllegalStateException e) {
-            LOG.info("manager {} is not reached: {}", m, e.toString());
+            LOG.info("manager {} could not be reached for a programme change: {}", managerNumber, e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
         }
-        if (times < MOST_TIMES) {
-            hand.schedule(() -> tell(m, change, withdraw, times + 1), AGAIN_MS, TimeUnit.MILLISECONDS);
+        if (retries < MAX_RETRIES) {
+            executor.schedule(
+                    () -> tell(managerNumber, change, withdrawId, retries + 1),
+                    RETRY_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void close() {
-        hand.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
@@ -19,7 +19,7 @@
 import calicovale.rehearsal.tape.Entry;
 import calicovale.rehearsal.tape.SocketTap;
 import calicovale.rehearsal.tape.Tape;
-import calicovale.rehearsal.viewers.Audience;
+import calicovale.rehearsal.viewers.SimulatedViewers;
 import calicovale.standin.BoxDirectory;
 import calicovale.standin.BoxSettings;
 import calicovale.standin.MediaBox;
@@ -42,205 +42,223 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns one run of a day: directory, boxes, managers and viewers, each on its own loop and with its own sockets on loopback,
- * and the faults in their time. What it did it marks on the tape.
+ * One run of a scripted day: starts the directory, boxes, managers and viewers with real sockets on loopback, injects
+ * the faults at their times, and marks in the recording what it did. Directory, viewers and each manager have an
+ * event loop of their own; boxes share a few.
  */
 public final class Rehearsal implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
-    private static final int BOX_LOOPS = 4;
-    /** Ms past a viewer's deadline in which an answer still counts: its own timer and the wire take that long. */
+    /** Maximum number of event loops that the boxes share. */
+    private static final int MAX_BOX_LOOPS = 4;
+    /**
+     * Time past a viewer's deadline in which a response still counts, in ms; the viewer's timer and the network need
+     * it.
+     */
     private static final double ANSWER_SLACK_MS = 50;
-    /** Ms between two tellings of a liar. */
-    private static final double FALSE_CLAIMS_MS = 300;
+    /** Interval at which a manager with a {@code false-claims} fault renews its false claims, in ms. */
+    private static final double FALSE_CLAIM_INTERVAL_MS = 300;
 
     private final Day day;
     private final Clock clock = Clock.system();
-    private final Tape tape = new Tape(clock);
+    private final Tape recording = new Tape(clock);
     private final SplittableRandom random;
     private final EventLoop directoryLoop;
     private final EventLoop viewerLoop;
-    private final EventLoop script;
+    private final EventLoop scriptLoop;
     private final List<EventLoop> boxLoops = new ArrayList<>();
     private final List<MediaBox> boxes = new ArrayList<>();
-    private final List<BoxDirectory.Entry> listed = new ArrayList<>();
+    private final List<BoxDirectory.Entry> directoryEntries = new ArrayList<>();
     private final List<Rack> racks = new ArrayList<>();
     private final List<FrontProcess> managers = new CopyOnWriteArrayList<>();
-    private final List<SkewedClock> clocks = new ArrayList<>();
-    private final List<InetSocketAddress> addresses = new CopyOnWriteArrayList<>();
-    private final Path state;
+    private final List<SkewedClock> managerClocks = new ArrayList<>();
+    private final List<InetSocketAddress> managerAddresses = new CopyOnWriteArrayList<>();
+    private final Path stateFolder;
     private BoxDirectory directory;
     private InetSocketAddress directoryAddress;
-    private Audience audience;
-
-    /** Prepares a run; {@code state} is a folder for what managers keep over restarts. */
-    public Rehearsal(Day day, Path state) {
+    private SimulatedViewers viewers;
+
+    /**
+     * Prepares a run; {@link #start} starts its processes.
+     *
+     * @param stateFolder folder for the state that managers keep across restarts; created if absent
+     */
+    public Rehearsal(Day day, Path stateFolder) {
         this.day = day;
-        this.state = state;
+        this.stateFolder = stateFolder;
         random = new SplittableRandom(day.seed());
-        directoryLoop = new EventLoop("directory", clock, LoopLimits.DEFAULT, new SocketTap(tape, "directory")).start();
-        viewerLoop = new EventLoop("viewers", clock, LoopLimits.DEFAULT, new SocketTap(tape, "viewers")).start();
-        script = new EventLoop("script", clock).start();
-        for (int i = 0; i < Math.min(BOX_LOOPS, day.boxes().count()); i++) {
-            boxLoops.add(new EventLoop("boxes-" + i, clock, LoopLimits.DEFAULT, new SocketTap(tape, null)).start());
+        directoryLoop =
+                new EventLoop("directory", clock, LoopLimits.DEFAULT, new SocketTap(recording, "directory")).start();
+        viewerLoop = new EventLoop("viewers", clock, LoopLimits.DEFAULT, new SocketTap(recording, "viewers")).start();
+        scriptLoop = new EventLoop("script", clock).start();
+        for (int i = 0; i < Math.min(MAX_BOX_LOOPS, day.boxes().count()); i++) {
+            boxLoops.add(
+                    new EventLoop("boxes-" + i, clock, LoopLimits.DEFAULT, new SocketTap(recording, null)).start());
         }
     }
 
-    /** The tape. */
+    /** Returns the recording of this run. */
     public Tape tape() {
-        return tape;
+        return recording;
     }
 
-    /** The viewers; to be read when the run is over. */
-    public Audience audience() {
-        return audience;
+    /** Returns the viewers, null before {@link #play}; read their counters only after the run. */
+    public SimulatedViewers viewers() {
+        return viewers;
     }
 
-    /** The boxes; to be touched on their loops only. */
+    /** Returns the boxes; they must be accessed on their loops only, see {@link #atBox}. */
     public List<MediaBox> boxes() {
         return boxes;
     }
 
-    /** The managers. */
+    /** Returns the managers, by number. */
     public List<FrontProcess> managers() {
         return managers;
     }
 
-    /** Where players find the managers. */
+    /** Returns the addresses of the managers for players, by manager number. */
     public List<InetSocketAddress> addresses() {
-        return addresses;
+        return managerAddresses;
     }
 
     private EventLoop loopOf(int box) {
         return boxLoops.get(box % boxLoops.size());
     }
 
-    /** Starts everything but the viewers. */
+    /** Starts all processes except the viewers, and waits until each manager has received the list of boxes. */
     public void start() throws IOException {
-        Files.createDirectories(state);
-        directory = new BoxDirectory(directoryLoop, Ports.free(), day.directoryLagMs(), 500);
+        Files.createDirectories(stateFolder);
+        directory = new BoxDirectory(directoryLoop, PortAllocator.allocate(), day.directoryLagMs(), 500);
         directoryAddress = directoryLoop.call(directory::start);
         if (day.directoryStartsAtS() > 0) {
-            run(directoryLoop, directory::stop);
-            script.execute(() -> script.schedule(1000 * day.directoryStartsAtS(), this::directoryUp));
-            tape.mark("directory-down", "directory", null);
+            runAndWait(directoryLoop, directory::stop);
+            scriptLoop.execute(() -> scriptLoop.schedule(1000 * day.directoryStartsAtS(), this::startDirectory));
+            recording.mark("directory-down", "directory", null);
         }
         var media = day.settings().controller().media();
-        for (int r = 0; r < Math.max(1, media.racks()); r++) {
+        for (int rack = 0; rack < Math.max(1, media.racks()); rack++) {
             racks.add(new Rack(media.uplinkKb()));
         }
         for (int i = 0; i < day.boxes().count(); i++) {
             startBox(i);
         }
         if (day.gossip() != null) {
-            keys();
+            writeKeys();
         }
-        for (int m = 0; m < day.managers(); m++) {
-            double skew = m < day.skewMs().size() ? day.skewMs().get(m) : 0;
-            clocks.add(new SkewedClock(clock, skew));
-            managers.add(manager(m, Ports.free().getPort()));
+        for (int number = 0; number < day.managers(); number++) {
+            double skew = number < day.skewMs().size() ? day.skewMs().get(number) : 0;
+            managerClocks.add(new SkewedClock(clock, skew));
+            managers.add(createManager(number, PortAllocator.allocate().getPort()));
         }
         for (FrontProcess manager : managers) {
-            addresses.add(manager.address());
+            managerAddresses.add(manager.address());
         }
-        awaitList();
+        awaitBoxLists();
     }
 
-    private void startBox(int i) {
-        Day.Boxes b = day.boxes();
+    private void startBox(int boxId) {
+        Day.Boxes dayBoxes = day.boxes();
         var rules = day.settings().controller().rules();
         var media = day.settings().controller().media();
-        double size = 1 + b.linkSpread() * (2 * random.nextDouble() - 1);
+        double linkFactor = 1 + dayBoxes.linkSpread() * (2 * random.nextDouble() - 1);
         BoxSettings settings = new BoxSettings(
-                i,
-                Ports.free(),
-                b.streams(),
-                b.linkKb() * size,
+                boxId,
+                PortAllocator.allocate(),
+                dayBoxes.maxStreams(),
+                dayBoxes.linkKb() * linkFactor,
                 media.fullFrom(),
                 rules.coldFrom(),
                 rules.warmAfterMs(),
                 rules.tipMultiple(),
                 rules.tipMs(),
-                b.setUpMs(),
+                dayBoxes.setUpMs(),
                 300,
                 Math.max(200, media.noteEveryMs()),
                 media.noteDelayMs(),
-                b.uplinkNotes(),
-                b.segmentS(),
-                b.segments(),
-                b.idleMs(),
-                b.graceMs(),
+                dayBoxes.uplinkNotes(),
+                dayBoxes.segmentS(),
+                dayBoxes.segments(),
+                dayBoxes.idleMs(),
+                dayBoxes.graceMs(),
                 500,
-                b.piecesOn().isEmpty() || b.piecesOn().contains(i) ? b.pieces() : Map.of(),
-                b.piecesOn().isEmpty() || b.piecesOn().contains(i)
+                dayBoxes.boxesWithPieces().isEmpty()
+                                || dayBoxes.boxesWithPieces().contains(boxId)
+                        ? dayBoxes.pieces()
+                        : Map.of(),
+                dayBoxes.boxesWithPieces().isEmpty()
+                                || dayBoxes.boxesWithPieces().contains(boxId)
                         ? Set.of()
-                        : b.pieces().keySet(),
-                b.crossOrigin(),
-                b.content() == null ? null : Path.of(b.content()));
-        int rack = i % racks.size();
-        MediaBox box = new MediaBox(loopOf(i), settings, racks.get(rack), random.split());
+                        : dayBoxes.pieces().keySet(),
+                dayBoxes.crossOrigin(),
+                dayBoxes.content() == null ? null : Path.of(dayBoxes.content()));
+        int rack = boxId % racks.size();
+        MediaBox box = new MediaBox(loopOf(boxId), settings, racks.get(rack), random.split());
         boxes.add(box);
-        InetSocketAddress at = loopOf(i).call(() -> box.start(false));
-        // the list knows a box's size only roughly
-        double told = b.linkKb() * (1 + 0.5 * (size - 1)) / media.linkKbPerWeight();
-        BoxDirectory.Entry entry =
-                new BoxDirectory.Entry(i, "ready", 0, 0, rack, 0, told, at.getHostString() + ":" + at.getPort());
-        listed.add(entry);
+        InetSocketAddress address = loopOf(boxId).call(() -> box.start(false));
+        // the listed weight contains only half of the deviation, because directories know link capacities only roughly
+        double weight = dayBoxes.linkKb() * (1 + 0.5 * (linkFactor - 1)) / media.linkKbPerWeight();
+        BoxDirectory.Entry entry = new BoxDirectory.Entry(
+                boxId, "ready", 0, 0, rack, 0, weight, address.getHostString() + ":" + address.getPort());
+        directoryEntries.add(entry);
         directoryLoop.call(() -> {
             directory.listNow(entry);
             return true;
         });
     }
 
-    private FrontProcess manager(int m, int port) {
-        tape.mark("manager-start", "manager:" + m, null);
+    private FrontProcess createManager(int number, int port) {
+        recording.mark("manager-start", "manager:" + number, null);
         List<String> seeds = new ArrayList<>();
         for (int i = 0; day.gossip() != null && i < managers.size(); i++) {
-            if (i != m) {
+            if (i != number) {
                 seeds.add("127.0.0.1:" + managers.get(i).gossipAddress().getPort());
             }
         }
         try {
             return new FrontProcess(
-                    day.settings(m, port, directoryAddress.getPort(), seeds, state),
-                    clocks.get(m),
+                    day.settings(number, port, directoryAddress.getPort(), seeds, stateFolder),
+                    managerClocks.get(number),
                     random.split(),
-                    new SocketTap(tape, "manager:" + m));
+                    new SocketTap(recording, "manager:" + number));
         } catch (InvalidDocumentException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Each manager's key, and the roster that allows them all. */
-    private void keys() throws IOException {
-        Path roster = Files.createDirectories(state.resolve("roster"));
-        for (int m = 0; m < day.managers(); m++) {
+    /** Writes a key for each manager, and the roster that admits them all. */
+    private void writeKeys() throws IOException {
+        Path roster = Files.createDirectories(stateFolder.resolve("roster"));
+        for (int number = 0; number < day.managers(); number++) {
             try {
-                List<String> made = KeyDocuments.generate("m" + m);
-                Files.writeString(state.resolve("m" + m + ".key"), made.get(0));
-                Files.writeString(roster.resolve("m" + m + ".json"), made.get(1));
+                List<String> documents = KeyDocuments.generate("m" + number);
+                Files.writeString(stateFolder.resolve("m" + number + ".key"), documents.get(0));
+                Files.writeString(roster.resolve("m" + number + ".json"), documents.get(1));
             } catch (GeneralSecurityException e) {
                 throw new IllegalStateException(e);
             }
         }
     }
 
-    /** Waits until each manager has a list, unless the directory is down: before it every request would be refused. */
-    private void awaitList() {
+    /**
+     * Waits until as many complete box lists as there are managers were received, because managers refuse every
+     * request before. Returns at once if the directory starts later in the day.
+     */
+    private void awaitBoxLists() {
         if (day.directoryStartsAtS() > 0) {
             return;
         }
-        double until = tape.nowMs() + 10_000;
-        while (tape.nowMs() < until) {
-            long told = tape.entries().stream()
+        double deadlineMs = recording.nowMs() + 10_000;
+        while (recording.nowMs() < deadlineMs) {
+            long listsReceived = recording.entries().stream()
                     .filter(e ->
                             e.end().startsWith("manager:") && e.kind() == Entry.Kind.EVENT && "full".equals(e.method()))
                     .count();
-            if (told >= managers.size()) {
+            if (listsReceived >= managers.size()) {
                 return;
             }
             pause(5);
         }
-        throw new IllegalStateException("the managers heard no list");
+        throw new IllegalStateException("not every manager received the list of boxes within 10 s");
     }
 
     private static void pause(long ms) {
@@ -252,244 +270,286 @@
         }
     }
 
-    /** Runs the day to its end: viewers come, faults happen, the last viewers leave or are cut off after a bound. */
+    /**
+     * Runs the day to its end: starts the viewers, injects the faults, and waits for the last viewers to leave, up to
+     * the longest deadline of a class and 0.5 s more.
+     */
     public void play() {
-        audience = new Audience(viewerLoop, day, random.split(), addresses);
-        tape.mark("day-start", day.name(), null);
-        run(viewerLoop, audience::open);
-        script.execute(() -> {
+        viewers = new SimulatedViewers(viewerLoop, day, random.split(), managerAddresses);
+        recording.mark("day-start", day.name(), null);
+        runAndWait(viewerLoop, viewers::startArrivals);
+        scriptLoop.execute(() -> {
             for (Day.Fault fault : day.faults()) {
-                script.schedule(1000 * fault.at(), () -> begin(fault));
+                scriptLoop.schedule(1000 * fault.atS(), () -> applyFault(fault));
             }
         });
-        try (Operators operators = new Operators(this, tape)) {
-            operators.begin(day.changes());
+        try (Operators operators = new Operators(this, recording)) {
+            operators.schedule(day.changes());
             pause((long) (1000 * day.seconds()));
         }
-        run(viewerLoop, audience::close);
-        double longest = day.settings().controller().classes().stream()
+        runAndWait(viewerLoop, viewers::stopArrivals);
+        double longestDeadlineMs = day.settings().controller().classes().stream()
                 .mapToDouble(c -> c.deadlineMs())
                 .max()
                 .orElse(0);
-        double until = tape.nowMs() + longest + 500;
-        // requests under way still get their answers; sessions that play on are cut off
-        while (tape.nowMs() < until && viewerLoop.call(audience::present) > 0) {
+        double deadlineMs = recording.nowMs() + longestDeadlineMs + 500;
+        // pending requests still get their responses; sessions that still play are cut off
+        while (recording.nowMs() < deadlineMs && viewerLoop.call(viewers::presentViewers) > 0) {
             pause(50);
         }
-        tape.mark("day-end", day.name(), null);
+        recording.mark("day-end", day.name(), null);
     }
 
-    /** Lets one fault happen now. */
+    /** Injects a fault now; returns after it was applied. */
     public void happen(Day.Fault fault) {
-        run(script, () -> begin(fault));
+        runAndWait(scriptLoop, () -> applyFault(fault));
     }
 
-    /** Calls {@code body} with a box, on its loop. */
+    /** Calls a function with a box, on the box's loop, and returns its result. */
     public <T> T atBox(int box, Function<MediaBox, T> body) {
         return loopOf(box).call(() -> body.apply(boxes.get(box)));
     }
 
-    private void run(EventLoop loop, Runnable body) {
+    private void runAndWait(EventLoop loop, Runnable action) {
         loop.call(() -> {
-            body.run();
+            action.run();
             return true;
         });
     }
 
-    private void on(EventLoop loop, Runnable body) {
-        loop.execute(body);
+    private void runLater(EventLoop loop, Runnable action) {
+        loop.execute(action);
     }
 
-    private void begin(Day.Fault f) {
-        LOG.info("fault {} begins", f.kind());
-        tape.mark("fault", f.kind(), Long.toString(Math.round(f.at() * 1000)));
-        switch (f.kind()) {
+    private void applyFault(Day.Fault fault) {
+        LOG.info("injecting fault {}", fault.kind());
+        recording.mark("fault", fault.kind(), Long.toString(Math.round(fault.atS() * 1000)));
+        switch (fault.kind()) {
             case "crash" ->
-                f.boxes().forEach(i -> {
-                    crash(i);
-                    after(f, () -> restart(i));
+                fault.boxes().forEach(i -> {
+                    crashBox(i);
+                    scheduleFaultEnd(fault, () -> restartBox(i));
                 });
-            case "deploy" -> deploy(f, 0);
+            case "deploy" -> deployFrom(fault, 0);
             case "hang" ->
-                each(
-                        f,
+                applyToBoxes(
+                        fault,
                         box -> {
                             box.faults().hang = true;
-                            box.faults().ignorePeerClosed = f.deaf();
+                            box.faults().ignorePeerClosed = fault.ignorePeerClosed();
                         },
                         MediaBox::endHang);
             case "slow" ->
-                each(f, box -> box.faults().setUpTimeFactor = f.value(), box -> box.faults().setUpTimeFactor = 1);
+                applyToBoxes(
+                        fault,
+                        box -> box.faults().setUpTimeFactor = fault.value(),
+                        box -> box.faults().setUpTimeFactor = 1);
             case "errors" ->
-                each(f, box -> box.faults().setUpErrorShare = f.value(), box -> box.faults().setUpErrorShare = 0);
+                applyToBoxes(
+                        fault,
+                        box -> box.faults().setUpErrorShare = fault.value(),
+                        box -> box.faults().setUpErrorShare = 0);
             case "resets" ->
-                each(f, box -> box.faults().setUpResetShare = f.value(), box -> box.faults().setUpResetShare = 0);
-            case "connections-reset" -> each(f, MediaBox::resetConnections, box -> {});
+                applyToBoxes(
+                        fault,
+                        box -> box.faults().setUpResetShare = fault.value(),
+                        box -> box.faults().setUpResetShare = 0);
+            case "connections-reset" -> applyToBoxes(fault, MediaBox::resetConnections, box -> {});
             case "half-open" ->
-                each(f, box -> box.faults().silentEventStreams = true, box -> box.faults().silentEventStreams = false);
+                applyToBoxes(
+                        fault,
+                        box -> box.faults().silentEventStreams = true,
+                        box -> box.faults().silentEventStreams = false);
             case "reports-late" ->
-                each(f, box -> box.faults().reportDelayMs = f.value(), box -> box.faults().reportDelayMs = 0);
-            case "link-sag" -> each(f, box -> box.setLinkDivisor(f.value()), box -> box.setLinkDivisor(1));
+                applyToBoxes(
+                        fault,
+                        box -> box.faults().reportDelayMs = fault.value(),
+                        box -> box.faults().reportDelayMs = 0);
+            case "link-sag" ->
+                applyToBoxes(fault, box -> box.setLinkDivisor(fault.value()), box -> box.setLinkDivisor(1));
             case "uplink-sag" -> {
-                racks.get(f.rack() % racks.size()).setUplinkDivisor(f.value());
-                after(f, () -> racks.get(f.rack() % racks.size()).setUplinkDivisor(1));
+                racks.get(fault.rack() % racks.size()).setUplinkDivisor(fault.value());
+                scheduleFaultEnd(
+                        fault, () -> racks.get(fault.rack() % racks.size()).setUplinkDivisor(1));
             }
             case "list-late" -> {
-                on(directoryLoop, () -> directory.setLagMs(day.directoryLagMs() + f.value()));
-                after(f, () -> on(directoryLoop, () -> directory.setLagMs(day.directoryLagMs())));
+                runLater(directoryLoop, () -> directory.setLagMs(day.directoryLagMs() + fault.value()));
+                scheduleFaultEnd(fault, () -> runLater(directoryLoop, () -> directory.setLagMs(day.directoryLagMs())));
             }
             case "list-forgets" ->
-                f.boxes().forEach(i -> {
-                    on(directoryLoop, () -> directory.removeFromList(i));
-                    after(f, () -> list(listed.get(i)));
+                fault.boxes().forEach(i -> {
+                    runLater(directoryLoop, () -> directory.removeFromList(i));
+                    scheduleFaultEnd(fault, () -> updateDirectory(directoryEntries.get(i)));
                 });
             case "directory-down" -> {
-                on(directoryLoop, directory::stop);
-                after(f, this::directoryUp);
+                runLater(directoryLoop, directory::stop);
+                scheduleFaultEnd(fault, this::startDirectory);
             }
             case "manager-stall" -> {
-                tape.mark("manager-stall", "manager:" + f.manager(), Long.toString(Math.round(f.lasts() * 1000)));
-                on(managers.get(f.manager()).loop(), () -> pause(Math.round(f.lasts() * 1000)));
+                recording.mark(
+                        "manager-stall",
+                        "manager:" + fault.manager(),
+                        Long.toString(Math.round(fault.durationS() * 1000)));
+                runLater(managers.get(fault.manager()).loop(), () -> pause(Math.round(fault.durationS() * 1000)));
             }
             case "manager-kill" -> {
-                tape.mark("manager-kill", "manager:" + f.manager(), null);
-                managers.get(f.manager()).kill();
-                after(f, () -> {
-                    FrontProcess next =
-                            manager(f.manager(), addresses.get(f.manager()).getPort());
-                    managers.set(f.manager(), next);
+                recording.mark("manager-kill", "manager:" + fault.manager(), null);
+                managers.get(fault.manager()).kill();
+                scheduleFaultEnd(fault, () -> {
+                    FrontProcess restarted = createManager(
+                            fault.manager(),
+                            managerAddresses.get(fault.manager()).getPort());
+                    managers.set(fault.manager(), restarted);
                 });
             }
             case "disk-stall" ->
-                disk(f, () -> {
+                setDiskFault(fault, () -> {
                     try {
-                        Thread.sleep(Math.round(f.value()));
+                        Thread.sleep(Math.round(fault.value()));
                     } catch (InterruptedException e) {
                         throw new IOException("killed while it wrote", e);
                     }
                 });
             case "disk-full" ->
-                disk(f, () -> {
+                setDiskFault(fault, () -> {
                     throw new IOException("No space left on device");
                 });
-            case "false-claims" -> falseClaims(f, tape.nowMs() + 1000 * f.lasts());
+            case "false-claims" -> publishFalseClaims(fault, recording.nowMs() + 1000 * fault.durationS());
             case "members-cut" -> {
-                cut(f.manager(), true);
-                after(f, () -> cut(f.manager(), false));
+                setPartitioned(fault.manager(), true);
+                scheduleFaultEnd(fault, () -> setPartitioned(fault.manager(), false));
             }
-            case "clock-step" -> clocks.get(f.manager()).step(f.value());
-            default -> throw new IllegalStateException("unknown fault " + f.kind());
+            case "clock-step" -> managerClocks.get(fault.manager()).step(fault.value());
+            default -> throw new IllegalStateException("unknown fault " + fault.kind());
         }
     }
 
-    /** A manager that claims trouble at boxes that it never had: its key is good, its word is not. */
-    private void falseClaims(Day.Fault f, double untilMs) {
-        FrontProcess liar = managers.get(f.manager());
-        on(
+    /**
+     * Makes a manager claim failures of boxes that it did not have, until a time. Its statements are validly signed,
+     * only their content is false.
+     */
+    private void publishFalseClaims(Day.Fault fault, double untilMs) {
+        FrontProcess liar = managers.get(fault.manager());
+        runLater(
                 liar.loop(),
-                () -> f.boxes().forEach(box -> {
-                    // what it truly saw of late must not make its lie weaker
+                () -> fault.boxes().forEach(box -> {
+                    // 64 outcomes replace all that are kept for a box, so that real successes do not weaken the claim
                     for (int i = 0; i < 64; i++) {
                         liar.peers().node().recordOutcome(box, Claim.Kind.FAILED);
                     }
                 }));
-        if (tape.nowMs() < untilMs) {
-            script.schedule(FALSE_CLAIMS_MS, () -> falseClaims(f, untilMs));
+        if (recording.nowMs() < untilMs) {
+            scriptLoop.schedule(FALSE_CLAIM_INTERVAL_MS, () -> publishFalseClaims(fault, untilMs));
         }
     }
 
-    /** Nothing goes between a manager and its group any more, or again. */
-    private void cut(int manager, boolean apart) {
-        String alone = "127.0.0.1:" + managers.get(manager).gossipAddress().getPort();
-        for (FrontProcess each : managers) {
-            on(
-                    each.loop(),
-                    () -> each.peers()
+    /** Cuts the gossip network between a manager and the others, or restores it. */
+    private void setPartitioned(int manager, boolean partitioned) {
+        String isolatedAddress =
+                "127.0.0.1:" + managers.get(manager).gossipAddress().getPort();
+        for (FrontProcess other : managers) {
+            runLater(
+                    other.loop(),
+                    () -> other.peers()
                             .node()
                             .setNetworkConditions((from, to, connection) ->
-                                    apart && from.equals(alone) != to.equals(alone) ? -1 : 0));
+                                    partitioned && from.equals(isolatedAddress) != to.equals(isolatedAddress)
+                                            ? -1
+                                            : 0));
         }
     }
 
-    private void disk(Day.Fault f, SessionLedgerWriter.DiskFault fault) {
-        managers.get(f.manager()).setDiskFault(fault);
-        after(f, () -> managers.get(f.manager()).setDiskFault(SessionLedgerWriter.DiskFault.NONE));
+    private void setDiskFault(Day.Fault fault, SessionLedgerWriter.DiskFault diskFault) {
+        managers.get(fault.manager()).setDiskFault(diskFault);
+        scheduleFaultEnd(fault, () -> managers.get(fault.manager()).setDiskFault(SessionLedgerWriter.DiskFault.NONE));
     }
 
-    private interface OnBox {
+    private interface BoxAction {
         void apply(MediaBox box);
     }
 
-    private void each(Day.Fault f, OnBox begin, OnBox end) {
-        for (int i : f.boxes()) {
-            on(loopOf(i), () -> begin.apply(boxes.get(i)));
-            if (f.lasts() > 0) {
-                script.schedule(1000 * f.lasts(), () -> on(loopOf(i), () -> end.apply(boxes.get(i))));
+    private void applyToBoxes(Day.Fault fault, BoxAction begin, BoxAction end) {
+        for (int boxId : fault.boxes()) {
+            runLater(loopOf(boxId), () -> begin.apply(boxes.get(boxId)));
+            if (fault.durationS() > 0) {
+                scriptLoop.schedule(
+                        1000 * fault.durationS(), () -> runLater(loopOf(boxId), () -> end.apply(boxes.get(boxId))));
             }
         }
     }
 
-    private void after(Day.Fault f, Runnable body) {
-        if (f.lasts() > 0) {
-            script.schedule(1000 * f.lasts(), body);
+    private void scheduleFaultEnd(Day.Fault fault, Runnable action) {
+        if (fault.durationS() > 0) {
+            scriptLoop.schedule(1000 * fault.durationS(), action);
         }
     }
 
-    private void directoryUp() {
-        tape.mark("directory-up", "directory", null);
-        on(directoryLoop, () -> {
+    private void startDirectory() {
+        recording.mark("directory-up", "directory", null);
+        runLater(directoryLoop, () -> {
             try {
                 directory.start();
             } catch (IOException e) {
-                LOG.error("the directory can't listen again", e);
+                LOG.error("the box directory cannot listen on its port again", e);
             }
         });
     }
 
-    private void list(BoxDirectory.Entry entry) {
-        on(directoryLoop, () -> directory.listAfterLag(entry));
+    /** Publishes a directory entry, after the directory's lag. */
+    private void updateDirectory(BoxDirectory.Entry entry) {
+        runLater(directoryLoop, () -> directory.listAfterLag(entry));
     }
 
-    private void state(int i, String state, double startedMs) {
-        BoxDirectory.Entry e = listed.get(i);
-        BoxDirectory.Entry next =
-                new BoxDirectory.Entry(e.id(), state, e.kind(), e.zone(), e.cell(), startedMs, e.weight(), e.address());
-        listed.set(i, next);
-        list(next);
+    private void setListedState(int boxId, String state, double startedMs) {
+        BoxDirectory.Entry current = directoryEntries.get(boxId);
+        BoxDirectory.Entry updated = new BoxDirectory.Entry(
+                current.id(),
+                state,
+                current.kind(),
+                current.zone(),
+                current.cell(),
+                startedMs,
+                current.weight(),
+                current.address());
+        directoryEntries.set(boxId, updated);
+        updateDirectory(updated);
     }
 
-    private void crash(int i) {
-        tape.mark("box-down", "box:" + i, null);
-        on(loopOf(i), () -> boxes.get(i).crash());
-        state(i, "gone", listed.get(i).startedMs());
+    private void crashBox(int boxId) {
+        recording.mark("box-down", "box:" + boxId, null);
+        runLater(loopOf(boxId), () -> boxes.get(boxId).crash());
+        setListedState(boxId, "gone", directoryEntries.get(boxId).startedMs());
     }
 
-    private void restart(int i) {
-        on(loopOf(i), () -> {
+    private void restartBox(int boxId) {
+        runLater(loopOf(boxId), () -> {
             try {
-                boxes.get(i).start(true);
-                tape.mark("box-start", "box:" + i, null);
-                double started = clock.millis();
-                on(script, () -> state(i, "ready", started));
+                boxes.get(boxId).start(true);
+                recording.mark("box-start", "box:" + boxId, null);
+                double startedMs = clock.millis();
+                runLater(scriptLoop, () -> setListedState(boxId, "ready", startedMs));
             } catch (IOException e) {
-                LOG.error("box {} can't start again", i, e);
+                LOG.error("box {} cannot listen on its port again", boxId, e);
             }
         });
     }
 
-    /** A rolling deploy: each box drains for the fault's time, then starts anew; the next follows. */
-    private void deploy(Day.Fault f, int at) {
-        if (at >= f.boxes().size()) {
+    /**
+     * Continues a rolling deploy at a position of the fault's boxes; each box drains for the fault's duration and
+     * restarts.
+     */
+    private void deployFrom(Day.Fault fault, int position) {
+        if (position >= fault.boxes().size()) {
             return;
         }
-        int i = f.boxes().get(at);
-        state(i, "draining", listed.get(i).startedMs());
-        tape.mark("box-draining", "box:" + i, null);
-        script.schedule(1000 * f.lasts(), () -> {
-            crash(i);
-            script.schedule(500, () -> {
-                restart(i);
-                deploy(f, at + 1);
+        int boxId = fault.boxes().get(position);
+        setListedState(boxId, "draining", directoryEntries.get(boxId).startedMs());
+        recording.mark("box-draining", "box:" + boxId, null);
+        scriptLoop.schedule(1000 * fault.durationS(), () -> {
+            crashBox(boxId);
+            scriptLoop.schedule(500, () -> {
+                restartBox(boxId);
+                deployFrom(fault, position + 1);
             });
         });
     }
@@ -499,72 +559,77 @@
         finish();
     }
 
-    /** Ends all that runs. */
+    /** Stops all processes and event loops. */
     public void finish() {
-        script.close();
+        scriptLoop.close();
         managers.forEach(FrontProcess::close);
         viewerLoop.close();
         boxLoops.forEach(EventLoop::close);
         directoryLoop.close();
     }
 
-    /** Judges what is on the tape; to be called when the run is over. */
+    /**
+     * Checks the recording against the rules; must be called after the run.
+     *
+     * @throws IllegalStateException if entries of the recording were dropped
+     */
     public Report report() {
-        List<Entry> entries = tape.entries();
-        if (tape.overrun()) {
-            throw new IllegalStateException("the tape's bound was hit: this run can't be judged");
+        List<Entry> entries = recording.entries();
+        if (recording.isTruncated()) {
+            throw new IllegalStateException(
+                    "the recording reached its maximum number of entries, so that this run cannot be judged");
         }
-        Map<String, Double> extra = new LinkedHashMap<>();
-        if (audience != null) {
-            extra.put("segments played", (double) audience.segmentsPlayed());
-            extra.put("segments missed", (double) audience.segmentsMissed());
-            extra.put("seconds stalled", audience.stalledMs() / 1000);
-            extra.put("stalls", (double) audience.stalls());
-            extra.put("stalls at a piece", (double) audience.stallsAtPieces());
-            extra.put("playlists that players refused", (double) audience.refusals());
+        Map<String, Double> figures = new LinkedHashMap<>();
+        if (viewers != null) {
+            figures.put("segments played", (double) viewers.segmentsPlayed());
+            figures.put("segments missed", (double) viewers.segmentsMissed());
+            figures.put("seconds stalled", viewers.stalledMs() / 1000);
+            figures.put("stalls", (double) viewers.stalls());
+            figures.put("stalls at a piece", (double) viewers.stallsAtPieces());
+            figures.put("playlists that players refused", (double) viewers.refusedPlaylists());
         }
-        FirstSetUps firsts = FirstSetUps.of(entries);
-        extra.put("first set-ups", (double) firsts.sent());
-        extra.put("first set-ups that failed", (double) firsts.failures());
+        FirstSetUps firstSetUps = FirstSetUps.of(entries);
+        figures.put("first set-ups", (double) firstSetUps.sent());
+        figures.put("first set-ups that failed", (double) firstSetUps.failures());
         return new Report(
                 day.name(),
                 day.seed(),
                 RuleChecker.judge(figures(day), entries),
                 PlaylistChecker.judge(figures(day), entries),
                 Sightings.of(entries),
-                extra);
+                figures);
     }
 
-    /** The figures by which a day is judged. */
+    /** Returns the limits by which the run of a day is judged. */
     public static Figures figures(Day day) {
         var settings = day.settings().controller();
         List<Figures.OfClass> classes = new ArrayList<>();
-        for (int c = 0; c < settings.classes().size(); c++) {
-            var k = settings.classes().get(c);
+        for (int classId = 0; classId < settings.classes().size(); classId++) {
+            var sessionClass = settings.classes().get(classId);
             classes.add(new Figures.OfClass(
-                    day.settings().classNames().get(c),
-                    k.worth(),
-                    k.deadlineMs(),
-                    k.effect(),
-                    k.lowestRung(),
-                    k.seats()));
+                    day.settings().classNames().get(classId),
+                    sessionClass.worth(),
+                    sessionClass.deadlineMs(),
+                    sessionClass.effect(),
+                    sessionClass.lowestRung(),
+                    sessionClass.seats()));
         }
-        var r = settings.rules();
+        var rules = settings.rules();
         return new Figures(
                 classes,
                 ANSWER_SLACK_MS,
-                r.drainGraceMs(),
-                r.coldFrom(),
-                r.warmAfterMs(),
-                r.tipMultiple(),
-                r.tipMs(),
-                day.boxes().streams(),
-                r.extraFree(),
-                r.extraRatio(),
-                r.extraWindowMs());
-    }
-
-    /** What a manager has counted, by name. */
+                rules.drainGraceMs(),
+                rules.coldFrom(),
+                rules.warmAfterMs(),
+                rules.tipMultiple(),
+                rules.tipMs(),
+                day.boxes().maxStreams(),
+                rules.extraFree(),
+                rules.extraRatio(),
+                rules.extraWindowMs());
+    }
+
+    /** Returns the counters of all managers that still run, summed by name. */
     public Map<String, Long> counters() {
         Map<String, Long> result = new LinkedHashMap<>();
         for (FrontProcess manager : managers) {
@@ -579,7 +644,7 @@
                         })
                         .forEach((name, count) -> result.merge(name, count, Long::sum));
             } catch (RejectedExecutionException e) {
-                LOG.info("a manager that was killed has no counts");
+                LOG.info("the counters of a manager are left out because it was killed");
             }
         }
         return result;
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/package-info.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns the running of a day: the processes, their loops and the faults in their time.
+ * Execution of a scripted day: its processes, their event loops and the scheduled faults.
  */
 package calicovale.rehearsal.run;
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
@@ -1,20 +1,24 @@
 package calicovale.rehearsal.tape;
 
 /**
- * One thing that crossed a socket, or a mark of the script.
+ * One event on a socket, or a mark set by the script of the day. Recordings hold one JSON object a line with the
+ * component names as keys.
  *
- * @param atMs when, by the one clock of the rehearsal
- * @param end whose end of the connection: {@code viewers}, {@code manager:N}, {@code box:N}, {@code directory}, or
- *        {@code script}
- * @param peer what the connection is to, as that end named it; for marks, what is concerned
- * @param conn number of the connection at this end
- * @param exchange number of the exchange on the connection, from 0
- * @param kind what it is
- * @param method of a request, else null; the type of an event; the kind of a mark
- * @param target of a request; repeated in what answers it
- * @param status of a response, else 0
- * @param body of requests, events and playlists, null where it was not kept; of a head: the session that it names
- * @param bytes length of the body
+ * @param atMs time of the event in ms, on the clock shared by all processes of the rehearsal
+ * @param end the process at whose end of the connection the event was recorded: {@code viewers}, {@code manager:N},
+ *        {@code box:N}, {@code directory}; {@code script} for marks
+ * @param peer the remote end, by the name that the recording end gave the connection; for marks, the subject of the
+ *        mark
+ * @param conn number of the connection at this end, unique within the process; 0 for marks
+ * @param exchange number of the request-response exchange on the connection, from 0; -1 for a response without a
+ *        request
+ * @param kind the kind of event
+ * @param method method of the request; the type of a server-sent event; the kind of a mark; otherwise null
+ * @param target target of the request, repeated in the entries of its response; otherwise null
+ * @param status status of the response, otherwise 0
+ * @param body body of a request, event or playlist, null where it was not kept; for {@code HEAD}, the value of the
+ *        {@code Calicovale-Session} header; for a mark, its detail
+ * @param bytes length of the body: bytes, or characters for a server-sent event
  */
 public record Entry(
         double atMs,
@@ -29,25 +33,25 @@
         String body,
         long bytes) {
 
-    /** What an entry is. */
+    /** Kind of an entry. */
     public enum Kind {
-        /** A connection stands. */
+        /** The connection was established. */
         OPENED,
-        /** A request is whole. */
+        /** A request is complete. */
         REQUEST,
-        /** A response's head is whole. */
+        /** The head of a response is complete. */
         HEAD,
-        /** A response is whole. */
+        /** A response is complete. */
         RESPONSE,
         /** One server-sent event. */
         EVENT,
-        /** The peer's sending side ended. */
+        /** The peer closed its sending direction. */
         ENDED,
-        /** Closed at this end. */
+        /** The connection was closed at this end. */
         CLOSED,
-        /** Bytes that are no HTTP, or a response without a request. */
+        /** Bytes that are not valid HTTP, or a response without a request. */
         MALFORMED,
-        /** The script did something. */
+        /** A mark of the script, for example the start of a fault. */
         MARK
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
@@ -15,105 +15,128 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Owns the reading of what crosses the sockets of one loop: both directions of each connection are parsed on their own, apart
- * from the program, and what becomes whole goes on the tape.
+ * Records the HTTP traffic on the sockets of one event loop. Both directions of each connection are parsed
+ * independently of the program's own parsers, and each complete message is added to the recording.
  */
 public final class SocketTap implements Tap {
-    private static final AtomicLong CONNECTIONS = new AtomicLong();
-    private static final HttpLimits LIMITS = new HttpLimits(1 << 16, 256, 1 << 18, 1 << 24, 0, 0, 0, 0, 0);
-    private final Tape tape;
-    private final String end;
-
-    /** {@code end} names whose end this is; null: each accepted connection's own name is the end. */
-    public SocketTap(Tape tape, String end) {
-        this.tape = tape;
-        this.end = end;
+    private static final AtomicLong LAST_CONNECTION_NUMBER = new AtomicLong();
+    /** Limits of the parsers, wide enough for all traffic of a rehearsal; timeouts are not used. */
+    private static final HttpLimits PARSER_LIMITS = new HttpLimits(1 << 16, 256, 1 << 18, 1 << 24, 0, 0, 0, 0, 0);
+
+    private final Tape recording;
+    private final String fixedEnd;
+
+    /**
+     * Creates a tap for one event loop.
+     *
+     * @param recording receives the entries
+     * @param fixedEnd the process whose end is recorded; null to take the name of each connection as its end
+     */
+    public SocketTap(Tape recording, String fixedEnd) {
+        this.recording = recording;
+        this.fixedEnd = fixedEnd;
     }
 
-    /** Members' own connections are not HTTP: what they carry is counted by the members. */
-    private static boolean ofMembers(Connection c) {
-        return c.name().equals(GossipNode.CONNECTION);
+    /**
+     * Returns whether a connection is between gossip members. It does not carry HTTP; the members count its traffic.
+     */
+    private static boolean isGossipConnection(Connection connection) {
+        return connection.name().equals(GossipNode.CONNECTION);
     }
 
     @Override
-    public void opened(Connection c) {
-        if (ofMembers(c)) {
+    public void opened(Connection connection) {
+        if (isGossipConnection(connection)) {
             return;
         }
-        Wire wire = new Wire(c);
-        c.tapState(wire);
-        wire.add(Entry.Kind.OPENED, null, null, 0, null, 0, 0);
+        TappedConnection tapped = new TappedConnection(connection);
+        connection.tapState(tapped);
+        tapped.addEntry(Entry.Kind.OPENED, null, null, 0, null, 0, 0);
     }
 
-    private Wire wire(Connection c) {
-        if (c.tapState() == null) {
-            opened(c);
+    private TappedConnection tappedConnection(Connection connection) {
+        if (connection.tapState() == null) {
+            opened(connection);
         }
-        return (Wire) c.tapState();
+        return (TappedConnection) connection.tapState();
     }
 
     @Override
-    public void read(Connection c, ByteBuffer bytes) {
-        if (ofMembers(c)) {
+    public void read(Connection connection, ByteBuffer bytes) {
+        if (isGossipConnection(connection)) {
             return;
         }
-        Wire wire = wire(c);
-        wire.feed(c.accepted() ? wire.requests : wire.responses, bytes);
+        TappedConnection tapped = tappedConnection(connection);
+        tapped.feed(connection.accepted() ? tapped.requests : tapped.responses, bytes);
     }
 
     @Override
-    public void wrote(Connection c, ByteBuffer bytes) {
-        if (ofMembers(c)) {
+    public void wrote(Connection connection, ByteBuffer bytes) {
+        if (isGossipConnection(connection)) {
             return;
         }
-        Wire wire = wire(c);
-        wire.feed(c.accepted() ? wire.responses : wire.requests, bytes);
+        TappedConnection tapped = tappedConnection(connection);
+        tapped.feed(connection.accepted() ? tapped.responses : tapped.requests, bytes);
     }
 
     @Override
-    public void inputEnded(Connection c) {
-        if (ofMembers(c)) {
+    public void inputEnded(Connection connection) {
+        if (isGossipConnection(connection)) {
             return;
         }
-        Wire wire = wire(c);
-        if (!c.accepted()) {
-            wire.responses.eof();
+        TappedConnection tapped = tappedConnection(connection);
+        if (!connection.accepted()) {
+            tapped.responses.eof();
         }
-        wire.add(Entry.Kind.ENDED, null, null, 0, null, 0, 0);
+        tapped.addEntry(Entry.Kind.ENDED, null, null, 0, null, 0, 0);
     }
 
     @Override
-    public void closed(Connection c) {
-        if (c.tapState() != null) {
-            ((Wire) c.tapState()).add(Entry.Kind.CLOSED, null, null, 0, null, 0, 0);
+    public void closed(Connection connection) {
+        if (connection.tapState() != null) {
+            ((TappedConnection) connection.tapState()).addEntry(Entry.Kind.CLOSED, null, null, 0, null, 0, 0);
         }
     }
 
-    private record Asked(int exchange, String method, String target) {}
+    /** A request whose response is not yet complete. */
+    private record PendingRequest(int exchange, String method, String target) {}
 
-    private final class Wire {
-        private final long conn = CONNECTIONS.incrementAndGet();
-        private final String own;
+    /** Recording state of one connection: a parser for each direction and the requests without a response. */
+    private final class TappedConnection {
+        private final long connectionNumber = LAST_CONNECTION_NUMBER.incrementAndGet();
+        private final String end;
         private final String peer;
-        private final ArrayDeque<Asked> open = new ArrayDeque<>();
+        private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
         private final HttpParser requests;
         private final HttpParser responses;
-        private int exchanges;
-        private boolean broken;
-
-        Wire(Connection c) {
-            own = end != null ? end : c.name();
-            peer = c.name();
-            requests = HttpParser.forRequests(LIMITS, new Half(true));
-            responses = HttpParser.forResponses(LIMITS, new Half(false));
+        private int nextExchange;
+        private boolean malformed;
+
+        TappedConnection(Connection connection) {
+            end = fixedEnd != null ? fixedEnd : connection.name();
+            peer = connection.name();
+            requests = HttpParser.forRequests(PARSER_LIMITS, new DirectionRecorder(true));
+            responses = HttpParser.forResponses(PARSER_LIMITS, new DirectionRecorder(false));
         }
 
-        void add(Entry.Kind kind, String method, String target, int status, String body, long bytes, int exchange) {
-            tape.add(new Entry(tape.nowMs(), own, peer, conn, exchange, kind, method, target, status, body, bytes));
+        void addEntry(
+                Entry.Kind kind, String method, String target, int status, String body, long bytes, int exchange) {
+            recording.add(new Entry(
+                    recording.nowMs(),
+                    end,
+                    peer,
+                    connectionNumber,
+                    exchange,
+                    kind,
+                    method,
+                    target,
+                    status,
+                    body,
+                    bytes));
         }
 
         void feed(HttpParser parser, ByteBuffer bytes) {
-            if (broken) {
+            if (malformed) {
                 return;
             }
             try {
@@ -121,57 +144,58 @@
                     parser.parse(bytes);
                 }
             } catch (HttpException e) {
-                broken = true;
-                add(Entry.Kind.MALFORMED, null, null, e.status(), e.getMessage(), 0, exchanges);
+                malformed = true;
+                addEntry(Entry.Kind.MALFORMED, null, null, e.status(), e.getMessage(), 0, nextExchange);
             }
         }
 
-        private final class Half implements HttpParser.Sink {
-            private final boolean asks;
+        /** Records the messages of one direction of the connection. */
+        private final class DirectionRecorder implements HttpParser.Sink {
+            private final boolean recordsRequests;
             private final ByteArrayOutputStream body = new ByteArrayOutputStream();
             private HttpHead head;
             private long bytes;
             private EventStream events;
-            private boolean keep;
+            private boolean keepBody;
 
-            Half(boolean asks) {
-                this.asks = asks;
+            DirectionRecorder(boolean recordsRequests) {
+                this.recordsRequests = recordsRequests;
             }
 
             @Override
-            public void head(HttpHead h) {
-                head = h;
+            public void head(HttpHead newHead) {
+                head = newHead;
                 bytes = 0;
                 body.reset();
                 events = null;
-                String type = h.headers().get("Content-Type");
-                keep = asks || type != null && !type.startsWith("video/");
-                if (asks) {
+                String contentType = newHead.headers().get("Content-Type");
+                keepBody = recordsRequests || contentType != null && !contentType.startsWith("video/");
+                if (recordsRequests) {
                     return;
                 }
-                if (h.status() < 200) {
+                if (newHead.status() < 200) {
                     return;
                 }
-                Asked asked = open.peekFirst();
-                add(
+                PendingRequest request = pendingRequests.peekFirst();
+                addEntry(
                         Entry.Kind.HEAD,
-                        asked == null ? null : asked.method(),
-                        asked == null ? null : asked.target(),
-                        h.status(),
-                        h.headers().get("Calicovale-Session"),
+                        request == null ? null : request.method(),
+                        request == null ? null : request.target(),
+                        newHead.status(),
+                        newHead.headers().get("Calicovale-Session"),
                         0,
-                        asked == null ? -1 : asked.exchange());
-                if ("text/event-stream".equals(type)) {
+                        request == null ? -1 : request.exchange());
+                if ("text/event-stream".equals(contentType)) {
                     events = new EventStream(
                             1 << 24,
-                            (kind, data) -> add(
+                            (kind, data) -> addEntry(
                                     Entry.Kind.EVENT,
                                     kind,
-                                    asked == null ? null : asked.target(),
-                                    h.status(),
+                                    request == null ? null : request.target(),
+                                    newHead.status(),
                                     data,
                                     data.length(),
-                                    asked == null ? -1 : asked.exchange()));
+                                    request == null ? -1 : request.exchange()));
                 }
             }
 
@@ -182,9 +206,9 @@
                     try {
                         events.parse(part);
                     } catch (HttpException e) {
-                        add(Entry.Kind.MALFORMED, null, null, e.status(), e.getMessage(), 0, exchanges);
+                        addEntry(Entry.Kind.MALFORMED, null, null, e.status(), e.getMessage(), 0, nextExchange);
                     }
-                } else if (keep) {
+                } else if (keepBody) {
                     byte[] copy = new byte[part.remaining()];
                     part.get(copy);
                     body.write(copy, 0, copy.length);
@@ -193,25 +217,32 @@
 
             @Override
             public void end() {
-                String text = keep && events == null ? body.toString(StandardCharsets.UTF_8) : null;
-                if (asks) {
-                    int exchange = exchanges++;
-                    open.addLast(new Asked(exchange, head.method(), head.target()));
-                    add(Entry.Kind.REQUEST, head.method(), head.target(), 0, text, bytes, exchange);
+                String text = keepBody && events == null ? body.toString(StandardCharsets.UTF_8) : null;
+                if (recordsRequests) {
+                    int exchange = nextExchange++;
+                    pendingRequests.addLast(new PendingRequest(exchange, head.method(), head.target()));
+                    addEntry(Entry.Kind.REQUEST, head.method(), head.target(), 0, text, bytes, exchange);
                 } else if (head.status() >= 200) {
-                    Asked asked = open.pollFirst();
-                    if (asked == null) {
-                        add(Entry.Kind.MALFORMED, null, null, head.status(), "a response without a request", bytes, -1);
+                    PendingRequest request = pendingRequests.pollFirst();
+                    if (request == null) {
+                        addEntry(
+                                Entry.Kind.MALFORMED,
+                                null,
+                                null,
+                                head.status(),
+                                "a response without a request",
+                                bytes,
+                                -1);
                         return;
                     }
-                    add(
+                    addEntry(
                             Entry.Kind.RESPONSE,
-                            asked.method(),
-                            asked.target(),
+                            request.method(),
+                            request.target(),
                             head.status(),
                             text,
                             bytes,
-                            asked.exchange());
+                            request.exchange());
                 }
             }
         }
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Tape.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/Tape.java
@@ -10,52 +10,62 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Owns the records of one rehearsal, from all ends, in the order of the one clock. */
+/** The recording of one rehearsal: the entries of all processes, dated by one clock. Thread-safe. */
 public final class Tape {
-    /** Most entries kept: a bound against a day that is larger than memory. */
-    private static final int MOST = 20_000_000;
+    /** Maximum number of entries kept, so that the recording of a long day does not exhaust the heap. */
+    private static final int MAX_ENTRIES = 20_000_000;
 
     private final Clock clock;
     private final List<Entry> entries = new ArrayList<>();
-    private boolean overrun;
+    private boolean truncated;
 
-    /** {@code clock} is the one clock by which all entries are dated. */
+    /**
+     * Creates an empty recording.
+     *
+     * @param clock the clock by which all entries are dated
+     */
     public Tape(Clock clock) {
         this.clock = clock;
     }
 
-    /** The time now. */
+    /** Returns the current time of the recording's clock, in ms. */
     public double nowMs() {
         return clock.nanos() / 1e6;
     }
 
-    /** Adds an entry, from any thread. */
+    /** Adds an entry, or drops it if the maximum number of entries is reached. May be called from any thread. */
     public synchronized void add(Entry entry) {
-        if (entries.size() < MOST) {
+        if (entries.size() < MAX_ENTRIES) {
             entries.add(entry);
         } else {
-            overrun = true;
+            truncated = true;
         }
     }
 
-    /** Adds a mark of the script. */
-    public void mark(String what, String concerned, String detail) {
-        add(new Entry(nowMs(), "script", concerned, 0, 0, Entry.Kind.MARK, what, null, 0, detail, 0));
+    /**
+     * Adds a mark of the script, dated now.
+     *
+     * @param kind the kind of the mark
+     * @param subject the process or fault that the mark is about
+     * @param detail further data, or null
+     */
+    public void mark(String kind, String subject, String detail) {
+        add(new Entry(nowMs(), "script", subject, 0, 0, Entry.Kind.MARK, kind, null, 0, detail, 0));
     }
 
-    /** Whether entries were dropped at the bound: the run can't be judged then. */
-    public synchronized boolean overrun() {
-        return overrun;
+    /** Returns whether entries were dropped at the maximum; the run cannot be judged then. */
+    public synchronized boolean isTruncated() {
+        return truncated;
     }
 
-    /** All entries, in the order of their time. */
+    /** Returns a copy of all entries, sorted by time. */
     public synchronized List<Entry> entries() {
         List<Entry> result = new ArrayList<>(entries);
         result.sort(Comparator.comparingDouble(Entry::atMs));
         return result;
     }
 
-    /** Writes all entries, a JSON line each. */
+    /** Writes all entries to a file, one JSON object a line. */
     public void write(Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
             for (Entry entry : entries()) {
@@ -65,7 +75,7 @@
         }
     }
 
-    /** Reads entries as written. */
+    /** Reads the entries of a file written by {@link #write}. */
     public static List<Entry> read(Path file) throws IOException {
         List<Entry> result = new ArrayList<>();
         for (String line : Files.readAllLines(file)) {
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/package-info.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns the records of what crossed the sockets. It must not judge them.
+ * Recording of the traffic on the sockets of a rehearsal. Whether the traffic keeps the rules is checked in the package
+ * {@code judge}, not here.
  */
 package calicovale.rehearsal.tape;
--- a/rehearsal/src/main/java/calicovale/rehearsal/viewers/package-info.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/viewers/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Owns the viewers: they come, keep their deadlines, play, retry and leave. They know the front's protocol only.
+ * Simulated viewers, which arrive, enforce their deadlines, play, retry and leave. They use the front's protocol only.
  */
 package calicovale.rehearsal.viewers;
