--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/BareLoop.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/BaselineServer.java
@@ -9,16 +9,24 @@
 import java.nio.channels.SocketChannel;
 import java.util.Iterator;
 
-/** Owns the floor: a selector loop on one thread that answers every request's end with the same bytes and does no more. */
-final class BareLoop implements AutoCloseable {
+/**
+ * Baseline for the benchmarks of the front: a server with one selector thread that answers each request with the same
+ * bytes. It does not parse requests, so that it shows the throughput that sockets and selector permit.
+ */
+final class BaselineServer implements AutoCloseable {
     private final Selector selector = Selector.open();
     private final ServerSocketChannel server = ServerSocketChannel.open();
-    private final byte[] answer;
+    private final byte[] response;
     private final Thread thread;
     private volatile boolean stopping;
 
-    BareLoop(byte[] answer) throws IOException {
-        this.answer = answer;
+    /**
+     * Starts a server on a free loopback port.
+     *
+     * @param response the complete response to each request
+     */
+    BaselineServer(byte[] response) throws IOException {
+        this.response = response;
         server.bind(new InetSocketAddress("127.0.0.1", 0));
         server.configureBlocking(false);
         server.register(selector, SelectionKey.OP_ACCEPT);
@@ -36,7 +44,7 @@
 
     private void run() {
         ByteBuffer in = ByteBuffer.allocateDirect(1 << 16);
-        ByteBuffer out = ByteBuffer.allocateDirect(answer.length);
+        ByteBuffer out = ByteBuffer.allocateDirect(response.length);
         try {
             while (!stopping) {
                 selector.select();
@@ -45,26 +53,26 @@
                     SelectionKey key = keys.next();
                     keys.remove();
                     if (key.isAcceptable()) {
-                        SocketChannel c = server.accept();
-                        c.configureBlocking(false);
-                        c.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-                        c.register(selector, SelectionKey.OP_READ);
+                        SocketChannel channel = server.accept();
+                        channel.configureBlocking(false);
+                        channel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
+                        channel.register(selector, SelectionKey.OP_READ);
                         continue;
                     }
-                    SocketChannel c = (SocketChannel) key.channel();
+                    SocketChannel channel = (SocketChannel) key.channel();
                     in.clear();
-                    if (c.read(in) < 0) {
-                        c.close();
+                    if (channel.read(in) < 0) {
+                        channel.close();
                         continue;
                     }
-                    // a request ends with an empty line; the client sends each whole
+                    // a request ends with an empty line; the client sends each one in a single write
                     boolean ended = in.position() >= 2
                             && in.get(in.position() - 1) == '\n'
                             && in.get(in.position() - 2) == '\r';
                     if (ended) {
-                        out.clear().put(answer).flip();
+                        out.clear().put(response).flip();
                         while (out.hasRemaining()) {
-                            c.write(out);
+                            channel.write(out);
                         }
                     }
                 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/Bench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/Bench.java
@@ -38,22 +38,29 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 
-/** Owns the measurements by name; each gives lines for people and figures for programs. */
+/** The benchmarks, by name. Each adds lines to a table for people and figures to a JSON document. */
 public final class Bench {
-    /** All measurements, in the order in which they run. */
+    /** Names of all benchmarks, in the order in which they run. */
     public static final List<String> NAMES =
             List.of("reloads", "setups", "decisions", "sessions", "stitch", "gossip", "liars", "members");
 
+    /** Number of measured rounds; one more is run before them to warm up. */
     private static final int ROUNDS = 5;
-    private static final long ROUND_MS = 2000;
+    /** Duration of a measurement, in ms. */
+    private static final long MEASURED_MS = 2000;
+
     private static final int CLIENT_THREADS = 3;
     private static final int CONNECTIONS = 48;
-    private static final long NO_END = Long.MAX_VALUE;
+    private static final long UNLIMITED_REQUESTS = Long.MAX_VALUE;
 
     private final ObjectNode figures = Documents.MAPPER.createObjectNode().put("schema", "calicovale/bench/1");
     private final StringBuilder table = new StringBuilder();
 
-    /** Runs one measurement. */
+    /**
+     * Runs one benchmark.
+     *
+     * @throws IllegalArgumentException if the name is not in {@link #NAMES}
+     */
     public void run(String name) throws Exception {
         switch (name) {
             case "reloads" -> reloads();
@@ -61,30 +68,30 @@
             case "decisions" -> decisions();
             case "sessions" -> sessions();
             case "stitch" -> stitch();
-            case "gossip" -> new GossipBench((what, value) -> tell("gossip", what, value)).run();
-            case "liars" -> new GossipBench((what, value) -> tell("liars", what, value)).liars();
+            case "gossip" -> new GossipBenchmark((what, value) -> report("gossip", what, value)).run();
+            case "liars" -> new GossipBenchmark((what, value) -> report("liars", what, value)).falseClaims();
             case "members" -> {
                 for (int size : new int[] {8, 32}) {
-                    new MembersBench((what, value) -> tell("members", what, value)).run(size);
+                    new LoopbackGroupBenchmark((what, value) -> report("members", what, value)).run(size);
                 }
             }
-            default -> throw new IllegalArgumentException("no measurement " + name + ", one of " + NAMES);
+            default -> throw new IllegalArgumentException("unknown benchmark " + name + "; expected one of " + NAMES);
         }
     }
 
-    /** The figures so far. */
+    /** Returns the figures of the benchmarks run so far, as JSON. */
     public ObjectNode figures() {
         return figures;
     }
 
-    /** The figures so far, for people. */
+    /** Returns the figures of the benchmarks run so far, as a table with a line for each figure. */
     public String table() {
         return table.toString();
     }
 
-    private void tell(String measurement, String what, double value) {
-        figures.withObject("/" + measurement).put(what, value);
-        table.append(String.format(Locale.ROOT, "%-12s%-52s%14.3f%n", measurement, what, value));
+    private void report(String measurement, String figure, double value) {
+        figures.withObject("/" + measurement).put(figure, value);
+        table.append(String.format(Locale.ROOT, "%-12s%-52s%14.3f%n", measurement, figure, value));
     }
 
     private static FrontSettings settings(InetSocketAddress directory, int boxes, int sessions)
@@ -92,12 +99,13 @@
         return settings(directory, boxes, sessions, "");
     }
 
-    private static FrontSettings settings(InetSocketAddress directory, int boxes, int sessions, String more)
+    private static FrontSettings settings(InetSocketAddress directory, int boxes, int sessions, String extraSettings)
             throws InvalidDocumentException {
-        double streams = Math.max(200, 4.0 * sessions / boxes);
-        // a link that carries the sessions at the middle rate with room to spare
-        double link = streams * 30;
-        return FrontSettings.parse("bench", """
+        double streamsPerBox = Math.max(200, 4.0 * sessions / boxes);
+        // enough link capacity for all sessions at a medium rate
+        double linkKb = streamsPerBox * 30;
+        return FrontSettings.parse(
+                "bench", """
                 {"manager": {"number": 0, "of": 1}, "listen": {"host": "127.0.0.1", "port": 0},
                  "directory": {"host": "127.0.0.1", "port": %d},
                  "classes": [{"name": "talk", "worth": 1, "aimMs": 8000, "deadlineMs": 20000, "lowestRung": 0, "highestRung": 5},
@@ -108,36 +116,45 @@
                    "racks": 8, "linkKbPerWeight": %f, "uplinkKb": %f, "kindStreams": [%f], "noteDelayMs": 700,
                    "noteEveryMs": 3000},
                  "bounds": {"sessions": 100000, "pending": 100000, "connections": 100000, "perBox": 1024} %s}
-                """.formatted(directory.getPort(), link, link * boxes, streams, more));
+                """.formatted(directory.getPort(), linkKb, linkKb * boxes, streamsPerBox, extraSettings));
     }
 
     private void stitch() throws Exception {
-        String operators = ", \"operators\": {\"host\": \"127.0.0.1\", \"port\": 0}";
+        String operatorsSetting = ", \"operators\": {\"host\": \"127.0.0.1\", \"port\": 0}";
         Path folder = Files.createTempDirectory("calicovale-bench");
-        String kept = operators + ", \"sessionsFolder\": \"" + folder + "\"";
-        StitchBench bench = new StitchBench((what, value) -> tell("stitch", what, value));
-        bench.reloads((directory, boxes, sessions) -> settings(directory, boxes, sessions, operators));
-        bench.all((directory, boxes, sessions) -> settings(directory, boxes, sessions, operators), "without a ledger");
-        bench.all((directory, boxes, sessions) -> settings(directory, boxes, sessions, kept), "with a ledger");
+        String ledgerSettings = operatorsSetting + ", \"sessionsFolder\": \"" + folder + "\"";
+        ProgrammeChangeBenchmark bench = new ProgrammeChangeBenchmark((what, value) -> report("stitch", what, value));
+        bench.reloads((directory, boxes, sessions) -> settings(directory, boxes, sessions, operatorsSetting));
+        bench.changeForAllSessions(
+                (directory, boxes, sessions) -> settings(directory, boxes, sessions, operatorsSetting),
+                "without a ledger");
+        bench.changeForAllSessions(
+                (directory, boxes, sessions) -> settings(directory, boxes, sessions, ledgerSettings), "with a ledger");
     }
 
-    private static HttpResponse<String> get(InetSocketAddress at, String path)
+    private static HttpResponse<String> get(InetSocketAddress address, String path)
             throws IOException, InterruptedException {
         return HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .build()
                 .send(
-                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + path))
+                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + path))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Asks until a session plays and gives its playlist's path. */
-    private static String playing(InetSocketAddress at, int number) throws IOException, InterruptedException {
+    /**
+     * Requests a lecture until a session plays; returns the path of its media playlist.
+     *
+     * @param number selects the lecture
+     * @throws IllegalStateException if no request succeeded within 1000 attempts
+     */
+    private static String awaitPlaylistPath(InetSocketAddress address, int number)
+            throws IOException, InterruptedException {
         for (int i = 0; i < 1000; i++) {
-            HttpResponse<String> answer = get(at, "/v1/lectures/t" + number % 20 + "/index.m3u8?class=course");
-            if (answer.statusCode() == 200) {
-                return answer.body()
+            HttpResponse<String> response = get(address, "/v1/lectures/t" + number % 20 + "/index.m3u8?class=course");
+            if (response.statusCode() == 200) {
+                return response.body()
                         .lines()
                         .filter(line -> line.startsWith("/s/"))
                         .findFirst()
@@ -145,14 +162,14 @@
             }
             Thread.sleep(20);
         }
-        throw new IllegalStateException("no session plays");
+        throw new IllegalStateException("no session started within 1000 attempts");
     }
 
-    private static double rate(LoadClient load, long ms) throws InterruptedException {
-        long before = load.answers();
-        long from = System.nanoTime();
-        Thread.sleep(ms);
-        return (load.answers() - before) * 1e9 / (System.nanoTime() - from);
+    private static double responsesPerSecond(ClosedLoopClient client, long durationMs) throws InterruptedException {
+        long responsesBefore = client.responses();
+        long startNanos = System.nanoTime();
+        Thread.sleep(durationMs);
+        return (client.responses() - responsesBefore) * 1e9 / (System.nanoTime() - startNanos);
     }
 
     private static double median(List<Double> values) {
@@ -160,155 +177,171 @@
         return sorted[sorted.length / 2];
     }
 
-    /** Reloads a second of one loop beside the floor; rounds alternate, so that noise falls on both. */
+    /** Playlist reloads a second on one event loop, compared with the baseline. */
     private void reloads() throws Exception {
         try (InstantBoxes boxes = new InstantBoxes(10, 900);
                 FrontProcess front = new FrontProcess(
-                        settings(boxes.directory(), 10, 200), Clock.system(), new SplittableRandom(1), Tap.NONE)) {
-            InetSocketAddress at = front.address();
-            List<String> media = new ArrayList<>();
+                        settings(boxes.directoryAddress(), 10, 200),
+                        Clock.system(),
+                        new SplittableRandom(1),
+                        Tap.NONE)) {
+            InetSocketAddress address = front.address();
+            List<String> mediaPaths = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                media.add(playing(at, i));
+                mediaPaths.add(awaitPlaylistPath(address, i));
             }
-            HttpResponse<String> one = get(at, media.get(0));
-            int length = one.body().getBytes(StandardCharsets.UTF_8).length;
+            HttpResponse<String> sample = get(address, mediaPaths.get(0));
+            int length = sample.body().getBytes(StandardCharsets.UTF_8).length;
             StringBuilder head = new StringBuilder("HTTP/1.1 200 OK\r\n");
-            one.headers().map().forEach((name, values) -> {
-                // the client finds the length by its usual spelling
-                String spelt = name.equalsIgnoreCase("content-length") ? "Content-Length" : name;
-                head.append(spelt).append(": ").append(values.get(0)).append("\r\n");
+            sample.headers().map().forEach((name, values) -> {
+                // the client finds the length only under this spelling of the header
+                String headerName = name.equalsIgnoreCase("content-length") ? "Content-Length" : name;
+                head.append(headerName).append(": ").append(values.get(0)).append("\r\n");
             });
-            byte[] answer = (head + "\r\n" + "x".repeat(length)).getBytes(StandardCharsets.US_ASCII);
-            try (BareLoop bare = new BareLoop(answer)) {
-                beside(
+            byte[] response = (head + "\r\n" + "x".repeat(length)).getBytes(StandardCharsets.US_ASCII);
+            try (BaselineServer baseline = new BaselineServer(response)) {
+                compareWithBaseline(
                         "reloads",
-                        at,
-                        n -> media.get((int) (n % media.size())),
+                        address,
+                        n -> mediaPaths.get((int) (n % mediaPaths.size())),
                         front.loop().call(Thread::currentThread).getId(),
-                        bare,
-                        media.get(0));
+                        baseline,
+                        mediaPaths.get(0));
             }
-            tell("reloads", "bytes of an answer", answer.length);
+            report("reloads", "bytes of an answer", response.length);
         }
     }
 
-    private void beside(
+    /**
+     * Measures the throughput, CPU time and allocation of the front and those of the baseline. Their rounds
+     * alternate, so that disturbances affect both.
+     */
+    private void compareWithBaseline(
             String name,
-            InetSocketAddress at,
+            InetSocketAddress address,
             java.util.function.LongFunction<String> target,
             long frontThread,
-            BareLoop bare,
-            String bareTarget)
+            BaselineServer baseline,
+            String baselineTarget)
             throws Exception {
-        List<Double> front = new ArrayList<>();
-        List<Double> floor = new ArrayList<>();
+        List<Double> frontRates = new ArrayList<>();
+        List<Double> baselineRates = new ArrayList<>();
         List<Double> ratios = new ArrayList<>();
-        List<Double> cpu = new ArrayList<>();
+        List<Double> cpuRatios = new ArrayList<>();
         var threads = ManagementFactory.getThreadMXBean();
         var memory = (com.sun.management.ThreadMXBean) threads;
-        double allocated = 0;
+        double allocatedBytesPerResponse = 0;
         for (int round = 0; round < ROUNDS + 1; round++) {
-            LoadClient onBare =
-                    new LoadClient(bare.address(), CLIENT_THREADS, CONNECTIONS, NO_END, n -> bareTarget).start();
-            rate(onBare, ROUND_MS / 4);
-            long bareCpu = threads.getThreadCpuTime(bare.threadId());
-            long bareAnswers = onBare.answers();
-            double b = rate(onBare, ROUND_MS);
-            double bareEach =
-                    (threads.getThreadCpuTime(bare.threadId()) - bareCpu) / (double) (onBare.answers() - bareAnswers);
-            onBare.stop();
-            LoadClient onFront = new LoadClient(at, CLIENT_THREADS, CONNECTIONS, NO_END, target).start();
-            rate(onFront, ROUND_MS / 4);
-            long frontCpu = threads.getThreadCpuTime(frontThread);
-            long frontBytes = memory.getThreadAllocatedBytes(frontThread);
-            long frontAnswers = onFront.answers();
-            double f = rate(onFront, ROUND_MS);
-            double each =
-                    (threads.getThreadCpuTime(frontThread) - frontCpu) / (double) (onFront.answers() - frontAnswers);
-            allocated = (memory.getThreadAllocatedBytes(frontThread) - frontBytes)
-                    / (double) (onFront.answers() - frontAnswers);
-            onFront.stop();
-            if (onFront.others() > 0) {
-                throw new IllegalStateException(onFront.others() + " answers were not 200");
+            ClosedLoopClient baselineClient = new ClosedLoopClient(
+                            baseline.address(), CLIENT_THREADS, CONNECTIONS, UNLIMITED_REQUESTS, n -> baselineTarget)
+                    .start();
+            responsesPerSecond(baselineClient, MEASURED_MS / 4);
+            long baselineCpuBefore = threads.getThreadCpuTime(baseline.threadId());
+            long baselineResponsesBefore = baselineClient.responses();
+            double baselineRate = responsesPerSecond(baselineClient, MEASURED_MS);
+            double baselineCpuPerResponse = (threads.getThreadCpuTime(baseline.threadId()) - baselineCpuBefore)
+                    / (double) (baselineClient.responses() - baselineResponsesBefore);
+            baselineClient.stop();
+            ClosedLoopClient frontClient =
+                    new ClosedLoopClient(address, CLIENT_THREADS, CONNECTIONS, UNLIMITED_REQUESTS, target).start();
+            responsesPerSecond(frontClient, MEASURED_MS / 4);
+            long frontCpuBefore = threads.getThreadCpuTime(frontThread);
+            long frontBytesBefore = memory.getThreadAllocatedBytes(frontThread);
+            long frontResponsesBefore = frontClient.responses();
+            double frontRate = responsesPerSecond(frontClient, MEASURED_MS);
+            double frontCpuPerResponse = (threads.getThreadCpuTime(frontThread) - frontCpuBefore)
+                    / (double) (frontClient.responses() - frontResponsesBefore);
+            allocatedBytesPerResponse = (memory.getThreadAllocatedBytes(frontThread) - frontBytesBefore)
+                    / (double) (frontClient.responses() - frontResponsesBefore);
+            frontClient.stop();
+            if (frontClient.non200Responses() > 0) {
+                throw new IllegalStateException(frontClient.non200Responses() + " answers were not 200");
             }
             if (round > 0) {
                 // the first round warms up
-                front.add(f);
-                floor.add(b);
-                ratios.add(f / b);
-                cpu.add(bareEach / each);
+                frontRates.add(frontRate);
+                baselineRates.add(baselineRate);
+                ratios.add(frontRate / baselineRate);
+                cpuRatios.add(baselineCpuPerResponse / frontCpuPerResponse);
             }
         }
-        tell(name, "answers a second of the front", median(front));
-        tell(name, "answers a second of the bare loop", median(floor));
-        tell(name, "ratio of the two (median of rounds)", median(ratios));
-        tell(name, "ratio by CPU time an answer of the loop's thread", median(cpu));
-        tell(name, "bytes allocated an answer", allocated);
+        report(name, "answers a second of the front", median(frontRates));
+        report(name, "answers a second of the bare loop", median(baselineRates));
+        report(name, "ratio of the two (median of rounds)", median(ratios));
+        report(name, "ratio by CPU time an answer of the loop's thread", median(cpuRatios));
+        report(name, "bytes allocated an answer", allocatedBytesPerResponse);
     }
 
-    /** Set-ups a second of one loop, boxes that answer at once; a bounded number, since each session stays. */
+    /**
+     * Set-ups a second on one event loop, with boxes that respond at once. The number of set-ups is bounded because
+     * the sessions stay.
+     */
     private void setUps() throws Exception {
-        byte[] answer = ("HTTP/1.1 200 OK\r\nContent-Length: 180\r\n\r\n" + "x".repeat(180))
+        byte[] response = ("HTTP/1.1 200 OK\r\nContent-Length: 180\r\n\r\n" + "x".repeat(180))
                 .getBytes(StandardCharsets.US_ASCII);
         try (InstantBoxes boxes = new InstantBoxes(20, 900);
-                BareLoop bare = new BareLoop(answer)) {
-            List<Double> front = new ArrayList<>();
-            List<Double> floor = new ArrayList<>();
+                BaselineServer baseline = new BaselineServer(response)) {
+            List<Double> frontRates = new ArrayList<>();
+            List<Double> baselineRates = new ArrayList<>();
             List<Double> ratios = new ArrayList<>();
             for (int round = 0; round < ROUNDS + 1; round++) {
-                LoadClient onBare =
-                        new LoadClient(bare.address(), CLIENT_THREADS, CONNECTIONS, NO_END, n -> "/").start();
-                rate(onBare, ROUND_MS / 4);
-                double b = rate(onBare, ROUND_MS);
-                onBare.stop();
+                ClosedLoopClient baselineClient = new ClosedLoopClient(
+                                baseline.address(), CLIENT_THREADS, CONNECTIONS, UNLIMITED_REQUESTS, n -> "/")
+                        .start();
+                responsesPerSecond(baselineClient, MEASURED_MS / 4);
+                double baselineRate = responsesPerSecond(baselineClient, MEASURED_MS);
+                baselineClient.stop();
                 try (FrontProcess manager = new FrontProcess(
-                        settings(boxes.directory(), 20, 20_000),
+                        settings(boxes.directoryAddress(), 20, 20_000),
                         Clock.system(),
                         new SplittableRandom(round),
                         Tap.NONE)) {
-                    InetSocketAddress at = manager.address();
-                    playing(at, 0);
-                    // until a manager is sure that no box is cold it sends little to each
+                    InetSocketAddress address = manager.address();
+                    awaitPlaylistPath(address, 0);
+                    // wait until the manager considers all boxes warm, because it sends few set-ups to cold ones
                     Thread.sleep(4500);
-                    LoadClient onFront = new LoadClient(
-                            at,
+                    ClosedLoopClient frontClient = new ClosedLoopClient(
+                            address,
                             CLIENT_THREADS,
                             CONNECTIONS,
                             4000,
                             n -> "/v1/lectures/t" + n % 20 + "/index.m3u8?class=" + (n % 3 == 0 ? "course" : "talk"));
-                    long from = System.nanoTime();
-                    onFront.start().join();
-                    double f = 4000 * 1e9 / (System.nanoTime() - from);
-                    if (onFront.others() > 0) {
-                        tell("setups", "requests refused in round " + round, onFront.others());
+                    long startNanos = System.nanoTime();
+                    frontClient.start().join();
+                    double frontRate = 4000 * 1e9 / (System.nanoTime() - startNanos);
+                    if (frontClient.non200Responses() > 0) {
+                        report("setups", "requests refused in round " + round, frontClient.non200Responses());
                     }
                     if (round > 0) {
-                        front.add(f);
-                        floor.add(b);
-                        ratios.add(f / b);
+                        frontRates.add(frontRate);
+                        baselineRates.add(baselineRate);
+                        ratios.add(frontRate / baselineRate);
                     }
                 }
             }
-            tell("setups", "set-ups a second of the front", median(front));
-            tell("setups", "answers a second of the bare loop", median(floor));
-            tell("setups", "ratio of the two (median of rounds)", median(ratios));
+            report("setups", "set-ups a second of the front", median(frontRates));
+            report("setups", "answers a second of the bare loop", median(baselineRates));
+            report("setups", "ratio of the two (median of rounds)", median(ratios));
         }
     }
 
-    /** What a decision costs with 210 boxes: the controller alone, fed as its host feeds it. */
+    /**
+     * Time and allocation of a decision with 210 boxes: the controller alone, with the events that its host would
+     * deliver.
+     */
     private void decisions() throws Exception {
         int boxes = 210;
-        FrontSettings s = settings(new InetSocketAddress("127.0.0.1", 9), boxes, 3000);
+        FrontSettings settings = settings(new InetSocketAddress("127.0.0.1", 9), boxes, 3000);
         ArrayDeque<String> attempts = new ArrayDeque<>();
-        double[] now = {1_000_000};
-        List<Double> ticks = new ArrayList<>();
-        long[] servers = new long[1];
+        double[] nowMs = {1_000_000};
+        List<Double> tickTimesMs = new ArrayList<>();
+        long[] lastServer = new long[1];
         int[] refused = new int[1];
-        SessionController controller = new SessionController(s.controller(), 1, now[0], new Actions() {
+        SessionController controller = new SessionController(settings.controller(), 1, nowMs[0], new Actions() {
             @Override
             public void attempt(String id, long server, double timeoutMs) {
                 attempts.add(id);
-                servers[0] = server;
+                lastServer[0] = server;
             }
 
             @Override
@@ -339,34 +372,34 @@
 
             @Override
             public void timer(double delayMs, String name) {
-                ticks.add(now[0] + delayMs);
+                tickTimesMs.add(nowMs[0] + delayMs);
             }
 
             @Override
             public void log(String text) {}
         });
-        List<ServerEntry> list = new ArrayList<>();
+        List<ServerEntry> boxEntries = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
-            list.add(new ServerEntry(i, ServerState.READY, 0, 0, i % 8, 0, 0.8 + 0.4 * (i % 10) / 10));
+            boxEntries.add(new ServerEntry(i, ServerState.READY, 0, 0, i % 8, 0, 0.8 + 0.4 * (i % 10) / 10));
         }
-        controller.handle(now[0], new ServerList(ListScope.COMPLETE, 1, list));
-        now[0] += 5000;
-        Histogram deciding = new Histogram(10_000_000_000L, 3);
-        Histogram all = new Histogram(10_000_000_000L, 3);
+        controller.handle(nowMs[0], new ServerList(ListScope.COMPLETE, 1, boxEntries));
+        nowMs[0] += 5000;
+        Histogram requestNanos = new Histogram(10_000_000_000L, 3);
+        Histogram otherEventNanos = new Histogram(10_000_000_000L, 3);
         var memory = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long thread = Thread.currentThread().getId();
+        long threadId = Thread.currentThread().getId();
         ArrayDeque<String[]> playing = new ArrayDeque<>();
         SplittableRandom random = new SplittableRandom(1);
-        int warm = 60_000;
-        int measured = 60_000;
-        long bytes = 0;
-        for (int n = 0; n < warm + measured; n++) {
-            now[0] += 20;
-            while (!ticks.isEmpty() && ticks.get(0) <= now[0]) {
-                ticks.remove(0);
-                long from = System.nanoTime();
-                controller.handle(now[0], new TimerFired("tick"));
-                record(all, n >= warm, from);
+        int warmUpRequests = 60_000;
+        int measuredRequests = 60_000;
+        long allocatedBytes = 0;
+        for (int n = 0; n < warmUpRequests + measuredRequests; n++) {
+            nowMs[0] += 20;
+            while (!tickTimesMs.isEmpty() && tickTimesMs.get(0) <= nowMs[0]) {
+                tickTimesMs.remove(0);
+                long startNanos = System.nanoTime();
+                controller.handle(nowMs[0], new TimerFired("tick"));
+                record(otherEventNanos, n >= warmUpRequests, startNanos);
             }
             String id = "r" + n;
             Request request = new Request(
@@ -375,7 +408,7 @@
                     0,
                     "v",
                     "t" + random.nextInt(100),
-                    now[0] + 20_000,
+                    nowMs[0] + 20_000,
                     0,
                     0,
                     Integer.MAX_VALUE,
@@ -383,63 +416,69 @@
                     false,
                     false,
                     false);
-            long before = memory.getThreadAllocatedBytes(thread);
-            long from = System.nanoTime();
-            controller.handle(now[0], request);
-            record(deciding, n >= warm, from);
-            bytes += n >= warm ? memory.getThreadAllocatedBytes(thread) - before : 0;
+            long bytesBefore = memory.getThreadAllocatedBytes(threadId);
+            long startNanos = System.nanoTime();
+            controller.handle(nowMs[0], request);
+            record(requestNanos, n >= warmUpRequests, startNanos);
+            allocatedBytes += n >= warmUpRequests ? memory.getThreadAllocatedBytes(threadId) - bytesBefore : 0;
             while (!attempts.isEmpty()) {
                 String started = attempts.poll();
-                controller.handle(now[0], new Started(started, 0, servers[0], 20));
-                playing.add(new String[] {started, Long.toString(servers[0])});
+                controller.handle(nowMs[0], new Started(started, 0, lastServer[0], 20));
+                playing.add(new String[] {started, Long.toString(lastServer[0])});
             }
             if (playing.size() > 3000) {
-                String[] last = playing.poll();
-                from = System.nanoTime();
+                String[] ending = playing.poll();
+                startNanos = System.nanoTime();
                 controller.handle(
-                        now[0],
+                        nowMs[0],
                         new AttemptEnded(
-                                last[0],
+                                ending[0],
                                 0,
-                                Long.parseLong(last[1]),
+                                Long.parseLong(ending[1]),
                                 Outcome.OK,
                                 60_000,
                                 true,
                                 Map.of("util", 0.3 + 0.4 * random.nextDouble(), "x1", 0.4)));
-                record(all, n >= warm, from);
+                record(otherEventNanos, n >= warmUpRequests, startNanos);
             }
             if (n % 5 == 0 && !playing.isEmpty()) {
-                String[] some = playing.peek();
-                from = System.nanoTime();
+                String[] reporting = playing.peek();
+                startNanos = System.nanoTime();
                 controller.handle(
-                        now[0],
+                        nowMs[0],
                         new Note(
-                                some[0],
+                                reporting[0],
                                 0,
-                                Long.parseLong(some[1]),
+                                Long.parseLong(reporting[1]),
                                 NoteKind.LINK_USE,
                                 0.3 + 0.4 * random.nextDouble()));
-                record(all, n >= warm, from);
+                record(otherEventNanos, n >= warmUpRequests, startNanos);
             }
         }
-        for (double p : new double[] {50, 99, 99.9}) {
-            tell("decisions", "us of a request at 210 boxes, p" + p, deciding.getValueAtPercentile(p) / 1000.0);
+        for (double percentile : new double[] {50, 99, 99.9}) {
+            report(
+                    "decisions",
+                    "us of a request at 210 boxes, p" + percentile,
+                    requestNanos.getValueAtPercentile(percentile) / 1000.0);
         }
-        for (double p : new double[] {50, 99, 99.9}) {
-            tell("decisions", "us of the other events, p" + p, all.getValueAtPercentile(p) / 1000.0);
+        for (double percentile : new double[] {50, 99, 99.9}) {
+            report(
+                    "decisions",
+                    "us of the other events, p" + percentile,
+                    otherEventNanos.getValueAtPercentile(percentile) / 1000.0);
         }
-        tell("decisions", "bytes allocated a request", bytes / (double) measured);
-        tell("decisions", "sessions held meanwhile", playing.size());
-        tell("decisions", "requests refused", refused[0]);
+        report("decisions", "bytes allocated a request", allocatedBytes / (double) measuredRequests);
+        report("decisions", "sessions held meanwhile", playing.size());
+        report("decisions", "requests refused", refused[0]);
     }
 
-    private static void record(Histogram histogram, boolean counts, long from) {
-        if (counts) {
-            histogram.recordValue(Math.max(1, System.nanoTime() - from));
+    private static void record(Histogram histogram, boolean measured, long startNanos) {
+        if (measured) {
+            histogram.recordValue(Math.max(1, System.nanoTime() - startNanos));
         }
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         var memory = ManagementFactory.getMemoryMXBean();
         for (int i = 0; i < 3; i++) {
             memory.gc();
@@ -447,40 +486,45 @@
         return memory.getHeapMemoryUsage().getUsed();
     }
 
-    /** Heap that 20,000 sessions of one manager take; the boxes remember nothing. */
+    /** Heap that 20,000 sessions of one manager take; the boxes run in the same process but keep no state. */
     private void sessions() throws Exception {
         int count = 20_000;
         try (InstantBoxes boxes = new InstantBoxes(60, 900);
                 FrontProcess manager = new FrontProcess(
-                        settings(boxes.directory(), 60, count), Clock.system(), new SplittableRandom(1), Tap.NONE)) {
-            InetSocketAddress at = manager.address();
-            List<String> media = new ArrayList<>(List.of(playing(at, 0)));
+                        settings(boxes.directoryAddress(), 60, count),
+                        Clock.system(),
+                        new SplittableRandom(1),
+                        Tap.NONE)) {
+            InetSocketAddress address = manager.address();
+            List<String> mediaPaths = new ArrayList<>(List.of(awaitPlaylistPath(address, 0)));
             Thread.sleep(4500);
-            long before = heap();
-            LoadClient load = new LoadClient(
-                    at,
+            long heapBefore = usedHeapBytes();
+            ClosedLoopClient setUpClient = new ClosedLoopClient(
+                    address,
                     CLIENT_THREADS,
                     CONNECTIONS,
                     count,
                     n -> "/v1/lectures/t" + n % 20 + "/index.m3u8?class=" + (n % 3 == 0 ? "course" : "talk"));
-            long from = System.nanoTime();
-            load.start().join();
-            double seconds = (System.nanoTime() - from) / 1e9;
+            long startNanos = System.nanoTime();
+            setUpClient.start().join();
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
             int held = manager.loop().call(() -> manager.manager().sessionCount());
-            long after = heap();
-            tell("sessions", "sessions held", held);
-            tell("sessions", "requests that were refused", load.others());
-            tell("sessions", "heap bytes a session", (after - before) / (double) held);
-            tell("sessions", "heap in use with all, MB", after / 1e6);
-            tell(
+            long heapAfter = usedHeapBytes();
+            report("sessions", "sessions held", held);
+            report("sessions", "requests that were refused", setUpClient.non200Responses());
+            report("sessions", "heap bytes a session", (heapAfter - heapBefore) / (double) held);
+            report("sessions", "heap in use with all, MB", heapAfter / 1e6);
+            report(
                     "sessions",
                     "heap bound of this process, MB",
                     Runtime.getRuntime().maxMemory() / 1e6);
-            tell("sessions", "seconds until all played", seconds);
-            LoadClient reloads = new LoadClient(at, CLIENT_THREADS, CONNECTIONS, NO_END, n -> media.get(0)).start();
-            rate(reloads, ROUND_MS / 4);
-            tell("sessions", "reloads a second with all held", rate(reloads, ROUND_MS));
-            reloads.stop();
+            report("sessions", "seconds until all played", seconds);
+            ClosedLoopClient reloadClient = new ClosedLoopClient(
+                            address, CLIENT_THREADS, CONNECTIONS, UNLIMITED_REQUESTS, n -> mediaPaths.get(0))
+                    .start();
+            responsesPerSecond(reloadClient, MEASURED_MS / 4);
+            report("sessions", "reloads a second with all held", responsesPerSecond(reloadClient, MEASURED_MS));
+            reloadClient.stop();
         }
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
@@ -14,40 +14,48 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Owns boxes that start every session at once and remember nothing, so that what is measured is the manager. */
+/**
+ * Boxes that start every session at once and keep no state, together with their directory. They cost so little that a
+ * benchmark with them measures the manager.
+ */
 final class InstantBoxes implements AutoCloseable {
     private final List<EventLoop> loops = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final EventLoop directoryLoop;
-    private final InetSocketAddress directory;
-    private final String source;
-    private final String piece;
-    private int tokens;
+    private final InetSocketAddress directoryAddress;
+    private final String lecturePlaylist;
+    private final String piecePlaylist;
+    private int lastSessionNumber;
 
+    /**
+     * Starts boxes and a directory that lists them.
+     *
+     * @param segments number of segments of each lecture
+     */
     InstantBoxes(int count, int segments) {
         Clock clock = Clock.system();
-        source = source(segments);
-        piece = source(3);
+        lecturePlaylist = vodPlaylist(segments);
+        piecePlaylist = vodPlaylist(3);
         for (int i = 0; i < 2; i++) {
             loops.add(new EventLoop("instant-" + i, clock).start());
         }
         directoryLoop = new EventLoop("directory", clock).start();
-        BoxDirectory list = new BoxDirectory(directoryLoop, new InetSocketAddress("127.0.0.1", 0), 0, 500);
+        BoxDirectory directory = new BoxDirectory(directoryLoop, new InetSocketAddress("127.0.0.1", 0), 0, 500);
         for (int i = 0; i < count; i++) {
             EventLoop loop = loops.get(i % loops.size());
             HttpServer server = new HttpServer(loop, "box:" + i, HttpLimits.DEFAULT, x -> handle(x, loop));
-            InetSocketAddress at = loop.call(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)));
-            addresses.add(at);
+            InetSocketAddress address = loop.call(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)));
+            addresses.add(address);
             int id = i;
             directoryLoop.call(() -> {
-                list.listNow(new BoxDirectory.Entry(id, "ready", 0, 0, 0, 0, 1, "127.0.0.1:" + at.getPort()));
+                directory.listNow(new BoxDirectory.Entry(id, "ready", 0, 0, 0, 0, 1, "127.0.0.1:" + address.getPort()));
                 return true;
             });
         }
-        directory = directoryLoop.call(list::start);
+        directoryAddress = directoryLoop.call(directory::start);
     }
 
-    private static String source(int segments) {
+    private static String vodPlaylist(int segments) {
         StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXT-X-MAP:URI=\"init.mp4\"\n");
         for (int i = 0; i < segments; i++) {
             text.append("#EXTINF:4.0,\n").append(i).append(".m4s\n");
@@ -55,35 +63,40 @@
         return text + "#EXT-X-ENDLIST\n";
     }
 
-    InetSocketAddress directory() {
-        return directory;
+    /** Returns the address of the directory. */
+    InetSocketAddress directoryAddress() {
+        return directoryAddress;
     }
 
-    private void handle(Exchange x, EventLoop loop) {
-        String path = x.head().path();
-        switch (x.head().method()) {
+    private void handle(Exchange exchange, EventLoop loop) {
+        String path = exchange.head().path();
+        switch (exchange.head().method()) {
             case "POST" ->
-                x.respond(
+                exchange.respond(
                         201,
                         new Headers().add("endpoint-load-metrics", "TEXT named_metrics.util=0.2"),
-                        ("{\"base\":\"/s/1-1-abc." + ++tokens + "/\"}").getBytes(StandardCharsets.UTF_8));
-            case "PUT", "DELETE" -> x.respond(204);
+                        ("{\"base\":\"/s/1-1-abc." + ++lastSessionNumber + "/\"}").getBytes(StandardCharsets.UTF_8));
+            case "PUT", "DELETE" -> exchange.respond(204);
             default -> {
                 if (path.equals("/v1/events")) {
-                    BodyStream out = x.stream(200, new Headers().add("Content-Type", "text/event-stream"));
-                    // no hello: these boxes know of no sessions and must not deny any
-                    beat(loop, out);
+                    BodyStream stream = exchange.stream(200, new Headers().add("Content-Type", "text/event-stream"));
+                    // no hello event, because it would list the sessions of the box and thereby deny all of the
+                    // manager's
+                    scheduleKeepAlive(loop, stream);
                 } else {
-                    x.respond(200, "application/vnd.apple.mpegurl", path.contains("/piece/") ? piece : source);
+                    exchange.respond(
+                            200,
+                            "application/vnd.apple.mpegurl",
+                            path.contains("/piece/") ? piecePlaylist : lecturePlaylist);
                 }
             }
         }
     }
 
-    private void beat(EventLoop loop, BodyStream out) {
+    private void scheduleKeepAlive(EventLoop loop, BodyStream stream) {
         loop.schedule(500, () -> {
-            if (out.write(EventStream.keepAliveComment())) {
-                beat(loop, out);
+            if (stream.write(EventStream.keepAliveComment())) {
+                scheduleKeepAlive(loop, stream);
             }
         });
     }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/package-info.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Owns the measurements: each beside its floor in the same run, told as a ratio. It must not be part of a test's verdict.
+ * Benchmarks. Where a baseline exists, it is measured in the same run and the result is reported as a ratio to it. No
+ * test may pass or fail by these figures.
  */
 package calicovale.rehearsal.bench;
