--- a/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
@@ -88,7 +88,7 @@
      * @param titles number of different lectures
      * @param returnProbability probability that a viewer returns after a refusal or an interruption
      * @param returnDelayRangeMs lowest and highest delay before a viewer returns, in ms
-     * @param impatientProbability probability that a viewer gives up its request before its deadline
+     * @param impatientProbability probability that a viewer gives up early on a request for a lecture
      * @param impatientTimeoutRangeMs lowest and highest time after which such a viewer gives up, in ms
      * @param surges times with a different rate of arrivals
      * @param classes classes of the viewers
@@ -133,7 +133,8 @@
      *
      * @param kind kind of the fault, as in the day file
      * @param atS time at which it begins, in seconds of the day
-     * @param durationS time after which it ends, in seconds; 0 for a fault that is not undone
+     * @param durationS time after which it ends, in seconds, 0 for a fault that is not undone; for a deploy, how long
+     *        each box drains
      * @param boxes ids of the boxes concerned
      * @param rack number of the rack concerned
      * @param manager number of the manager concerned
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
@@ -17,7 +17,7 @@
  * @param target target of the request, repeated in the entries of its response; otherwise null
  * @param status status of the response, otherwise 0
  * @param body body of a request, event or playlist, null where it was not kept; for {@code HEAD}, the value of the
- *        {@code Calicovale-Session} header; for a mark, its detail
+ *        {@code Calicovale-Session} header; for {@code MALFORMED}, the reason; for a mark, its detail
  * @param bytes length of the body: bytes, or characters for a server-sent event
  */
 public record Entry(
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Records the HTTP traffic on the sockets of one event loop. Both directions of each connection are parsed
- * independently of the program's own parsers, and each complete message is added to the recording.
+ * Records the HTTP traffic on the sockets of one event loop. Each direction of a connection has a parser of
+ * its own, separate from those of the program, and each complete message is added to the recording.
  */
 public final class SocketTap implements Tap {
     private static final AtomicLong LAST_CONNECTION_NUMBER = new AtomicLong();
