--- a/protocols/src/main/java/calicovale/protocols/http/ByteRange.java
+++ b/protocols/src/main/java/calicovale/protocols/http/ByteRange.java
@@ -12,8 +12,8 @@
 public record ByteRange(long first, long length, boolean whole) {
 
     /**
-     * Returns the range that a Range header requests of {@code contentLength} bytes; a null header means that it is
-     * absent.
+     * Returns the range that a Range header requests of {@code contentLength} bytes; {@code header} is null if the
+     * request has none.
      */
     public static ByteRange of(String header, long contentLength) {
         ByteRange whole = new ByteRange(0, contentLength, true);
--- a/protocols/src/main/java/calicovale/protocols/http/EventStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/EventStream.java
@@ -11,7 +11,7 @@
         /** Called for each event; {@code type} is "message" if the event has none. */
         void event(String type, String data);
 
-        /** Called for each comment line; peers send comments as keep-alive. */
+        /** Called for each comment line; see {@link #keepAliveComment()}. */
         default void comment() {}
     }
 
@@ -112,7 +112,10 @@
         return out.append('\n').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns a comment in wire format, which is sent as keep-alive. */
+    /**
+     * Returns an empty comment in wire format. Senders repeat it so that intermediaries don't close a stream without
+     * events as idle (HTML standard, 9.2.7).
+     */
     public static byte[] keepAliveComment() {
         return ": \n\n".getBytes(StandardCharsets.UTF_8);
     }
--- a/protocols/src/main/java/calicovale/protocols/http/Exchange.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Exchange.java
@@ -12,8 +12,8 @@
     private final HttpHead head;
     private final byte[] body;
     private boolean answered;
-    private boolean peerClosed;
-    private Runnable onPeerClosed;
+    private boolean clientClosed;
+    private Runnable onClientClosed;
 
     Exchange(HttpServer.ClientConnection client, HttpHead head, byte[] body) {
         this.client = client;
@@ -38,7 +38,7 @@
 
     /** Returns whether the client closed the connection before the response was complete. */
     public boolean peerClosed() {
-        return peerClosed;
+        return clientClosed;
     }
 
     /** Returns the connection of this exchange, for handlers that reset or observe it. */
@@ -51,17 +51,17 @@
      * that has already happened.
      */
     public void onPeerClosed(Runnable action) {
-        onPeerClosed = action;
-        if (peerClosed) {
+        onClientClosed = action;
+        if (clientClosed) {
             action.run();
         }
     }
 
-    void notifyPeerClosed() {
-        if (!peerClosed) {
-            peerClosed = true;
-            if (onPeerClosed != null) {
-                onPeerClosed.run();
+    void notifyClientClosed() {
+        if (!clientClosed) {
+            clientClosed = true;
+            if (onClientClosed != null) {
+                onClientClosed.run();
             }
         }
     }
@@ -74,7 +74,7 @@
      */
     public boolean respond(int status, Headers headers, byte[] content) {
         begin();
-        return !peerClosed
+        return !clientClosed
                 && client.respond(status, headers, content, head.method().equals("HEAD"));
     }
 
@@ -107,13 +107,13 @@
     /** Begins a response with a chunked body; returns null if the client has closed the connection. */
     public BodyStream stream(int status, Headers headers) {
         begin();
-        return peerClosed ? null : client.stream(this, status, headers, -1);
+        return clientClosed ? null : client.stream(this, status, headers, -1);
     }
 
     /** Begins a response with a body of {@code length} bytes; returns null if the client has closed the connection. */
     public BodyStream stream(int status, Headers headers, long length) {
         begin();
-        return peerClosed ? null : client.stream(this, status, headers, length);
+        return clientClosed ? null : client.stream(this, status, headers, length);
     }
 
     private void begin() {
--- a/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
@@ -19,8 +19,8 @@
 public final class HttpClient {
 
     /**
-     * Reason for the failure of a call. Only {@link #CONNECT_REFUSED} (no process listens), {@link #CONNECT_TIMEOUT}
-     * and {@link #POOL_FULL} prove that nothing was sent.
+     * Reason for the failure of a call. Only {@link #CONNECT_REFUSED} (refused, or failed before a connection was
+     * established), {@link #CONNECT_TIMEOUT} and {@link #POOL_FULL} prove that nothing was sent.
      */
     public enum Failure {
         CONNECT_REFUSED,
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Receiver of a response, on the loop's thread. The last call is {@link #onEnd} or {@link #onFailure}, exactly
-     * once.
+     * Receiver of a response, on the loop's thread. The last call is either {@link #onEnd} or {@link #onFailure}, and
+     * it is made exactly once.
      */
     public interface ResponseHandler {
         /** Called with the head of the final response. */
@@ -53,8 +53,8 @@
     /** Receiver of a whole response. */
     public interface FullResponseHandler {
         /**
-         * Called once; {@code failure} is null for a complete response, otherwise {@code head} and {@code body} are
-         * null.
+         * Called once, either with {@code head} and {@code body} of a complete response or with a {@code failure};
+         * the others are null.
          */
         void done(HttpHead head, byte[] body, Failure failure);
     }
@@ -352,7 +352,7 @@
 
         /**
          * Closes the connection if it has been idle for too long. Each connection has one timer; it is scheduled anew
-         * for the time at which the limit can be reached.
+         * for the time at which the limit can be reached, but not sooner than after a quarter of {@code idleMs}.
          */
         private void closeIfIdle() {
             double remainingMs = idleSinceMs + limits.idleMs() - loop.clock().millis();
--- a/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpParser.java
@@ -6,9 +6,9 @@
 
 /**
  * Incremental parser for one direction of an HTTP/1.1 connection (RFC 9112). Any split of the bytes gives the same
- * events. The parser refuses messages that two recipients could frame differently, such as two content lengths, a
- * content length together with a transfer coding, bare CR or LF, folded lines, or white space before the colon of a
- * field.
+ * events. The parser refuses messages that two recipients could frame differently, such as messages with two content
+ * lengths, a content length together with a transfer coding, bare CR or LF, folded lines, or white space before the
+ * colon of a field.
  */
 public final class HttpParser {
 
--- a/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpServer.java
@@ -30,6 +30,8 @@
                     "EEE, dd MMM yyyy HH:mm:ss 'GMT'", Locale.ROOT)
             .withZone(ZoneOffset.UTC);
     private static final byte[] NO_CONTENT = new byte[0];
+    /** Time in ms for which input is discarded before a connection is closed after an error response. */
+    private static final double LINGERING_CLOSE_MS = 1000;
 
     private final EventLoop loop;
     private final String name;
@@ -137,7 +139,7 @@
 
         /**
          * Closes the connection if it is idle or too slow. Each connection has one timer; it is scheduled anew for
-         * the time at which the next limit can be reached.
+         * about the time at which the next limit can be reached, at the latest after {@code headMs}.
          */
         private void checkTimeouts() {
             if (connection.isClosed()) {
@@ -248,8 +250,8 @@
                 if (!exchange.answered()) {
                     exchange.problem(500, "Internal Server Error", "the request could not be handled");
                 } else if (stream != null) {
-                    // a streamed response that has begun cannot be completed, and the client must not wait for the
-                    // rest
+                    // a streamed response that has begun cannot be completed, and the client must not wait for its
+                    // remaining part
                     connection.reset(new IOException("the handler failed during a streamed response", e));
                 }
             }
@@ -268,8 +270,9 @@
         }
 
         /**
-         * Closes the sending side and discards input for up to 1000 ms before closing the connection. Closing with
-         * unread bytes would reset the connection and could destroy the response in transit (RFC 9112, 9.6).
+         * Closes the sending side and discards input for up to {@link #LINGERING_CLOSE_MS} before closing the
+         * connection. Closing with unread bytes would reset the connection and could destroy the response in transit
+         * (RFC 9112, 9.6).
          */
         private void lingeringClose() {
             if (connection.isClosed()) {
@@ -278,16 +281,16 @@
             connection.shutdownOutputWhenDrained();
             connection.handler(new Connection.Handler() {
                 @Override
-                public void onBytes(Connection c, ByteBuffer bytes) {
+                public void onBytes(Connection source, ByteBuffer bytes) {
                     bytes.position(bytes.limit());
                 }
 
                 @Override
-                public void onClosed(Connection c, IOException cause) {
+                public void onClosed(Connection source, IOException cause) {
                     clients.remove(ClientConnection.this);
                 }
             });
-            loop.schedule(1000, connection::close);
+            loop.schedule(LINGERING_CLOSE_MS, connection::close);
             if (inputEnded) {
                 connection.closeWhenDrained();
             }
@@ -378,7 +381,7 @@
             inputEnded = true;
             if (currentExchange != null) {
                 counters.abandonedRequests++;
-                currentExchange.notifyPeerClosed();
+                currentExchange.notifyClientClosed();
             }
             source.close();
         }
@@ -395,7 +398,7 @@
             clients.remove(this);
             if (currentExchange != null && !inputEnded) {
                 counters.abandonedRequests++;
-                currentExchange.notifyPeerClosed();
+                currentExchange.notifyClientClosed();
             }
         }
     }
--- a/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Serializer of HTTP/1.1 heads and chunks. Field values with control characters are rejected. */
+/** Serializer of HTTP/1.1 heads and chunks. Field values with control characters are refused. */
 public final class HttpWriter {
     private static final Map<Integer, String> REASON_PHRASES = new HashMap<>();
 
--- a/protocols/src/main/java/calicovale/protocols/http/PercentEncoding.java
+++ b/protocols/src/main/java/calicovale/protocols/http/PercentEncoding.java
@@ -8,7 +8,7 @@
 
     private PercentEncoding() {}
 
-    /** Decodes percent-encoded UTF-8. Malformed escapes are kept unchanged. */
+    /** Decodes percent-encoded UTF-8. Malformed escapes are kept unchanged, because there is no right decoding. */
     public static String decode(String text) {
         if (text.indexOf('%') < 0) {
             return text;
--- a/protocols/src/main/java/calicovale/protocols/net/ConnectFailedException.java
+++ b/protocols/src/main/java/calicovale/protocols/net/ConnectFailedException.java
@@ -35,7 +35,10 @@
         return notAttempted;
     }
 
-    /** Returns whether the attempt timed out; false for a refusal, which shows that no process listens on the port. */
+    /**
+     * Returns whether the attempt timed out; otherwise it was refused, failed with another error, or was not made (see
+     * {@link #notAttempted()}).
+     */
     public boolean timedOut() {
         return timedOut;
     }
--- a/protocols/src/main/java/calicovale/protocols/net/Connection.java
+++ b/protocols/src/main/java/calicovale/protocols/net/Connection.java
@@ -137,11 +137,11 @@
     }
 
     /**
-     * Writes as many bytes as the socket accepts now and queues the rest. The connection takes ownership of the
-     * buffer.
+     * Writes as many bytes as the socket accepts now and queues the rest. The connection takes ownership of the buffer,
+     * so the caller must not use it afterwards.
      *
-     * @return false if nothing can be written any more, or if the limit on waiting bytes was exceeded; the connection
-     *     is then reset and the bytes are dropped
+     * @return false if the connection is closed or closing, or is closed now because the write failed; also if the
+     *     limit on waiting bytes was exceeded, in which case the connection is reset and the bytes are dropped
      */
     public boolean write(ByteBuffer bytes) {
         if (closed || closeWhenDrained || shutdownOutputWhenDrained) {
--- a/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
+++ b/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
@@ -30,13 +30,20 @@
  * Single-threaded event loop with a selector, timers and connections. Only the loop's thread accesses its state;
  * other threads pass it messages through {@link #execute}.
  *
- * <p>A turn is one pass of the loop and has these phases. First, the queued messages run. Then the ready connections
- * are read one after the other, each until no more data is available or a limit is reached. Then new connections are
- * accepted. Then the deferred tasks run, first those of {@link Phase#TERMINATIONS}, then those of
- * {@link Phase#DECISIONS} with the expired timers in their order. Finally, connections with queued bytes that have
- * become writable are written to. Because reads come before timers, a response that reached the socket in time is not
- * overtaken by its own timeout after a stall of the process. Because the tasks for closed connections run before
- * decisions, a decision takes every close into account that had been read by then.
+ * <p>A turn is one pass of the loop and has these phases:
+ *
+ * <ol>
+ *   <li>The queued messages run.
+ *   <li>The ready connections are read one after the other, each until no more data is available or a limit is reached.
+ *   <li>New connections are accepted.
+ *   <li>The deferred tasks run, first those of {@link Phase#TERMINATIONS}, then those of {@link Phase#DECISIONS} with
+ *       the expired timers in their order.
+ *   <li>Connections with queued bytes that have become writable are written to.
+ * </ol>
+ *
+ * <p>Because reads come before timers, a response that reached the socket in time is not overtaken by its own timeout
+ * after a stall of the process. Because the tasks for closed connections run before decisions, a decision takes every
+ * close into account that had been read by then.
  */
 public final class EventLoop implements Executor, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
@@ -47,15 +54,18 @@
     /** Upper bound of the read calls on one connection in one turn, so that one peer cannot starve the others. */
     private static final int READS_PER_TURN = 4;
     /**
-     * Time in ns for deferred tasks in one turn; then sockets are read again, so that input doesn't wait for a long
-     * queue.
+     * Time in ns for deferred tasks in one turn; then sockets are read again, so that input doesn't wait until a long
+     * queue is empty.
      */
     private static final long DEFERRED_TASKS_BUDGET_NANOS = 10_000_000;
-    /** Number of waiting decisions from which on sockets are not read; TCP flow control then slows the peers down. */
+    /**
+     * Number of waiting decisions from which on sockets are not read. TCP flow control then slows the peers down, and
+     * datagrams wait in the socket's buffer or are lost.
+     */
     private static final int MAX_WAITING_DECISIONS = 1 << 14;
     /**
-     * Number of cancelled timers that are kept; when they exceed it and half of all timers, all cancelled ones are
-     * removed.
+     * Number of cancelled timers that are kept. When there are more, and more than half of all timers are cancelled,
+     * all cancelled ones are removed.
      */
     private static final int MAX_CANCELLED_TIMERS = 64;
     /** Time in ms without accepting after a failed accept call, in which a file descriptor may become free. */
@@ -63,7 +73,7 @@
 
     /** Phase in which a deferred task runs, after all ready connections of the turn have been read. */
     public enum Phase {
-        /** Tasks for what has ended, because a peer has closed its connection or given up. */
+        /** Tasks that handle the end of a connection or session, because the peer closed it or gave up. */
         TERMINATIONS,
         /** Tasks that may send something. */
         DECISIONS
@@ -223,8 +233,8 @@
     }
 
     /**
-     * Opens a listening socket on a loopback address; port 0 selects a free port. Must be called on the loop's
-     * thread.
+     * Opens a listening socket on a loopback address; with port 0 the system selects a free port. Must be called on the
+     * loop's thread.
      */
     public Listener listen(InetSocketAddress address, String connectionName, Acceptor acceptor) throws IOException {
         ServerSocketChannel serverChannel = ServerSocketChannel.open();
@@ -477,7 +487,7 @@
     }
 
     /**
-     * Ends the loop as the kill of its process would. All connections are reset and no handler is called. Waits until
+     * Ends the loop as if its process had been killed. All connections are reset and no handler is called. Waits until
      * the loop has ended, unless called on its thread.
      */
     public void kill() {
--- a/protocols/src/main/java/calicovale/protocols/net/LoopCounters.java
+++ b/protocols/src/main/java/calicovale/protocols/net/LoopCounters.java
@@ -31,10 +31,13 @@
     public long acceptErrors;
     /** Failed close calls. */
     public long closeErrors;
-    /** Exceptions thrown by handlers, messages and timers; the connection or timer concerned was dropped. */
+    /**
+     * Exceptions thrown by handlers, messages, timers and deferred tasks; the connection concerned was closed, or the
+     * task was dropped.
+     */
     public long handlerErrors;
     /** Timers whose task ran. */
     public long timersFired;
-    /** Messages rejected because the mailbox was full; also written by other threads. */
+    /** Messages refused because the mailbox was full; also written by other threads. */
     public volatile long mailboxOverflows;
 }
--- a/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
+++ b/protocols/src/main/java/calicovale/protocols/signal/SignalParser.java
@@ -8,6 +8,8 @@
  */
 public final class SignalParser {
     private static final byte[] EMPTY = new byte[0];
+    /** Size of the length field, in bytes. */
+    private static final int LENGTH_BYTES = 2;
 
     /** Receives parsed messages. */
     public interface MessageHandler {
@@ -34,13 +36,14 @@
      */
     public void feed(ByteBuffer in, MessageHandler handler) throws MessageFramingException {
         while (in.hasRemaining() && !finished) {
-            if (lengthBytesRead < 2) {
+            if (lengthBytesRead < LENGTH_BYTES) {
                 messageLength = messageLength << 8 | in.get() & 0xff;
-                if (++lengthBytesRead == 2
-                        && (messageLength < Message.HEADER_BYTES || messageLength > Message.MAX_BYTES - 2)) {
+                if (++lengthBytesRead == LENGTH_BYTES
+                        && (messageLength < Message.HEADER_BYTES || messageLength > Message.MAX_BYTES - LENGTH_BYTES)) {
                     finished = true;
                     throw new MessageFramingException(
-                            "message length " + messageLength + " is outside the accepted range of 9 to 16382 bytes");
+                            "message length " + messageLength + " is outside the accepted range of "
+                                    + Message.HEADER_BYTES + " to " + (Message.MAX_BYTES - LENGTH_BYTES) + " bytes");
                 }
                 continue;
             }
--- a/protocols/src/test/java/calicovale/protocols/hls/PlaylistTest.java
+++ b/protocols/src/test/java/calicovale/protocols/hls/PlaylistTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests that parsed playlists are written unchanged and that malformed ones are rejected. */
+/** Tests that parsed playlists are written unchanged and that malformed ones are refused. */
 class PlaylistTest {
     private static final String MEDIA = """
             #EXTM3U
@@ -72,7 +72,7 @@
                 "#EXTM3U\n#EXTINF:1,\na\rb\n",
                 "#EXTM3U\n#EXTINF:1,\na\n#EXT-X-STREAM-INF:BANDWIDTH=1\nb\n"
             })
-    void rejectsMalformedPlaylists(String text) {
+    void refusesMalformedPlaylists(String text) {
         assertThrows(HlsException.class, () -> Playlist.parse(text));
     }
 
@@ -82,7 +82,7 @@
     }
 
     @Property(tries = 500, seed = "1")
-    void parsesOrRejectsAnyText(@ForAll("lines") List<String> lines) {
+    void parsesOrRefusesAnyText(@ForAll("lines") List<String> lines) {
         try {
             String text = "#EXTM3U\n" + String.join("\n", lines);
             assertEquals(
--- a/protocols/src/test/java/calicovale/protocols/signal/SignalParserTest.java
+++ b/protocols/src/test/java/calicovale/protocols/signal/SignalParserTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void rejectsAnImpossibleLengthBeforeBufferingAnything() {
+    void refusesAnImpossibleLengthBeforeBufferingAnything() {
         assertThrows(MessageFramingException.class, () -> feed("0008 01"));
         SignalParser otherParser = new SignalParser();
         ByteBuffer tooLong = ByteBuffer.wrap(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2});
