--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -31,7 +31,7 @@
      *
      * @param id name of the server
      * @param address null: it has none, which only a terminated server may
-     * @param kind machine type
+     * @param kind kind of server, one of the {@code kinds} in the settings
      * @param weight size in relation to other servers
      * @param startedAtMs clock time of its start, in ms, if it started recently; else 0
      */
@@ -51,7 +51,7 @@
             JsonNode node = Documents.MAPPER.readTree(line);
             return node.has("topology") ? parse(node) : null;
         } catch (JsonProcessingException e) {
-            throw new InvalidValueException("event is not JSON: " + e.getOriginalMessage());
+            throw new InvalidValueException("event is not JSON: " + Documents.notJsonReason(e));
         }
     }
 
--- a/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
+++ b/manager/src/main/java/calicovale/manager/config/ManagerConfig.java
@@ -48,8 +48,7 @@
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidDocumentException(
-                    List.of(file + ": a readable text file in UTF-8 is expected (" + e.getMessage() + ")"));
+            throw new InvalidDocumentException(List.of(file + ": " + Documents.unreadableFault(e)));
         }
     }
 
@@ -60,7 +59,7 @@
         try {
             config = read(Documents.MAPPER.readTree(text), faults);
         } catch (JsonProcessingException e) {
-            faults.add("JSON is expected (" + e.getOriginalMessage() + ")");
+            faults.add(Documents.notJsonFault(e));
         }
         if (!faults.isEmpty()) {
             throw new InvalidDocumentException(
@@ -141,7 +140,7 @@
     }
 
     /**
-     * Flattens a document into the form that the simulator sends: dotted paths as keys, lists as values separated
+     * Flattens a document into the form that the bench sends: dotted paths as keys, lists as values separated
      * by commas, and for lists of objects a {@code .count} and the index in the path.
      */
     private static void flatten(String path, JsonNode node, Map<String, String> into) {
--- a/manager/src/test/java/calicovale/manager/config/ManagerConfigTest.java
+++ b/manager/src/test/java/calicovale/manager/config/ManagerConfigTest.java
@@ -4,8 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import calicovale.protocols.json.InvalidDocumentException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 class ManagerConfigTest {
     private static final String GOOD = """
@@ -53,4 +57,25 @@
     void rejectsTextThatIsNotJson() {
         assertThrows(InvalidDocumentException.class, () -> ManagerConfig.read("config", "{"));
     }
+
+    private static void assertFault(String expected, Path file) {
+        InvalidDocumentException e = assertThrows(InvalidDocumentException.class, () -> ManagerConfig.read(file));
+        assertEquals(List.of(file + ": " + expected), e.faults());
+    }
+
+    @Test
+    void faultsOfUnreadableFilesNameFileAndReason(@TempDir Path folder) throws IOException {
+        assertFault(
+                "a readable text file in UTF-8 is expected (the file does not exist)", folder.resolve("missing.json"));
+        Path file = folder.resolve("config.json");
+        Files.write(file, new byte[] {'"', (byte) 0xe9, '"'});
+        assertFault("a readable text file in UTF-8 is expected (the text is not UTF-8)", file);
+        Files.writeString(file, GOOD + "\n{}");
+        assertFault("line 7: JSON is expected (more text follows the document)", file);
+        Files.writeString(file, "{");
+        assertFault(
+                "line 1: JSON is expected (Unexpected end-of-input: expected close marker for Object"
+                        + " (start marker at line: 1, column: 1))",
+                file);
+    }
 }
--- a/protocols/src/main/java/calicovale/protocols/json/Documents.java
+++ b/protocols/src/main/java/calicovale/protocols/json/Documents.java
@@ -15,6 +15,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.file.AccessDeniedException;
+import java.nio.file.FileSystemException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
@@ -22,6 +23,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.regex.Pattern;
 
 /** Validates JSON documents against schemas, which are resources in the packages of the classes that use them. */
 public final class Documents {
@@ -31,6 +33,11 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
+    /** A location in the parser's messages, which names the parser's option for showing the source. */
+    private static final Pattern SOURCE_IN_MESSAGE = Pattern.compile("\\[Source: [^;]*; (line: \\d+, column: \\d+)]");
+    /** A part of the parser's messages that names the method of a limit that was exceeded. */
+    private static final Pattern SETTING_IN_MESSAGE = Pattern.compile(", from `[^`]*`");
+
     private static final Map<String, Schema> SCHEMAS = new ConcurrentHashMap<>();
 
     private Documents() {}
@@ -47,7 +54,7 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected (" + reason(e) + ")"));
+            throw new InvalidDocumentException(List.of(file + ": /: " + unreadableFault(e)));
         }
         return check(file.toString(), text, owner, schema);
     }
@@ -66,9 +73,7 @@
         try {
             node = MAPPER.readTree(text);
         } catch (JsonProcessingException e) {
-            var location = e.getLocation();
-            throw new InvalidDocumentException(List.of(name + ": line "
-                    + (location == null ? "?" : location.getLineNr()) + ": JSON is expected (" + reason(e) + ")"));
+            throw new InvalidDocumentException(List.of(name + ": " + notJsonFault(e)));
         }
         List<String> faults = new ArrayList<>();
         for (Error error : schema(owner, schema).validate(node)) {
@@ -81,8 +86,13 @@
         return node;
     }
 
+    /** Returns the fault of a file that could not be read: what is expected, and why it could not be read. */
+    public static String unreadableFault(IOException e) {
+        return "a readable text file in UTF-8 is expected (" + unreadableReason(e) + ")";
+    }
+
     /** Returns why a file could not be read. The messages of the exceptions below name only the file or internals. */
-    private static String reason(IOException e) {
+    private static String unreadableReason(IOException e) {
         if (e instanceof NoSuchFileException) {
             return "the file does not exist";
         }
@@ -92,12 +102,29 @@
         if (e instanceof CharacterCodingException) {
             return "the text is not UTF-8";
         }
-        return e.getMessage();
+        if (e instanceof FileSystemException fileFault && fileFault.getReason() != null) {
+            return fileFault.getReason();
+        }
+        return e.getMessage() == null ? "reading failed" : e.getMessage();
     }
 
-    /** Says why a text is not JSON. A mismatch can only be text after the document; its own message names classes. */
-    private static String reason(JsonProcessingException e) {
-        return e instanceof MismatchedInputException ? "more text follows the document" : e.getOriginalMessage();
+    /** Returns the fault of a text that is not JSON: the number of the line, what is expected, and the reason. */
+    public static String notJsonFault(JsonProcessingException e) {
+        var location = e.getLocation();
+        return "line " + (location == null ? "?" : location.getLineNr()) + ": JSON is expected (" + notJsonReason(e)
+                + ")";
+    }
+
+    /**
+     * Returns why a text is not JSON. Names of classes are removed from the parser's messages. A mismatch can only be
+     * text after the document; its own message describes it as a fault of the reading program.
+     */
+    public static String notJsonReason(JsonProcessingException e) {
+        if (e instanceof MismatchedInputException) {
+            return "more text follows the document";
+        }
+        String text = SOURCE_IN_MESSAGE.matcher(e.getOriginalMessage()).replaceAll("$1");
+        return SETTING_IN_MESSAGE.matcher(text).replaceAll("");
     }
 
     private static Schema schema(Class<?> owner, String name) {
