--- a/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireAdapter.java
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Reads the ROW lines after an INVENTORY line, all of them even if one is invalid, so that none is left in the
-     * input.
+     * Reads the ROW lines after an INVENTORY line. Reads all of them even if one is invalid, so that none is left in
+     * the input.
      */
     private List<ServerEntry> readServerRows(int count) throws IOException, InvalidValueException {
         List<ServerEntry> result = new ArrayList<>();
--- a/bench-adapter/src/main/java/calicovale/adapter/WireLine.java
+++ b/bench-adapter/src/main/java/calicovale/adapter/WireLine.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One line of the bench's wire: a message name followed by name=value parts. Unknown names are ignored. */
+/** One line of the bench's wire: a message name followed by key=value parts. Keys that are never read are ignored. */
 final class WireLine extends KeyedValues {
-    /** Name of the only message in which a name may occur more than once; the last value counts. */
+    /** Name of the only message in which a key may occur more than once; the last value counts. */
     private static final String MESSAGE_WITH_REPEATABLE_KEYS = "NEW_INSTANCE";
 
     private final String rawLine;
--- a/controller/src/main/java/calicovale/ControllerApi.java
+++ b/controller/src/main/java/calicovale/ControllerApi.java
@@ -376,7 +376,7 @@
          *
          * @param id id of the request
          * @param server id of the server
-         * @param timeoutMs time in ms after which the host cancels the attempt
+         * @param timeoutMs time in ms after which the host ends the attempt as timed out
          */
         void attempt(String id, long server, double timeoutMs);
 
--- a/controller/src/main/java/calicovale/SessionController.java
+++ b/controller/src/main/java/calicovale/SessionController.java
@@ -21,8 +21,15 @@
  * </ul>
  *
  * <p>Each method that departs from this rule states when it does so and why. Comments refer to these numbered rules:
- * 1, one answer to each request in time; 2, no effect twice; 3, nothing new to a draining server; 4, a limited pace of
- * set-ups at a cold server; 5, floors and seats; 6, a budget of further attempts.
+ *
+ * <ol>
+ *   <li>each request gets one answer in time;
+ *   <li>no set-up has its effect twice, unless its class permits that;
+ *   <li>a draining server gets nothing new;
+ *   <li>set-ups at a cold server keep to a limited pace;
+ *   <li>no session plays below its class's lowest rung, and no more sessions of a title play than its class has seats;
+ *   <li>further attempts for a request keep to a budget.
+ * </ol>
  *
  * <p>Load is known from notes, load reports and delivered shares, which are late and noisy. Link and uplink use is
  * therefore estimated, and a reading loses weight with its age. Playing sessions are lowered when a link or an uplink
@@ -52,9 +59,8 @@
     // arrive before the next reading and because sessions on their lowest rung cannot be lowered.
     private static final double RELIEF_TARGET_FRACTION = 0.88;
 
-    // Use of a link or an uplink, over its rate, above which playing sessions are lowered. It is above 1 so that only a
-    // real
-    // shortage lowers them, not a nearly full link.
+    // Use of a link or an uplink, over its rate, above which playing sessions are lowered. It is above 1 so that only
+    // a real shortage lowers them, not a nearly full link.
     private static final double RELIEF_TRIGGER_RATIO = 1.02;
 
     // Fraction of a link or an uplink up to which playing sessions are raised. It is well below FILL_LIMIT_FRACTION,
@@ -141,14 +147,14 @@
     // Time in ms after a start without hand-over in which any server may be cold without the controller knowing it.
     private static final double UNKNOWN_COLD_MS = 4000;
 
-    // Longest time-out of an attempt, also of the first ones, as a fraction of the class's aim, so that two attempts
+    // Longest timeout of an attempt, also of the first ones, as a fraction of the class's aim, so that two attempts
     // fit in the aim.
     private static final double TIMEOUT_AIM_FRACTION = 0.45;
 
-    // Shortest time-out of an attempt, in ms.
+    // Shortest timeout of an attempt, in ms.
     private static final double MIN_TIMEOUT_MS = 250;
 
-    // Margin of the time-out above the mean set-up time, in mean deviations of the set-up time.
+    // Margin of the timeout above the mean set-up time, in mean deviations of the set-up time.
     private static final double TIMEOUT_DEVIATIONS = 8;
 
     // Time in ms left to the viewer below which no attempt is worth sending.
@@ -186,7 +192,28 @@
     private static final double LIST_RETRY_MS = 1500;
 
     // Time constant in s of the average of a tenant's request rate.
-    private static final double TENANT_RATE_WINDOW_S = 5;
+    private static final double TENANT_RATE_TIME_CONSTANT_S = 5;
+
+    // Least use of a link or an uplink by which capacities are divided to compare servers.
+    private static final double MIN_COMPARED_USE = 0.05;
+
+    // Estimated use of an uplink above which a reading corrects it, because the correction is a ratio to the estimate.
+    private static final double MIN_CORRECTABLE_USE = 0.05;
+
+    // Least delivered share from which the use is derived, because the use is a ratio to it.
+    private static final double MIN_DELIVERED_SHARE = 0.05;
+
+    // Value of a load report's util from which it counts as full; util does not go above 1.
+    private static final double FULL_UTIL = 0.995;
+
+    // Weight of a new set-up time in the moving averages of set-up time and deviation.
+    private static final double SETUP_SMOOTHING_WEIGHT = 0.1;
+
+    // Weight of a new session in the moving average of session lengths.
+    private static final double SESSION_SMOOTHING_WEIGHT = 0.05;
+
+    // Time in ms for which changes of own demand are kept, to compare with readings that are late.
+    private static final int DEMAND_CHANGES_KEPT_MS = 6000;
 
     private final Settings config;
     private final Media media;
@@ -378,15 +405,15 @@
         hostActions.attempt(session.request.id(), server.id, Math.min(remainingMs, attemptTimeoutMs(session)));
     }
 
-    /** Returns the time-out of the next attempt in ms, from the set-up times so far and the aim of the class. */
+    /** Returns the timeout of the next attempt in ms, from the set-up times so far and the aim of the class. */
     private double attemptTimeoutMs(Session session) {
         double usualMs = meanSetupMs < 0 ? Double.MAX_VALUE : meanSetupMs + TIMEOUT_DEVIATIONS * setupDeviationMs;
         return Math.max(MIN_TIMEOUT_MS, Math.min(TIMEOUT_AIM_FRACTION * session.sessionClass.aimMs(), usualMs));
     }
 
     /**
-     * Returns whether a further attempt is allowed: where an earlier one may have run, only if the class lets its
-     * effect happen twice (rule 2), and only within the limit on attempts and the budget (rule 6).
+     * Returns whether a further attempt is allowed. Where an earlier one may have run, none is for a side effect, and
+     * for a token only while it holds (rule 2). The limit on attempts and the budget (rule 6) always apply.
      */
     private boolean mayAttemptAgain(Session session) {
         if (config.limits().attempts() > 0
@@ -433,7 +460,7 @@
         session.server.pendingAttempts--;
         session.server.failures = Math.max(0, session.server.failures - 1);
         double usualMs = meanSetupMs < 0 ? event.elapsedMs() / 2 : meanSetupMs;
-        double smoothingWeight = meanSetupMs < 0 ? 1 : 0.1;
+        double smoothingWeight = meanSetupMs < 0 ? 1 : SETUP_SMOOTHING_WEIGHT;
         setupDeviationMs += smoothingWeight * (Math.abs(event.elapsedMs() - usualMs) - setupDeviationMs);
         meanSetupMs = usualMs + smoothingWeight * (event.elapsedMs() - usualMs);
     }
@@ -470,7 +497,7 @@
             session.tokenStartedAt = session.sentAt;
         }
         if (session.playing && event.outcome() == Outcome.OK)
-            meanSessionS += 0.05 * (event.elapsedMs() / 1000 - meanSessionS);
+            meanSessionS += SESSION_SMOOTHING_WEIGHT * (event.elapsedMs() / 1000 - meanSessionS);
         if (session.playing || session.departed || event.closed()) sessions.remove(event.id());
         else place(session);
     }
@@ -563,7 +590,7 @@
      * one that is suspended for failures seen here, because peers that agree too quickly would otherwise all stop
      * using it, and later all return, at the same time. Managers take turns by the common clock, as at a cold server,
      * so that all their trials together are one in {@link #SUSPECTED_TRIAL_INTERVAL_MS}, and more for weaker claims.
-     * A trial that works outweighs the claims here.
+     * Trials that work lower the strength only through the host, which reports it by {@link Suspected}.
      */
     private boolean suspicionAllows(Server server) {
         if (server.suspicionStrength <= 0) return true;
@@ -633,7 +660,8 @@
         double peerStreams = server.peerStreams >= 0 ? server.peerStreams : server.peerKb / meanSessionKb();
         double peerWeight = readingWeight(server.evidenceAt);
         // A server without readings is taken to carry the average load for its link, with the newcomer counted in
-        // that load. Otherwise all managers would send to the server with the largest link.
+        // that load. Otherwise only the load of peers would be proportional to the link, the newcomer would weigh least
+        // on the largest link, and all managers would send there.
         double levelLoad = normalizedCapacity(server)
                 * (averageLinkUse() * meanLinkKb / meanSessionKb() * meanClassWorth + session.sessionClass.worth());
         double peerLoad = peerWeight * peerStreams * meanClassWorth
@@ -691,10 +719,12 @@
 
     /**
      * Returns the use of the link or the uplink, whichever is higher. An uplink counts only if its use has been read,
-     * because an estimate from delivered shares made the choice of servers worse.
+     * because an estimate from delivered shares is too inexact to compare servers by.
      */
     private double bottleneckUse(Server server) {
-        return Math.max(0.05, Math.max(linkUse(server), server.rack.readingAt > NEVER ? uplinkUse(server.rack) : 0));
+        return Math.max(
+                MIN_COMPARED_USE,
+                Math.max(linkUse(server), server.rack.readingAt > NEVER ? uplinkUse(server.rack) : 0));
     }
 
     /** Returns whether the demand fits under the limit of the link and under that of the uplink. */
@@ -771,7 +801,7 @@
                     linkUse,
                     REPORT_AGE_MS,
                     REPORT_SMOOTHING_WEIGHT,
-                    !loadReport.containsKey("x0") && linkUse >= 0.995);
+                    !loadReport.containsKey("x0") && linkUse >= FULL_UTIL);
         if (loadReport.containsKey("inflight"))
             server.peerStreams = Math.max(0, loadReport.get("inflight") - server.sessions.size());
         if (loadReport.containsKey("x1"))
@@ -808,7 +838,7 @@
     private void applyUplinkReading(Rack rack, double uplinkUse, double ageMs, double smoothingWeight) {
         if (now - ageMs < rack.lastReliefAt + RELIEF_EFFECT_MS) return;
         double estimatedUse = rack.demandKb(now - ageMs) / Math.max(1, rack.uplinkKb);
-        if (estimatedUse > 0.05) {
+        if (estimatedUse > MIN_CORRECTABLE_USE) {
             double observedCorrection =
                     Math.max(MIN_CORRECTION_RATIO, Math.min(MAX_CORRECTION_RATIO, uplinkUse / estimatedUse));
             rack.correction += (rack.readingAt > NEVER ? smoothingWeight : 1) * (observedCorrection - rack.correction);
@@ -848,7 +878,7 @@
         if (deliveredShare >= FULL_DELIVERY_FRACTION || server.suspicionStrength > 0) return;
         if (now - media.noteDelayMs() < Math.max(server.lastReliefAt, server.rack.lastReliefAt) + 2 * RELIEF_EFFECT_MS)
             return;
-        double shownUse = Math.min(MAX_USE_RATIO, 1 / Math.max(0.05, deliveredShare));
+        double shownUse = Math.min(MAX_USE_RATIO, 1 / Math.max(MIN_DELIVERED_SHARE, deliveredShare));
         double ownKb = server.ownKbAt(now - media.noteDelayMs());
         double estimatedUse = Math.max((ownKb + estimatedPeerKb(server)) / server.linkKb, uplinkUse(server.rack));
         // A link or uplink that recent notes showed to be full needs no correction: the notes are exact, while the
@@ -921,7 +951,7 @@
                     : linkRoomKb;
             targetKb += demandKb > 0 ? ownKb * roomKb / demandKb : roomKb / Math.max(1, config.controllers());
         }
-        TreeMap<Double, Double> rateKbByWorth = new TreeMap<>(Comparator.reverseOrder());
+        TreeMap<Double, Double> stepRateKbByWorthPerKb = new TreeMap<>(Comparator.reverseOrder());
         double floorKb = 0;
         double oneSessionOfEachClassKb = 0;
         for (double[] classRates : rateKb) oneSessionOfEachClassKb += classRates[0];
@@ -942,7 +972,7 @@
             for (int rung = 1; rung < rateKb[classIndex].length; rung++) {
                 int sessionCount = group.getValue()[rung];
                 if (sessionCount > 0)
-                    rateKbByWorth.merge(
+                    stepRateKbByWorthPerKb.merge(
                             worthPerKb[classIndex][rung] * worthFactor,
                             sessionCount * (rateKb[classIndex][rung] - rateKb[classIndex][rung - 1]),
                             Double::sum);
@@ -952,7 +982,7 @@
         pricePerKb = 0;
         // Demand of less than one session of each class is too little for a price.
         if (floorKb <= oneSessionOfEachClassKb) return;
-        for (Map.Entry<Double, Double> step : rateKbByWorth.entrySet()) {
+        for (Map.Entry<Double, Double> step : stepRateKbByWorthPerKb.entrySet()) {
             usedKb += step.getValue();
             pricePerKb = step.getKey();
             if (usedKb > targetKb) return;
@@ -1024,13 +1054,13 @@
      * @param worthLimit only steps of less worth per kB are taken; {@link Double#MAX_VALUE} for all
      * @return the demand in kB/s that was freed
      */
-    private double lowerSessions(List<Session> candidates, double neededKb, double worthLimit) {
+    private double lowerSessions(List<Session> ownSessions, double neededKb, double worthLimit) {
         double freedKb = 0;
         stateVersion++;
         Set<Session> changedSessions = new LinkedHashSet<>();
         while (freedKb < neededKb) {
             Session cheapest = null;
-            for (Session session : candidates) {
+            for (Session session : ownSessions) {
                 boolean mayLower = session.playing
                         && session.rung > session.sessionClass.lowestRung()
                         && session.stepWorthPerKb() < worthLimit;
@@ -1076,9 +1106,9 @@
     }
 
     /** Returns the demand in kB/s that steps of less worth per kB than the limit have in playing sessions. */
-    private double lowerableKb(Iterable<Session> candidates, double worthLimit) {
+    private double lowerableKb(Iterable<Session> ownSessions, double worthLimit) {
         double totalKb = 0;
-        for (Session session : candidates) {
+        for (Session session : ownSessions) {
             for (int rung = session.rung; session.playing && rung > session.sessionClass.lowestRung(); rung--)
                 totalKb += worthPerKb[session.classIndex][rung] * session.worthFactor() < worthLimit
                         ? rateKb[session.classIndex][rung] - rateKb[session.classIndex][rung - 1]
@@ -1309,8 +1339,9 @@
     private void countTenantRequest(Request request) {
         if (request.tenant() >= tenantRequestRate.length || request.retry() || request.returning() || request.moved())
             return;
-        double decay = Math.exp(-(now - tenantRateAt[request.tenant()]) / 1000 / TENANT_RATE_WINDOW_S);
-        tenantRequestRate[request.tenant()] = tenantRequestRate[request.tenant()] * decay + 1 / TENANT_RATE_WINDOW_S;
+        double decay = Math.exp(-(now - tenantRateAt[request.tenant()]) / 1000 / TENANT_RATE_TIME_CONSTANT_S);
+        tenantRequestRate[request.tenant()] =
+                tenantRequestRate[request.tenant()] * decay + 1 / TENANT_RATE_TIME_CONSTANT_S;
         tenantRateAt[request.tenant()] = now;
     }
 
@@ -1321,8 +1352,8 @@
     private double tenantWorthFactor(int tenant) {
         if (tenant >= config.tenants().size()) return 1;
         double quotaPerSecond = config.tenants().get(tenant).quotaPerSecond() / Math.max(1, config.controllers());
-        double requestsPerSecond =
-                tenantRequestRate[tenant] * Math.exp(-(now - tenantRateAt[tenant]) / 1000 / TENANT_RATE_WINDOW_S);
+        double requestsPerSecond = tenantRequestRate[tenant]
+                * Math.exp(-(now - tenantRateAt[tenant]) / 1000 / TENANT_RATE_TIME_CONSTANT_S);
         double withinQuota =
                 quotaPerSecond <= 0 || requestsPerSecond <= quotaPerSecond ? 1 : quotaPerSecond / requestsPerSecond;
         return withinQuota + config.overShareWorth() * (1 - withinQuota);
@@ -1453,10 +1484,10 @@
             this.id = id;
         }
 
-        /** Records a change of own demand in kB/s; changes of the last 6 s are kept. */
+        /** Records a change of own demand in kB/s; changes of {@link #DEMAND_CHANGES_KEPT_MS} are kept. */
         void recordDemandChange(double atMs, double changeKb) {
             demandChanges.addLast(new double[] {atMs, changeKb});
-            while (demandChanges.peekFirst()[0] < atMs - 6000) demandChanges.removeFirst();
+            while (demandChanges.peekFirst()[0] < atMs - DEMAND_CHANGES_KEPT_MS) demandChanges.removeFirst();
         }
 
         /** Returns the demand of own sessions at an earlier clock time, to compare with readings that are late. */
--- a/controller/src/test/java/calicovale/HostExampleTest.java
+++ b/controller/src/test/java/calicovale/HostExampleTest.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Example of a complete host: it makes settings, passes a list and a request, and carries out the actions. */
+/**
+ * Example of a complete host, to which README.md refers: it makes settings, passes a list and a request, and carries
+ * out the actions.
+ */
 class HostExampleTest {
 
     /** Writes each action as text; a real host sends attempts, starts timers and answers viewers here. */
--- a/controller/src/test/java/calicovale/SessionControllerTest.java
+++ b/controller/src/test/java/calicovale/SessionControllerTest.java
@@ -351,7 +351,7 @@
         harness.start();
         harness.sendList(
                 ListScope.SAVED,
-                List.of(ControllerHarness.listEntry(1_234_567, ServerState.READY, 0, ControllerHarness.START_MS)));
+                List.of(ControllerHarness.listEntry(COLD_SERVER, ServerState.READY, 0, ControllerHarness.START_MS)));
         for (int i = 0; i < 900; i++) {
             harness.now += 10;
             harness.request("s" + i, 1, 0);
@@ -452,7 +452,7 @@
         assertEquals(2, harness.actions.count("attempt", "d"));
     }
 
-    // --- Failures found earlier ---
+    // --- Failures, shortages and missing readings ---
 
     @Test
     void serverWithTimeoutsGetsNoNewSessionsAtFirst() {
@@ -651,7 +651,7 @@
         }
     }
 
-    // --- Invalid arguments and later failures ---
+    // --- Invalid arguments, failed requests and servers that are gone ---
 
     @Test
     void invalidArgumentsAreRejected() {
--- a/controller/src/test/java/calicovale/SuspectedTest.java
+++ b/controller/src/test/java/calicovale/SuspectedTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Claims of peers that a server is faulty: without claims all decisions are as before, and with claims the server gets
- * fewer attempts while no viewer is refused because of them.
+ * Claims of peers that a server is faulty: without claims all decisions are those of a controller that does not handle
+ * claims, and with claims the server gets fewer attempts while no viewer is refused because of them.
  */
 class SuspectedTest {
     /** Digest of the actions on {@link #runScenario} before the controller handled claims of peers. */
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void withoutClaimsAllActionsAreAsBefore() throws GeneralSecurityException {
+    void withoutClaimsActionsMatchTheRecordedDigest() throws GeneralSecurityException {
         List<String> actions = runScenario(startHarness());
         assertEquals(EXPECTED_ACTION_COUNT, actions.size());
         byte[] digest = MessageDigest.getInstance("SHA-256")
--- a/host/src/main/java/calicovale/host/ControllerHost.java
+++ b/host/src/main/java/calicovale/host/ControllerHost.java
@@ -114,7 +114,7 @@
 
     /** Carries out the controller's actions; see {@link Actions}. No method may block. */
     public interface ActionHandler {
-        /** Sets up a session at a server; the attempt is cancelled after {@code timeoutMs} ms. */
+        /** Sets up a session at a server; the attempt ends as timed out after {@code timeoutMs} ms. */
         void attempt(String id, long server, double timeoutMs);
 
         /** Cancels an attempt, given by its number within the session. */
@@ -141,7 +141,7 @@
         return clockMs.getAsDouble();
     }
 
-    /** Returns the number of servers in the controller's list. */
+    /** Returns the number of servers that the controller holds in memory. */
     public int serversHeld() {
         return controller.serversHeld();
     }
--- a/host/src/main/java/calicovale/host/PlatformSettings.java
+++ b/host/src/main/java/calicovale/host/PlatformSettings.java
@@ -13,15 +13,15 @@
 import java.util.List;
 
 /**
- * The settings of a platform. The keys are the same on the simulator's wire and in JSON files.
+ * The settings of a platform. The keys are the same on the bench's wire and in JSON files.
  *
  * @param controller settings of the session controller
  * @param classes names of the session classes, in the order of the settings
  * @param zones names of the zones
  * @param kinds names of the kinds of server
- * @param connectTimeoutMs time after which an attempt to connect has failed, in ms
- * @param connectionIdleMs time after which servers close an idle connection, in ms
- * @param maxSessions upper bound of the sessions that one manager may hold
+ * @param connectTimeoutMs time after which an attempt to connect has failed, in ms; 0: not stated
+ * @param connectionIdleMs time after which servers close an idle connection, in ms; 0: they never do
+ * @param maxSessions upper bound of the sessions that one manager may hold; 0: no limit is stated
  */
 public record PlatformSettings(
         Settings controller,
--- a/manager/src/main/java/calicovale/manager/ManagerProcess.java
+++ b/manager/src/main/java/calicovale/manager/ManagerProcess.java
@@ -26,8 +26,8 @@
     /** Time, in ms, for which set-ups still come after a drain has begun. */
     private static final double LATE_REQUESTS_MS = 700;
     /**
-     * Longest drain, in ms. Until then the process waits for the end of playing sessions, unless the platform kills
-     * it.
+     * Longest drain, in ms. Until then the process waits for the end of playing sessions, if the platform does not
+     * kill it before.
      */
     private static final double MAX_DRAIN_MS = 600_000;
     /** Interval, in ms, between checks of a drain. */
@@ -43,9 +43,28 @@
      */
     private static final double FIRST_REREAD_DELAY_MS = 50;
 
+    /** Upper bound of the repeated reads of a configuration with faults. */
     private static final int MAX_REREADS = 7;
+    /** Upper bound of messages to the event loop from other threads. */
+    private static final int MAILBOX_MESSAGES = 1 << 10;
+    /** Size, in bytes, of the buffer for one read call. */
+    private static final int READ_BYTES = 1 << 16;
+    /** Upper bound, in bytes, of what waits to be written to one peer. */
+    private static final int MAX_PENDING_BYTES = 1 << 18;
+    /** Upper bound of connections that wait to be accepted. */
+    private static final int ACCEPT_BACKLOG = 512;
+    /** Upper bound of connections accepted in one turn of the event loop. */
+    private static final int MAX_ACCEPTS_PER_TURN = 64;
+    /** Upper bound of datagrams received in one turn of the event loop; a manager uses no datagrams. */
+    private static final int MAX_DATAGRAMS_PER_TURN = 1;
     /** Bounds of the event loop, for some hundreds of connections and messages of at most 16 KiB. */
-    private static final LoopLimits LOOP_LIMITS = new LoopLimits(1 << 10, 1 << 16, 1 << 18, 512, 64, 1);
+    private static final LoopLimits LOOP_LIMITS = new LoopLimits(
+            MAILBOX_MESSAGES,
+            READ_BYTES,
+            MAX_PENDING_BYTES,
+            ACCEPT_BACKLOG,
+            MAX_ACCEPTS_PER_TURN,
+            MAX_DATAGRAMS_PER_TURN);
 
     private final ManagerConfig config;
     private final EventLoop loop;
@@ -188,7 +207,11 @@
             loop.schedule(DRAIN_CHECK_INTERVAL_MS, () -> checkDrain(sinceMs));
             return;
         }
-        LOG.info("drain finished, counts {}", coordinator.counts());
+        LOG.info(
+                "drain ended after {} ms with {} sessions left, counts {}",
+                (long) elapsedMs,
+                coordinator.sessionCount(),
+                coordinator.counts());
         coordinator.closeViewers();
         linger(loop.clock().millis());
     }
--- a/manager/src/main/java/calicovale/manager/RateLimitedLog.java
+++ b/manager/src/main/java/calicovale/manager/RateLimitedLog.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Counts an event and logs it as a warning, with the number of events of this kind that were not logged since the
-     * last.
+     * Counts an event and logs it as a warning, with the number of events of this kind that were not logged since its
+     * last line.
      */
     public void warn(String kind, Object detail) {
         counters.increment(kind);
--- a/manager/src/main/java/calicovale/manager/SessionCoordinator.java
+++ b/manager/src/main/java/calicovale/manager/SessionCoordinator.java
@@ -18,7 +18,7 @@
 import calicovale.manager.sessions.Session;
 import calicovale.manager.sessions.Session.Requester;
 import calicovale.manager.sessions.Session.State;
-import calicovale.manager.sessions.SessionStateTable;
+import calicovale.manager.sessions.SessionTable;
 import calicovale.manager.viewers.ViewerGateway;
 import calicovale.manager.viewers.ViewerSettings;
 import calicovale.protocols.net.EventLoop;
@@ -47,6 +47,8 @@
      * itself, the listening socket, the event bus and a reserve.
      */
     private static final int OWN_DESCRIPTORS = 40;
+    /** Least number of descriptors for connections of viewers and links to servers, however low the limit is. */
+    private static final int MIN_LINK_DESCRIPTORS = 8;
     /** Fraction of the remaining descriptors that links to servers may use; viewers' connections may use the others. */
     private static final double SERVER_LINKS_FRACTION = 0.35;
     /** Bound of held sessions for each MB of memory. A session takes about 1 kB here and in the controller. */
@@ -55,14 +57,14 @@
     private static final long HEAP_BYTES_PER_SESSION = 4096;
     /** Upper bound of sessions handed over at unlisted servers, because a faulty client can name any server. */
     private static final int MAX_UNLISTED = 512;
-    /** Number of the latest ends that are remembered for sessions that are not held. */
-    private static final int MAX_UNKNOWN_ENDED = 1024;
+    /** Number of the latest releases that are remembered for sessions whose hand-over may still come. */
+    private static final int MAX_ENDED_BEFORE_HAND_OVER = 1024;
     /**
      * Upper bound, in ms, of the time that the platform leaves for answers after the last set-up of a drain;
      * {@link #ANSWER_MARGIN_MS} of it is kept in reserve.
      */
     private static final double MAX_ANSWER_MS = 3000;
-
+    /** Part, in ms, of the time for answers during a drain that is kept in reserve. */
     private static final double ANSWER_MARGIN_MS = 200;
     /** Upper bound of unanswered set-ups on one connection; 90 set-ups a second with a hung server stay below it. */
     private static final int MAX_SET_UPS_PER_LINK = 128;
@@ -72,6 +74,8 @@
     private static final double VALID_MESSAGE_TIMEOUT_MS = 2000;
     /** Largest accepted wait of a viewer as a multiple of its class's deadline; longer ones are rejected as invalid. */
     private static final double MAX_WAIT_MULTIPLE = 2;
+    /** Time, in ms, after which opening a link to a server fails if the settings state none. */
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
     /** Silence, in ms, after which a server is checked if the settings state no interval between notes. */
     private static final double DEFAULT_SILENCE_TIMEOUT_MS = 4000;
     /**
@@ -84,23 +88,24 @@
 
     private final EventLoop loop;
     private final Counters counters = new Counters();
-    private final SessionStateTable sessions;
+    private final SessionTable sessions;
     private final ServerPool servers;
     private final ViewerGateway viewers;
     private final ControllerHost host;
-    private final double maxDeadlineMs;
+    /** Time, in ms, for answers after the last set-up of a drain: the longest deadline of a class, with a bound. */
+    private final double drainAnswerMs;
     /** Sessions handed over at servers that the list has not named yet. The controller gets them when it has. */
     private final Map<Session, Takeover> unlisted = new LinkedHashMap<>();
     /**
-     * The latest sessions that were released while not held here; true if their server released them, false if their
-     * viewer did.
+     * Ids of the latest sessions that were released while not held here, because their hand-over may still come; true
+     * if their server released them, false if their viewer did.
      */
-    private final Map<Long, Boolean> unknownEnded = new LinkedHashMap<>() {
+    private final Map<Long, Boolean> endedBeforeHandOver = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > MAX_UNKNOWN_ENDED;
+            return size() > MAX_ENDED_BEFORE_HAND_OVER;
         }
     };
 
@@ -116,14 +121,14 @@
                 Math.min(
                         platform.maxSessions() > 0 ? platform.maxSessions() : Integer.MAX_VALUE,
                         Math.min(capacityByHeap, (long) SESSIONS_PER_MB * config.memoryLimitMb())));
-        sessions = new SessionStateTable(capacity);
-        maxDeadlineMs = Math.min(
+        sessions = new SessionTable(capacity);
+        drainAnswerMs = Math.min(
                 MAX_ANSWER_MS,
                 controller.classes().stream()
                         .mapToDouble(c -> c.deadlineMs())
                         .max()
                         .orElse(0));
-        int descriptors = Math.max(8, config.descriptorLimit() - OWN_DESCRIPTORS);
+        int descriptors = Math.max(MIN_LINK_DESCRIPTORS, config.descriptorLimit() - OWN_DESCRIPTORS);
         int serverLinks = (int) (SERVER_LINKS_FRACTION * descriptors);
         double noteIntervalMs = controller.media().noteEveryMs();
         double silenceTimeoutMs = noteIntervalMs > 0
@@ -136,7 +141,7 @@
                 new SplittableRandom(config.seed()),
                 new ServerLinkSettings(
                         serverLinks,
-                        platform.connectTimeoutMs() > 0 ? platform.connectTimeoutMs() : 250,
+                        platform.connectTimeoutMs() > 0 ? platform.connectTimeoutMs() : DEFAULT_CONNECT_TIMEOUT_MS,
                         platform.connectionIdleMs() > 0
                                 ? IDLE_TIMEOUT_FRACTION * platform.connectionIdleMs()
                                 : Double.MAX_VALUE,
@@ -218,7 +223,7 @@
      * kills the process.
      */
     public void drain(double lateRequestsMs) {
-        viewers.setAnswerDeadline(loop.clock().millis() + maxDeadlineMs + lateRequestsMs - ANSWER_MARGIN_MS);
+        viewers.setAnswerDeadline(loop.clock().millis() + drainAnswerMs + lateRequestsMs - ANSWER_MARGIN_MS);
     }
 
     /** Returns whether nothing is left to answer, release, read or write. */
@@ -244,6 +249,8 @@
     /** Returns all counters, with the present numbers of sessions, links and servers. */
     public Map<String, Long> counts() {
         Map<String, Long> all = counters.snapshot();
+        // log lines of single sessions name their states, these counters do not: "held.out" counts REQUESTED and
+        // ATTEMPTING, "held.standing" counts PLAYING
         all.put("held.out", (long) sessions.count(State.REQUESTED) + sessions.count(State.ATTEMPTING));
         all.put("held.standing", (long) sessions.count(State.PLAYING));
         all.put("links.viewers", (long) viewers.linkCount());
@@ -313,7 +320,7 @@
                     serverNumber,
                     loop.clock().millis());
             Takeover takeover = new Takeover(request(session.controllerId(), request, Double.MAX_VALUE), serverNumber);
-            Boolean endedByServer = unknownEnded.remove(sessionId);
+            Boolean endedByServer = endedBeforeHandOver.remove(sessionId);
             if (endedByServer != null) {
                 counters.increment("handed-over.ended-before");
                 if (endedByServer) {
@@ -335,11 +342,11 @@
 
         @Override
         public void unknownSessionReleased(long sessionId) {
-            unknownEnded.put(sessionId, false);
+            endedBeforeHandOver.put(sessionId, false);
         }
 
         @Override
-        public void setUpAbandoned(Session session) {
+        public void viewerDeparted(Session session) {
             if (session.state() == State.ENDED) {
                 return;
             }
@@ -405,7 +412,7 @@
 
         @Override
         public void unknownSessionReleased(long sessionId) {
-            unknownEnded.put(sessionId, true);
+            endedBeforeHandOver.put(sessionId, true);
         }
     }
 
--- a/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
+++ b/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
@@ -31,20 +31,21 @@
      * time, and would all connect to the bus at once.
      */
     private static final double SILENCE_JITTER_MS = 400;
-    /** Upper bounds, in ms, for opening a connection, and of the first and later delays between reconnects. */
+    /** Upper bound, in ms, for opening a connection. */
     private static final double CONNECT_TIMEOUT_MS = 400;
-
+    /** Upper bound, in ms, of the first delay between reconnects. */
     private static final double FIRST_RECONNECT_DELAY_MS = 150;
+    /** Upper bound, in ms, of all later delays between reconnects. */
     private static final double MAX_RECONNECT_DELAY_MS = 500;
     /**
-     * Fraction of a drain's grace time that each of these bounds may take at most. A drain counts as announced
-     * once the bus is back, so a connect that failed just before and the delay until the next one must leave time to
-     * follow it.
+     * Fraction of a drain's grace time to which {@link #CONNECT_TIMEOUT_MS}, {@link #FIRST_RECONNECT_DELAY_MS} and
+     * {@link #MAX_RECONNECT_DELAY_MS} are each limited. A drain counts as announced once the bus is back, so a connect
+     * that failed just before and the delay until the next one must leave time to follow it.
      */
     private static final double MAX_GRACE_FRACTION = 0.25;
 
-    /** Lower limit of these bounds, in ms, however short the grace time is. */
-    private static final double MIN_LIMIT_MS = 25;
+    /** Least value, in ms, to which the grace time limits these three, however short it is. */
+    private static final double MIN_RECONNECT_STEP_MS = 25;
     /** Time, in ms, after a request in which the bus has written all missed events; it writes them at once. */
     private static final double CATCH_UP_MS = 250;
     /**
@@ -61,7 +62,7 @@
     private final double silenceTimeoutMs;
     private final double connectTimeoutMs;
     private InetSocketAddress address;
-    private BusConnection connection;
+    private BusConnection currentConnection;
     private Timer reconnectTimer;
     private Runnable caughtUpCallback;
     private long lastOffset;
@@ -90,11 +91,13 @@
         this.address = address;
         this.lastOffset = lastOffset;
         this.listener = listener;
-        double maxDelayMs =
-                graceMs <= 0 ? MAX_RECONNECT_DELAY_MS : Math.max(MIN_LIMIT_MS, MAX_GRACE_FRACTION * graceMs);
-        connectTimeoutMs = Math.min(CONNECT_TIMEOUT_MS, maxDelayMs);
+        double maxReconnectStepMs =
+                graceMs <= 0 ? MAX_RECONNECT_DELAY_MS : Math.max(MIN_RECONNECT_STEP_MS, MAX_GRACE_FRACTION * graceMs);
+        connectTimeoutMs = Math.min(CONNECT_TIMEOUT_MS, maxReconnectStepMs);
         backoff = new Backoff(
-                Math.min(FIRST_RECONNECT_DELAY_MS, maxDelayMs), Math.min(MAX_RECONNECT_DELAY_MS, maxDelayMs), random);
+                Math.min(FIRST_RECONNECT_DELAY_MS, maxReconnectStepMs),
+                Math.min(MAX_RECONNECT_DELAY_MS, maxReconnectStepMs),
+                random);
         silenceTimeoutMs = SILENCE_TIMEOUT_MS + SILENCE_JITTER_MS * random.nextDouble();
     }
 
@@ -132,10 +135,10 @@
             reconnectTimer.cancel();
             reconnectTimer = null;
         }
-        BusConnection previous = connection;
-        connection = null;
+        BusConnection previous = currentConnection;
+        currentConnection = null;
         if (previous != null) {
-            previous.socket.close();
+            previous.connection.close();
         }
     }
 
@@ -144,9 +147,9 @@
             reconnectTimer.cancel();
             reconnectTimer = null;
         }
-        connection = new BusConnection();
-        connection.socket = loop.connect(address, "bus", connectTimeoutMs, connection);
-        connection.restartSilenceTimer();
+        currentConnection = new BusConnection();
+        currentConnection.connection = loop.connect(address, "bus", connectTimeoutMs, currentConnection);
+        currentConnection.restartSilenceTimer();
     }
 
     private void reconnect(String counter, Object reason) {
@@ -159,7 +162,7 @@
     /** One connection to the event bus. */
     private final class BusConnection implements Connection.Handler {
         private final ByteArrayOutputStream lineBytes = new ByteArrayOutputStream();
-        private Connection socket;
+        private Connection connection;
         private Timer silenceTimer;
 
         private void restartSilenceTimer() {
@@ -167,7 +170,7 @@
                 silenceTimer.cancel();
             }
             silenceTimer = loop.schedule(silenceTimeoutMs, () -> {
-                if (connection == this) {
+                if (currentConnection == this) {
                     reconnect("bus.silent", "no line from the event bus for " + (long) silenceTimeoutMs + " ms");
                 }
             });
@@ -177,7 +180,7 @@
         public void onOpen(Connection opened) {
             opened.write(ByteBuffer.wrap(("from " + lastOffset + "\n").getBytes(StandardCharsets.US_ASCII)));
             loop.schedule(CATCH_UP_MS, () -> {
-                if (connection == this) {
+                if (currentConnection == this) {
                     caughtUp();
                 }
             });
@@ -185,7 +188,7 @@
 
         @Override
         public void onBytes(Connection source, ByteBuffer bytes) {
-            while (bytes.hasRemaining() && connection == this) {
+            while (bytes.hasRemaining() && currentConnection == this) {
                 byte nextByte = bytes.get();
                 if (nextByte != '\n') {
                     lineBytes.write(nextByte);
@@ -219,8 +222,8 @@
                     }
                     return;
                 }
-                // events may come out of order; a gap that remains after a second request is in the numbering of the
-                // bus itself
+                // events may come out of order; a gap that remains after a second request is in the bus's own
+                // numbering
                 if (event.offset() > lastOffset + 1 && !event.complete() && gapRequestedAfter != lastOffset) {
                     gapRequestedAfter = lastOffset;
                     reconnect("bus.gap", "event " + event.offset() + " received after event " + lastOffset);
@@ -239,8 +242,13 @@
         @Override
         public void onClosed(Connection closed, IOException cause) {
             silenceTimer.cancel();
-            if (connection == this) {
-                reconnect("bus.broke", cause == null ? "closed" : cause.getMessage());
+            if (currentConnection == this) {
+                reconnect(
+                        "bus.broke",
+                        "connection to the event bus at " + address + " was lost: "
+                                + (cause == null
+                                        ? "closed"
+                                        : cause.getMessage() == null ? "no reason is given" : cause.getMessage()));
             }
         }
     }
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -23,10 +23,11 @@
     /** Whether the link must not be used any more: it brought a malformed message, or leads to a previous process. */
     boolean unusable;
 
-    /** Clock times, in ms; the last use is a message sent or received. */
+    /** Clock time, in ms, when the link began to be opened. */
     final double openedAtMs;
-
+    /** Clock time, in ms, of the last message sent or received. */
     double lastUsedAtMs;
+    /** Clock time, in ms, when something was last received. */
     double lastReceivedAtMs;
     /** Clock time, in ms, when an incomplete message began; 0: there is none. */
     double partialSinceMs;
--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -11,7 +11,7 @@
 import calicovale.manager.bus.BusEvent;
 import calicovale.manager.sessions.Session;
 import calicovale.manager.sessions.Session.State;
-import calicovale.manager.sessions.SessionStateTable;
+import calicovale.manager.sessions.SessionTable;
 import calicovale.protocols.net.ConnectFailedException;
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.signal.Cause;
@@ -47,18 +47,21 @@
     private static final double SPARE_IDLE_TIMEOUT_MS = 3000;
     /**
      * Consecutive refused connections, over at least {@link #REFUSED_BEFORE_DEAD_MS}, after which the server's
-     * process is considered gone. Reconnect delays double after each such number of attempts, and at most so many
-     * times.
+     * process is considered gone.
      */
     private static final int REFUSALS_BEFORE_DEAD = 3;
-
+    /** Least time, in ms, from the first to the last of these refusals. */
     private static final double REFUSED_BEFORE_DEAD_MS = 300;
     /**
      * Delay, in ms, before the first reconnects to a server with playing sessions; it grows up to
      * {@link #MAX_RECONNECT_DELAY_MS}.
      */
     private static final double FIRST_RECONNECT_DELAY_MS = 150;
-
+    /** Number of reconnect attempts after which the delay doubles. */
+    private static final int ATTEMPTS_PER_DOUBLING = 3;
+    /** Upper bound of the doublings of the reconnect delay. */
+    private static final int MAX_DOUBLINGS = 3;
+    /** Upper bound, in ms, of the delay between reconnects. */
     private static final double MAX_RECONNECT_DELAY_MS = 1000;
     /** Number of times that unsent releases are sent again, on a new link each time, while no link opens. */
     private static final int MAX_RELEASE_RESENDS = 3;
@@ -97,7 +100,7 @@
     private final RandomGenerator random;
     private final ServerLinkSettings settings;
     private final PlatformSettings platform;
-    private final SessionStateTable table;
+    private final SessionTable sessions;
     private final RateLimitedLog log;
     private final Listener listener;
     private final ServerNumbers numbers = new ServerNumbers();
@@ -111,14 +114,14 @@
             RandomGenerator random,
             ServerLinkSettings settings,
             PlatformSettings platform,
-            SessionStateTable table,
+            SessionTable sessions,
             RateLimitedLog log,
             Listener listener) {
         this.loop = loop;
         this.random = random;
         this.settings = settings;
         this.platform = platform;
-        this.table = table;
+        this.sessions = sessions;
         this.log = log;
         this.listener = listener;
         loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
@@ -212,14 +215,14 @@
             if (other != server && server.address.equals(other.address)) {
                 other.address = null;
                 other.gone = true;
-                markDead(other, "another server has its address now");
+                endSessionsAndLinks(other, "another server has its address now");
             }
         }
     }
 
     /** Ends the sessions that began before {@code startMs}, when a new process took over the server's name. */
     private void endSessionsBefore(VideoServer server, double startMs) {
-        for (Session session : table.playingAt(server.number)) {
+        for (Session session : sessions.playingAt(server.number)) {
             if (session.attemptSentAtMs() < startMs) {
                 log.count("server.restarted-under-session");
                 listener.sessionEnded(session, server.number, Outcome.RESET, Map.of());
@@ -249,7 +252,7 @@
     public void startAttempt(Session session, long serverNumber, double timeoutMs) {
         VideoServer server = servers.get(serverNumber);
         double nowMs = nowMs();
-        table.startAttempt(session, serverNumber, nowMs);
+        sessions.startAttempt(session, serverNumber, nowMs);
         ServerLink link = server == null || server.address == null || session.departed() ? null : linkFor(server);
         Attempt attempt = new Attempt(session, link, nowMs);
         attemptsBySession.put(session.id(), attempt);
@@ -289,8 +292,8 @@
             if (link.open && link.attempts.isEmpty() && nowMs - link.lastUsedAtMs > settings.idleTimeoutMs()) {
                 link.connection.close();
             } else if (best == null
-                    || rank(link) < rank(best)
-                    || rank(link) == rank(best) && link.lastUsedAtMs > best.lastUsedAtMs) {
+                    || loadRank(link) < loadRank(best)
+                    || loadRank(link) == loadRank(best) && link.lastUsedAtMs > best.lastUsedAtMs) {
                 best = link;
             }
         }
@@ -298,13 +301,17 @@
             return best;
         }
         if (linkCount >= settings.maxLinks() && !closeOldestIdleLink()) {
-            log.warn("server.no-link-free", linkCount + " links are in use, none is idle");
+            log.warn(
+                    "server.no-link-free",
+                    "no link to " + server + ": " + linkCount + " of at most " + settings.maxLinks()
+                            + " links are in use, none is idle; the attempt ends");
             return null;
         }
         return connect(server);
     }
 
-    private static int rank(ServerLink link) {
+    /** Returns a rank that orders links by attempts in progress; of links with equally many, open ones come first. */
+    private static int loadRank(ServerLink link) {
         return 2 * link.attempts.size() + (link.open ? 0 : 1);
     }
 
@@ -374,7 +381,7 @@
         }
         long server = session.server();
         forget(attempt);
-        table.attemptFailed(session);
+        sessions.attemptFailed(session);
         listener.attemptFailed(session, server, outcome, nowMs() - attempt.sentAtMs, load);
     }
 
@@ -432,7 +439,7 @@
         boolean connecting = server.links.stream().anyMatch(link -> !link.open);
         if (!connecting
                 && server.address != null
-                && table.playingCountAt(server.number) > 0
+                && sessions.playingCountAt(server.number) > 0
                 && (linkCount < settings.maxLinks() || closeOldestIdleLink())) {
             connect(server);
         }
@@ -445,7 +452,7 @@
         if (message.malformed()) {
             return "malformed message: " + message;
         }
-        Session session = table.get(message.sessionId());
+        Session session = sessions.get(message.sessionId());
         boolean heldHere = session != null && session.server() == link.server.number;
         switch (message.type()) {
             case MessageType.ACM, MessageType.RLC -> {
@@ -493,7 +500,7 @@
         }
         double elapsedMs = nowMs() - attempt.sentAtMs;
         forget(attempt);
-        table.attemptSucceeded(session);
+        sessions.attemptSucceeded(session);
         listener.attemptSucceeded(session, elapsedMs, description);
         return null;
     }
@@ -602,7 +609,7 @@
             log.count("server.release-again");
             loop.schedule(reconnectDelayMs(server), () -> releases.forEach(release -> sendTo(server.number, release)));
         }
-        if (table.playingCountAt(server.number) == 0) {
+        if (sessions.playingCountAt(server.number) == 0) {
             return;
         }
         // an open link without traffic proves nothing, because a machine that failed does not close its connections
@@ -610,11 +617,11 @@
         if (silent
                 && server.consecutiveRefusals >= REFUSALS_BEFORE_DEAD
                 && nowMs - server.refusedSinceMs >= REFUSED_BEFORE_DEAD_MS) {
-            markDead(server, "it refuses connections");
+            endSessionsAndLinks(server, "it refuses connections");
         } else if (server.unreachableSinceMs > 0
                 && nowMs - server.unreachableSinceMs > UNREACHABLE_BEFORE_DEAD_MS
                 && nowMs - server.lastReceivedAtMs > SILENT_BEFORE_DEAD_MS) {
-            markDead(server, "it cannot be reached");
+            endSessionsAndLinks(server, "it cannot be reached");
         } else if (silent && server.reconnectTimer == null) {
             server.reconnectTimer = loop.schedule(connectFailure == null ? 0 : reconnectDelayMs(server), () -> {
                 server.reconnectTimer = null;
@@ -630,12 +637,13 @@
         double maxDelayMs = Math.min(
                 MAX_RECONNECT_DELAY_MS,
                 FIRST_RECONNECT_DELAY_MS
-                        * (1 << Math.min(REFUSALS_BEFORE_DEAD, server.reconnectAttempts++ / REFUSALS_BEFORE_DEAD)));
+                        * (1 << Math.min(MAX_DOUBLINGS, server.reconnectAttempts++ / ATTEMPTS_PER_DOUBLING)));
         return maxDelayMs * (1 - JITTER * random.nextDouble());
     }
 
-    private void markDead(VideoServer server, String reason) {
-        List<Session> ended = table.playingAt(server.number);
+    /** Ends the sessions and closes the links of a server that is considered dead. */
+    private void endSessionsAndLinks(VideoServer server, String reason) {
+        List<Session> ended = sessions.playingAt(server.number);
         if (!ended.isEmpty()) {
             log.warn("server.dead", server + ": " + reason + ", " + ended.size() + " sessions ended");
         }
@@ -663,12 +671,12 @@
                     link.connection.close();
                 }
             }
-            boolean hasSessions = table.playingCountAt(server.number) > 0;
+            boolean hasSessions = sessions.playingCountAt(server.number) > 0;
             double silenceTimeoutMs = settings.silenceTimeoutMs() * (1 + server.silenceJitter);
             if (hasSessions
                     && server.address == null
                     && nowMs - Math.max(server.lastReceivedAtMs, server.firstKnownAtMs) > SILENT_BEFORE_DEAD_MS) {
-                markDead(server, server.listed ? "it has no address" : "the server list does not name it");
+                endSessionsAndLinks(server, server.listed ? "it has no address" : "the server list does not name it");
             } else if (hasSessions
                     && nowMs - Math.max(server.lastReceivedAtMs, server.lastCheckedAtMs) > silenceTimeoutMs) {
                 server.lastCheckedAtMs = nowMs;
--- a/manager/src/main/java/calicovale/manager/servers/VideoServer.java
+++ b/manager/src/main/java/calicovale/manager/servers/VideoServer.java
@@ -24,9 +24,9 @@
     double lastCheckedAtMs;
     /** Fraction that is added to its silence timeout, so that managers do not all check it at the same time. */
     final double silenceJitter;
-    /** Consecutive refused connections, and when the first of them was refused. */
+    /** Number of consecutive refused connections. */
     int consecutiveRefusals;
-
+    /** When the first of them was refused. */
     double refusedSinceMs;
     /** Since when connections time out; 0: they do not, or none was tried. */
     double unreachableSinceMs;
--- a/manager/src/main/java/calicovale/manager/sessions/Session.java
+++ b/manager/src/main/java/calicovale/manager/sessions/Session.java
@@ -2,7 +2,7 @@
 
 import calicovale.protocols.signal.Message;
 
-/** One session, from its set-up to its end. Only {@link SessionStateTable} changes its state. */
+/** One session, from its set-up to its end. Only {@link SessionTable} changes its state. */
 public final class Session {
 
     /** The state of a session. */
--- a/manager/src/main/java/calicovale/manager/sessions/SessionStateTable.java
+++ b/manager/src/main/java/calicovale/manager/sessions/SessionTable.java
@@ -2,6 +2,7 @@
 
 import calicovale.manager.sessions.Session.Requester;
 import calicovale.manager.sessions.Session.State;
+import calicovale.protocols.signal.Message;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -14,14 +15,14 @@
  * attempt in progress, and one that has ended is removed. Transitions throw {@link IllegalStateException} if the
  * session is in another state than required.
  */
-public final class SessionStateTable {
+public final class SessionTable {
     private final int capacity;
     private final Map<Long, Session> sessionsById = new HashMap<>();
     private final Map<Long, Set<Session>> playingByServer = new HashMap<>();
     private final EnumMap<State, Integer> countByState = new EnumMap<>(State.class);
 
     /** Creates an empty table for at most {@code capacity} sessions. */
-    public SessionStateTable(int capacity) {
+    public SessionTable(int capacity) {
         this.capacity = capacity;
         for (State state : State.values()) {
             countByState.put(state, 0);
@@ -52,7 +53,10 @@
     public Session request(
             long id, Requester requester, String sessionClass, String title, byte[] description, double giveUpMs) {
         if (isFull() || sessionsById.containsKey(id)) {
-            throw new IllegalStateException("session " + id + " is already held, or the table is full");
+            throw new IllegalStateException("session " + Message.formatSessionId(id)
+                    + (sessionsById.containsKey(id)
+                            ? " is already held"
+                            : " cannot be held, because the table is full with " + capacity + " sessions"));
         }
         Session session = new Session(id, requester, sessionClass, title, description, giveUpMs);
         sessionsById.put(id, session);
--- a/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
+++ b/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
@@ -14,8 +14,8 @@
  * @param classIndex index of the class in the settings
  * @param description the viewer's description, passed on to the server
  * @param waitMs how long the viewer waits for an answer, in ms
- * @param retry whether it is a repeat
- * @param returning whether the viewer comes again
+ * @param retry whether the client marked it as a repeat
+ * @param returning whether the viewer had a session before and comes back
  * @param homeCell first cell that holds the title
  * @param span number of consecutive cells that hold the title
  * @param topRung highest rung that the viewer can use
@@ -40,8 +40,10 @@
     private static final int MAX_TEXT_CHARS = 256;
     /** Upper bound of the parts into which the extras are split. */
     private static final int MAX_EXTRAS = 16;
-    /** Digits of a number that always fits an {@code int}; one more is accepted if the value fits. */
-    private static final int MAX_DIGITS = 9;
+    /** Number of digits with which every number fits an {@code int}; one more is accepted if the value fits. */
+    private static final int INT_SAFE_DIGITS = 9;
+    /** Upper bound of the characters of an excerpt in a reason. */
+    private static final int MAX_EXCERPT_CHARS = 40;
 
     private static SetUpRequest rejected(int cause, String reason) {
         return new SetUpRequest(cause, reason, 0, null, null, 0, false, false, 0, 0, 0, null, null);
@@ -63,10 +65,15 @@
         }
         int classIndex = settings.classes().indexOf(sessionClass);
         if (classIndex < 0) {
-            return rejected(Cause.INVALID_CONTENTS, "unknown class");
+            return rejected(
+                    Cause.INVALID_CONTENTS,
+                    "class must be one of " + String.join(", ", settings.classes()) + ", not '" + excerpt(sessionClass)
+                            + "'");
         }
         if (!isName(title)) {
-            return rejected(Cause.INVALID_CONTENTS, "title is empty, too long or has spaces or control characters");
+            return rejected(
+                    Cause.INVALID_CONTENTS,
+                    "title must have 1 to " + MAX_TEXT_CHARS + " characters, without spaces and control characters");
         }
         String retry = message.text(Parameter.RETRY);
         if (message.has(Parameter.RETRY) && !"1".equals(retry)) {
@@ -91,7 +98,15 @@
         // the wait of a session that already plays has no upper bound, because it needs no answer
         if (waitMs < 1
                 || playingAt == null && waitMs > settings.maxWaitMsByClass().get(classIndex)) {
-            return rejected(Cause.INVALID_CONTENTS, "wait out of range: '" + excerpt(waitText) + "'");
+            return rejected(
+                    Cause.INVALID_CONTENTS,
+                    "wait must be a whole number of ms from 1 to "
+                            + (playingAt == null
+                                    ? settings.maxWaitMsByClass()
+                                            .get(classIndex)
+                                            .longValue()
+                                    : Integer.MAX_VALUE)
+                            + ", not '" + excerpt(waitText) + "'");
         }
         int homeCell = wholeNumber(extras.getOrDefault("home", "0"));
         int span = wholeNumber(extras.getOrDefault("copies", String.valueOf(Integer.MAX_VALUE / 2)));
@@ -101,12 +116,17 @@
                 || span < 1
                 || topRung < 0
                 || topRung >= settings.rungs()) {
-            return rejected(Cause.INVALID_CONTENTS, "home, copies or top out of range: '" + excerpt(extrasText) + "'");
+            return rejected(
+                    Cause.INVALID_CONTENTS,
+                    "home must be a whole number" + (settings.cells() > 0 ? " below " + settings.cells() : "")
+                            + ", copies one from 1, and top one below " + settings.rungs() + ", not '"
+                            + excerpt(extrasText) + "'");
         }
         String viewer = extras.getOrDefault("viewer", "");
         if (viewer.length() > MAX_TEXT_CHARS) {
             return rejected(
-                    Cause.INVALID_CONTENTS, "viewer has " + viewer.length() + " characters, more than are accepted");
+                    Cause.INVALID_CONTENTS,
+                    "viewer has " + viewer.length() + " characters, at most " + MAX_TEXT_CHARS + " are accepted");
         }
         return new SetUpRequest(
                 0,
@@ -132,7 +152,9 @@
 
     /** Returns a whole number from 0, or -1 if the text is not one that fits an {@code int}. */
     private static int wholeNumber(String text) {
-        if (text.isEmpty() || text.length() > MAX_DIGITS + 1 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (text.isEmpty()
+                || text.length() > INT_SAFE_DIGITS + 1
+                || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
         }
         long number = Long.parseLong(text);
@@ -140,6 +162,8 @@
     }
 
     private static String excerpt(String text) {
-        return text == null ? "" : text.length() > 40 ? text.substring(0, 40) + "..." : text;
+        return text == null
+                ? ""
+                : text.length() > MAX_EXCERPT_CHARS ? text.substring(0, MAX_EXCERPT_CHARS) + "..." : text;
     }
 }
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
@@ -3,7 +3,7 @@
 import calicovale.manager.RateLimitedLog;
 import calicovale.manager.sessions.Session;
 import calicovale.manager.sessions.Session.State;
-import calicovale.manager.sessions.SessionStateTable;
+import calicovale.manager.sessions.SessionTable;
 import calicovale.protocols.net.Connection;
 import calicovale.protocols.net.EventLoop;
 import calicovale.protocols.signal.Cause;
@@ -27,7 +27,10 @@
     private static final String CONNECTION_KIND = "viewer";
     /** Interval, in ms, between checks for connections without valid messages. */
     private static final double SWEEP_INTERVAL_MS = 200;
-    /** Time, in ms, for which a release waits for a connection to be sent on; it is due after 8 s. */
+    /**
+     * Time, in ms, for which a release waits for a connection to be sent on; it must reach the viewer within 8 s of
+     * the session's end.
+     */
     private static final double RELEASE_QUEUE_TIMEOUT_MS = 7000;
     /**
      * Number of protocol faults after which a connection is closed if they outnumber its valid messages. This stops
@@ -46,8 +49,8 @@
         /** Reports a hand-over: the session already plays at {@code server}. */
         void sessionHandedOver(long sessionId, Session.Requester requester, Request request, String server);
 
-        /** Reports that a viewer gave up a set-up that was not answered yet. */
-        void setUpAbandoned(Session session);
+        /** Reports that a viewer departed before its set-up was answered. */
+        void viewerDeparted(Session session);
 
         /** Reports that a viewer ended a playing session. */
         void sessionReleased(Session session);
@@ -64,8 +67,8 @@
      * @param homeCell first cell that holds the title
      * @param span number of consecutive cells that hold it
      * @param topRung highest rung that the viewer can use
-     * @param retry whether the set-up is a repeat
-     * @param returning whether the viewer comes again
+     * @param retry whether the client marked the set-up as a repeat
+     * @param returning whether the viewer had a session before and comes back
      */
     public record Request(
             int classIndex,
@@ -82,7 +85,7 @@
 
     private final EventLoop loop;
     private final ViewerSettings settings;
-    private final SessionStateTable table;
+    private final SessionTable sessions;
     private final RateLimitedLog log;
     private final Listener listener;
     private final Set<ViewerLink> links = new LinkedHashSet<>();
@@ -92,10 +95,10 @@
 
     /** Creates a gateway, which listens after {@link #open}. */
     public ViewerGateway(
-            EventLoop loop, ViewerSettings settings, SessionStateTable table, RateLimitedLog log, Listener listener) {
+            EventLoop loop, ViewerSettings settings, SessionTable sessions, RateLimitedLog log, Listener listener) {
         this.loop = loop;
         this.settings = settings;
-        this.table = table;
+        this.sessions = sessions;
         this.log = log;
         this.listener = listener;
     }
@@ -130,7 +133,10 @@
         answerDeadlineMs = deadlineMs;
     }
 
-    /** Closes the sending side of all connections, because a full close could discard answers that are not read yet. */
+    /**
+     * Stops accepting connections and closes the sending side of all open ones. A full close could discard answers that
+     * are not read yet.
+     */
     public void closeGracefully() {
         listeningSocket.close();
         for (ViewerLink link : links) {
@@ -207,7 +213,7 @@
             rejectMessage(link, message.sessionId(), setUp.rejectCause(), setUp.rejectReason());
             return;
         }
-        Session held = table.get(message.sessionId());
+        Session held = sessions.get(message.sessionId());
         double nowMs = nowMs();
         Request request = new Request(
                 setUp.classIndex(),
@@ -221,10 +227,10 @@
                 setUp.returning());
         if (setUp.playingAt() != null) {
             countValidMessage(link);
-            if (held == null && !table.isFull()) {
+            if (held == null && !sessions.isFull()) {
                 listener.sessionHandedOver(message.sessionId(), link, request, setUp.playingAt());
             }
-            if (table.get(message.sessionId()) != null) {
+            if (sessions.get(message.sessionId()) != null) {
                 countPlayingSession(link);
             }
             return;
@@ -234,10 +240,13 @@
             return;
         }
         countValidMessage(link);
-        if (table.isFull() || link.awaitingAnswer.size() >= settings.maxSetUpsPerLink()) {
+        if (sessions.isFull() || link.awaitingAnswer.size() >= settings.maxSetUpsPerLink()) {
             log.warn(
-                    table.isFull() ? "viewer.table-full" : "viewer.too-many-open",
-                    table.size() + " sessions are held, the set-up is refused");
+                    sessions.isFull() ? "viewer.table-full" : "viewer.too-many-open",
+                    sessions.isFull()
+                            ? sessions.size() + " sessions are held, the set-up is refused"
+                            : link.awaitingAnswer.size() + " set-ups on the connection are unanswered, the limit is "
+                                    + settings.maxSetUpsPerLink() + ", the set-up is refused");
             Message refusal = Message.release(message.sessionId(), Cause.CONGESTION);
             if (settings.retryAfterMs() > 0) {
                 refusal.with(Parameter.RETRY_AFTER, String.valueOf((long) settings.retryAfterMs()));
@@ -245,7 +254,7 @@
             link.send(refusal);
             return;
         }
-        Session session = table.request(
+        Session session = sessions.request(
                 message.sessionId(),
                 link,
                 settings.classes().get(setUp.classIndex()),
@@ -262,20 +271,20 @@
     }
 
     /**
-     * Rejects a set-up with an id in use. On one connection both set-ups end, because their answers could not be told
-     * apart.
+     * Rejects a set-up with an id in use. If the set-up that holds the id waits for its answer on the same connection,
+     * it ends too, because the two answers could not be told apart.
      */
     private void rejectDuplicate(ViewerLink link, Session held) {
         if (held.requester() == link && link.awaitingAnswer.contains(held)) {
             held.markDeparted();
             link.awaitingAnswer.remove(held);
-            listener.setUpAbandoned(held);
+            listener.viewerDeparted(held);
         }
         rejectMessage(link, held.id(), Cause.INVALID_REFERENCE, "set-up with the id of a session that is already held");
     }
 
     private void handleRelease(ViewerLink link, Message message) {
-        Session session = table.get(message.sessionId());
+        Session session = sessions.get(message.sessionId());
         link.send(Message.of(MessageType.RLC, message.sessionId()));
         if (session == null) {
             log.count("viewer.release-of-none");
@@ -285,12 +294,15 @@
         } else if (session.requester() == link && !session.departed()) {
             link.awaitingAnswer.remove(session);
             session.markDeparted();
-            listener.setUpAbandoned(session);
+            listener.viewerDeparted(session);
         }
     }
 
     private void rejectMessage(ViewerLink link, long sessionId, int cause, String reason) {
-        log.warn("viewer.error", reason);
+        log.warn(
+                "viewer.error",
+                "session " + Message.formatSessionId(sessionId) + " from " + link.connection.remoteAddress() + ": "
+                        + reason);
         link.send(Message.release(sessionId, cause));
         if (++link.protocolFaults >= MAX_PROTOCOL_FAULTS && link.protocolFaults > link.validMessages) {
             log.count("viewer.too-many-faults");
@@ -299,20 +311,20 @@
     }
 
     void rejectStream(ViewerLink link, String reason) {
-        log.warn("viewer.unreadable", reason);
+        log.warn("viewer.unreadable", "connection from " + link.connection.remoteAddress() + ": " + reason);
         link.send(Message.release(0, Cause.PROTOCOL_ERROR));
         link.connection.closeWhenDrained();
     }
 
     /**
-     * Abandons the set-ups of a closed connection. The listener is called at the end of the loop's turn, because
-     * this may be called from within a write, during a decision.
+     * Marks the viewers of a closed connection's set-ups as departed. The listener is called at the end of the loop's
+     * turn, because this may be called from within a write, during a decision.
      */
     void linkClosed(ViewerLink link) {
         links.remove(link);
         for (Session session : link.awaitingAnswer) {
             session.markDeparted();
-            loop.defer(EventLoop.Phase.TERMINATIONS, () -> listener.setUpAbandoned(session));
+            loop.defer(EventLoop.Phase.TERMINATIONS, () -> listener.viewerDeparted(session));
         }
         link.awaitingAnswer.clear();
     }
@@ -353,7 +365,10 @@
         } else if (queuedReleases.size() < MAX_QUEUED_RELEASES) {
             queuedReleases.add(new QueuedRelease(message, nowMs() + RELEASE_QUEUE_TIMEOUT_MS));
         } else {
-            log.warn("viewer.release-dropped", session);
+            log.warn(
+                    "viewer.release-dropped",
+                    "message for the viewer of session " + session.controllerId() + " dropped, " + queuedReleases.size()
+                            + " messages wait for a connection");
         }
     }
 
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerLink.java
@@ -18,16 +18,16 @@
     final Set<Session> awaitingAnswer = new LinkedHashSet<>();
     /** Whether a valid message has come: a test or a set-up. */
     boolean hasSentValidMessage;
-    /** Number of valid messages, and of protocol faults. */
+    /** Number of valid messages: tests and set-ups. */
     int validMessages;
-
+    /** Number of rejected messages. */
     int protocolFaults;
-    /** Number of sessions of this connection that came to play; it never decreases. */
+    /** Number of answers and hand-overs of playing sessions on this connection; it never decreases. */
     int sessionsPlayed;
 
-    /** Clock times, in ms; {@code partialSinceMs} is when an incomplete message began, 0: there is none. */
+    /** Clock time, in ms, of the last received bytes or sent answer. */
     double lastUsedAtMs;
-
+    /** Clock time, in ms, when an incomplete message began; 0: there is none. */
     double partialSinceMs;
 
     private final ViewerGateway gateway;
@@ -40,7 +40,7 @@
         lastUsedAtMs = nowMs;
     }
 
-    /** Returns 0 without valid messages, 1 with valid messages only, 2 with sessions that came to play. */
+    /** Returns 2 with answers or hand-overs of playing sessions, 1 with other valid messages only, 0 with none. */
     int retentionRank() {
         return sessionsPlayed > 0 ? 2 : hasSentValidMessage ? 1 : 0;
     }
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
@@ -9,7 +9,9 @@
  * @param maxSetUpsPerLink upper bound of unanswered set-ups on one connection
  * @param retryAfterMs time, in ms, after which a viewer refused by a bound may come back; 0: viewers take no such
  *     advice
- * @param validMessageTimeoutMs time, in ms, after which a connection without a valid message is closed
+ * @param validMessageTimeoutMs time, in ms, after which a connection is closed that brought no valid message, or that
+ *     has an incomplete message and no set-up that waits for its answer; also the time after which an incomplete
+ *     message no longer delays the end of a drain
  * @param classes names of the session classes, in the settings' order
  * @param maxWaitMsByClass for each class: the longest wait, in ms, that a viewer may state
  * @param cells number of cells, which bounds a title's home cell; 0: it is not checked
--- a/manager/src/test/java/calicovale/manager/EventOrderTest.java
+++ b/manager/src/test/java/calicovale/manager/EventOrderTest.java
@@ -62,7 +62,7 @@
 
     @ParameterizedTest
     @EnumSource(Departure.class)
-    void aServersErrorIsHandledAfterTheViewersDepartureInTheSameTurn(Departure going) throws Exception {
+    void aServersErrorIsHandledAfterTheViewersDepartureInTheSameTurn(Departure departure) throws Exception {
         try (ManagerHarness harness = new ManagerHarness(2);
                 Peer viewer = harness.acceptedViewer()) {
             harness.clock.stop();
@@ -70,7 +70,7 @@
             FakeServer.Received setUp = harness.serverWithMessage().next();
             harness.inOneLoopTurn(() -> {
                 setUp.peer().send(Message.release(1, Cause.UNAVAILABLE));
-                going.run(viewer, 1);
+                departure.run(viewer, 1);
             });
             harness.awaitCount("departed", 1);
             awaitNoSessions(harness);
@@ -81,21 +81,21 @@
     @Test
     void ofTwoFailedAttemptsOnlyThatOfTheRemainingViewerIsRetried() throws Exception {
         try (ManagerHarness harness = new ManagerHarness(2);
-                Peer stays = harness.acceptedViewer();
-                Peer goes = harness.acceptedViewer()) {
+                Peer remainingViewer = harness.acceptedViewer();
+                Peer leavingViewer = harness.acceptedViewer()) {
             harness.clock.stop();
-            stays.send(ManagerHarness.setUp(1));
+            remainingViewer.send(ManagerHarness.setUp(1));
             FakeServer first = harness.serverWithMessage();
             FakeServer.Received one = first.next();
             harness.clock.advance(10);
-            goes.send(ManagerHarness.setUp(2));
+            leavingViewer.send(ManagerHarness.setUp(2));
             harness.awaitCount("attempts", 2);
             FakeServer.Received two = harness.serverWithMessage().next();
             harness.clock.advance(10);
             harness.inOneLoopTurn(() -> {
                 two.peer().send(Message.release(2, Cause.UNAVAILABLE));
                 one.peer().send(Message.release(1, Cause.UNAVAILABLE));
-                goes.disconnect();
+                leavingViewer.disconnect();
             });
             harness.awaitCount("departed", 1);
             FakeServer.Received again;
@@ -106,7 +106,7 @@
             again.peer()
                     .send(Message.of(MessageType.ANM, 1)
                             .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
-            assertEquals(MessageType.ANM, stays.next().type());
+            assertEquals(MessageType.ANM, remainingViewer.next().type());
             assertEquals(3, count(harness, "attempts"));
         }
     }
@@ -132,13 +132,13 @@
 
     @ParameterizedTest
     @EnumSource(Departure.class)
-    void aSetUpFollowedByItsViewersDepartureIsNotForwarded(Departure going) throws Exception {
+    void aSetUpFollowedByItsViewersDepartureIsNotForwarded(Departure departure) throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
                 Peer viewer = harness.acceptedViewer()) {
             harness.clock.stop();
             harness.inOneLoopTurn(() -> {
                 viewer.send(ManagerHarness.setUp(1));
-                going.run(viewer, 1);
+                departure.run(viewer, 1);
             });
             harness.awaitCount("departed", 1);
             awaitNoSessions(harness);
@@ -148,14 +148,14 @@
 
     @ParameterizedTest
     @EnumSource(Departure.class)
-    void aLinkThatOpensSendsNothingForAViewerThatHasLeft(Departure going) throws Exception {
+    void aLinkThatOpensSendsNothingForAViewerThatHasLeft(Departure departure) throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
                 Peer viewer = harness.acceptedViewer()) {
             harness.clock.stop();
             // the link is being opened here; its opening and the viewer's departure are ready in the same turn
             harness.afterDecisions(() -> viewer.send(ManagerHarness.setUp(1)), 0, () -> {
                 harness.servers.get(0).awaitConnection();
-                going.run(viewer, 1);
+                departure.run(viewer, 1);
             });
             harness.awaitCount("departed", 1);
             awaitNoSessions(harness);
@@ -401,7 +401,8 @@
                             ManagerHarness.entry("s-0", port, "terminating", 0),
                             ManagerHarness.entry("s-9", port + 1, "terminating", 0))
                     + "\n2\n";
-            // slow enough for a process that does not wait; with the clock stopped, one that waits is not timed out
+            // a process that did not wait for the bus would listen within these 100 ms; the clock is stopped so that
+            // START_TIMEOUT_MS of EventBusClient does not pass for one that waits
             bus.answerDelayMs = 100;
             ManagerHarness.ShiftedClock clock = new ManagerHarness.ShiftedClock();
             clock.stop();
@@ -508,8 +509,7 @@
             harness.process.counts();
             harness.clock.advance(690);
             // the platform kills the process 2.7 s after SIGTERM, because the longest deadline is 2 s; this viewer
-            // waits
-            // for longer
+            // waits for longer
             viewer.send(Message.of(MessageType.IAM, 1)
                     .with(Parameter.CLASS, "course")
                     .with(Parameter.WAIT, "3900")
--- a/manager/src/test/java/calicovale/manager/ManagerHarness.java
+++ b/manager/src/test/java/calicovale/manager/ManagerHarness.java
@@ -33,10 +33,11 @@
 
 /** Runs a manager on loopback with fake video servers, a fake event bus and viewers that the test controls. */
 final class ManagerHarness implements AutoCloseable {
-    /** Descriptions that the viewers send and the servers answer. */
+    /** Description that viewers send in a set-up. */
     static final byte[] VIEWER_DESCRIPTION = "wanted".getBytes(StandardCharsets.US_ASCII);
-
+    /** Description that servers send in an answer. */
     static final byte[] SERVER_DESCRIPTION = "given".getBytes(StandardCharsets.US_ASCII);
+
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     /** Upper bound of every wait, in s. */
     private static final long TIMEOUT_S = 10;
@@ -339,8 +340,8 @@
         }
 
         /**
-         * Closes the connection and waits for its reader, because the system closes no socket that a thread still
-         * reads.
+         * Closes the connection and waits for its reader, because the system does not close a socket while a thread
+         * reads it.
          */
         void disconnect() throws IOException {
             socket.close();
--- a/manager/src/test/java/calicovale/manager/ManagerTest.java
+++ b/manager/src/test/java/calicovale/manager/ManagerTest.java
@@ -177,11 +177,11 @@
             harness.waitUntil(() -> harness.servers.get(0).peers.size() == 2);
             harness.servers.get(0).peers.get(1).send(Message.release(1, Cause.NORMAL));
             harness.awaitCount("outcome.OK", 1);
-            try (Peer asks = harness.viewer();
+            try (Peer viewerWithoutSessions = harness.viewer();
                     Peer next = harness.viewer()) {
                 // the release is not sent on a connection without sessions, but on one with a playing session
-                asks.send(Message.of(MessageType.UPT, 7));
-                assertEquals(MessageType.UPA, asks.next().type());
+                viewerWithoutSessions.send(Message.of(MessageType.UPT, 7));
+                assertEquals(MessageType.UPA, viewerWithoutSessions.next().type());
                 next.send(ManagerHarness.setUp(2));
                 harness.servers.get(0).acceptSetUp();
                 assertEquals(1, next.next(MessageType.REL).sessionId());
@@ -193,20 +193,20 @@
     void aReleaseIsSentOnAConnectionWithPlayingSessionsThoughAnotherWasUsedLater() throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
                 Peer viewer = harness.viewer();
-                Peer carries = harness.viewer();
-                Peer asks = harness.viewer()) {
+                Peer viewerWithSession = harness.viewer();
+                Peer viewerWithoutSessions = harness.viewer()) {
             viewer.send(ManagerHarness.setUp(1));
             FakeServer.Received setUp = harness.servers.get(0).acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            carries.send(ManagerHarness.setUp(2));
+            viewerWithSession.send(ManagerHarness.setUp(2));
             harness.servers.get(0).acceptSetUp();
-            assertEquals(MessageType.ANM, carries.next().type());
+            assertEquals(MessageType.ANM, viewerWithSession.next().type());
             viewer.disconnect();
             harness.waitUntil(() -> harness.process.counts().get("links.viewers") == 2);
-            asks.send(Message.of(MessageType.UPT, 7));
-            assertEquals(MessageType.UPA, asks.next().type());
+            viewerWithoutSessions.send(Message.of(MessageType.UPT, 7));
+            assertEquals(MessageType.UPA, viewerWithoutSessions.next().type());
             setUp.peer().send(Message.release(1, Cause.NORMAL));
-            assertEquals(1, carries.next().sessionId());
+            assertEquals(1, viewerWithSession.next().sessionId());
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
+++ b/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
@@ -15,9 +15,9 @@
 /** Tests that tables, timers and links do not grow with the number of ids, addresses and connections used. */
 @Timeout(60)
 class ResourceBoundsTest {
-    /** Rounds, and how far the clock is advanced in each, in ms: one hour in all. */
+    /** Number of rounds, which take one hour in all. */
     private static final int ROUNDS = 120;
-
+    /** Time, in ms, by which the clock is advanced in each round. */
     private static final double ROUND_MS = 30_000;
 
     @Test
--- a/manager/src/test/java/calicovale/manager/sessions/SessionStateTableTest.java
+++ b/manager/src/test/java/calicovale/manager/sessions/SessionTableTest.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class SessionStateTableTest {
-    private final SessionStateTable table = new SessionStateTable(3);
+class SessionTableTest {
+    private final SessionTable table = new SessionTable(3);
 
     private Session request(long id) {
         return table.request(id, null, "talk", "t", new byte[] {1}, 1000);
@@ -70,7 +70,7 @@
     @Property(tries = 300)
     void countsAgreeWithTheStatesOfTheSessions(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 24) Integer> steps) {
-        SessionStateTable testedTable = new SessionStateTable(4);
+        SessionTable testedTable = new SessionTable(4);
         List<Session> all = new ArrayList<>();
         for (int step : steps) {
             int index = step / 5;
