--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/FirstSetUps.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/FirstSetUps.java
@@ -11,46 +11,46 @@
 import java.util.Set;
 
 /**
- * Owns the count of first set-ups of requests and of those that failed, by what crossed the managers' sockets: answered by
- * neither 201 nor 429.
+ * Numbers of the first set-ups of requests, and of those that failed, counted at the managers' sockets. A set-up failed
+ * when it was answered by neither 201 nor 429.
  *
- * @param sent first set-ups sent
- * @param failed those that failed, by the box's end
+ * @param sent number of first set-ups that were sent
+ * @param failedByBox number of failed first set-ups by box; the key is the name of the box's end, such as {@code box:2}
  */
-public record FirstSetUps(long sent, Map<String, Long> failed) {
+public record FirstSetUps(long sent, Map<String, Long> failedByBox) {
 
-    /** All that failed. */
+    /** Returns the number of first set-ups that failed at all boxes together. */
     public long failures() {
-        return failed.values().stream().mapToLong(n -> n).sum();
+        return failedByBox.values().stream().mapToLong(n -> n).sum();
     }
 
-    /** Counts them on a tape. */
+    /** Counts the first set-ups in a recording. */
     public static FirstSetUps of(List<Entry> entries) {
-        Set<String> answered = new HashSet<>();
-        for (Entry e : entries) {
-            if (e.end().startsWith("manager:")
-                    && e.kind() == Kind.RESPONSE
-                    && (e.status() == 201 || e.status() == 429)) {
-                answered.add(e.conn() + " " + e.exchange());
+        Set<String> answeredExchanges = new HashSet<>();
+        for (Entry entry : entries) {
+            if (entry.end().startsWith("manager:")
+                    && entry.kind() == Kind.RESPONSE
+                    && (entry.status() == 201 || entry.status() == 429)) {
+                answeredExchanges.add(entry.conn() + " " + entry.exchange());
             }
         }
         long sent = 0;
-        Map<String, Long> failed = new LinkedHashMap<>();
-        for (Entry e : entries) {
-            if (e.end().startsWith("manager:")
-                    && e.kind() == Kind.REQUEST
-                    && "/v1/sessions".equals(e.target())
-                    && first(e.body())) {
+        Map<String, Long> failedByBox = new LinkedHashMap<>();
+        for (Entry entry : entries) {
+            if (entry.end().startsWith("manager:")
+                    && entry.kind() == Kind.REQUEST
+                    && "/v1/sessions".equals(entry.target())
+                    && isFirstAttempt(entry.body())) {
                 sent++;
-                if (!answered.contains(e.conn() + " " + e.exchange())) {
-                    failed.merge(e.peer(), 1L, Long::sum);
+                if (!answeredExchanges.contains(entry.conn() + " " + entry.exchange())) {
+                    failedByBox.merge(entry.peer(), 1L, Long::sum);
                 }
             }
         }
-        return new FirstSetUps(sent, failed);
+        return new FirstSetUps(sent, failedByBox);
     }
 
-    private static boolean first(String body) {
+    private static boolean isFirstAttempt(String body) {
         try {
             return body != null
                     && Documents.MAPPER.readTree(body).path("attempt").asInt(-1) == 0;
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -18,412 +18,494 @@
 import java.util.TreeMap;
 
 /**
- * Owns the judging of all sessions' playlists, and of the programme changes in them, by the tape alone: what managers wrote
- * to players, what boxes delivered, and the script's marks of when a change was told. Times are compared as dates of the
- * playlists, so that no clock but the service's is needed.
+ * Judges all sessions' playlists, and the programme changes in them, from the recording alone: what managers wrote to
+ * players, what boxes delivered, and the script's marks of when a change was announced. Times are compared as dates of
+ * the playlists, so that only the service's clock is needed.
  */
 public final class PlaylistChecker {
-    private static final int MOST_TOLD = 20;
-    /** Ms by which two processes' readings of the common clock may differ. */
+    /** Largest number of faults that are described in words; further ones are only counted. */
+    private static final int MAX_DESCRIBED_FAULTS = 20;
+    /** Time by which two processes' readings of the common clock may differ, in ms. */
     private static final double CLOCK_SLACK_MS = 250;
 
-    /** What was found. */
+    /** Result of the check: counts, and descriptions of the first faults. */
     public static final class Findings {
-        private long playlists;
-        private long sessions;
-        private long due;
-        private long shown;
-        private long missed;
-        private long broken;
-        private final List<String> breaks = new ArrayList<>();
+        private long playlistCount;
+        private long sessionCount;
+        private long changesDue;
+        private long changesShown;
+        private long changesMissed;
+        private long faultCount;
+        private final List<String> faults = new ArrayList<>();
 
-        /** Playlists checked. */
-        public long playlists() {
-            return playlists;
+        /** Returns the number of media playlists that were checked. */
+        public long playlistCount() {
+            return playlistCount;
         }
 
-        /** Sessions that had one. */
-        public long sessions() {
-            return sessions;
+        /** Returns the number of sessions that were given a media playlist with a segment. */
+        public long sessionCount() {
+            return sessionCount;
         }
 
-        /** Times that a session played through the point at which a change was due for it. */
-        public long due() {
-            return due;
+        /** Returns how often a session played past the point at which a change was due for it. */
+        public long changesDue() {
+            return changesDue;
         }
 
-        /** Times that a change was shown to a session. */
-        public long shown() {
-            return shown;
+        /** Returns how often a change was shown to a session. */
+        public long changesShown() {
+            return changesShown;
         }
 
-        /** Times that it was due and not shown, at a session that lost no box meanwhile. */
-        public long missed() {
-            return missed;
+        /**
+         * Returns how often a change was due and not shown. Sessions that lost their box or manager are not counted,
+         * nor are those whose viewer was shown the change in another session.
+         */
+        public long changesMissed() {
+            return changesMissed;
         }
 
-        /** Faults found. */
-        public long broken() {
-            return broken;
+        /** Returns the number of faults. */
+        public long faultCount() {
+            return faultCount;
         }
 
-        /** The first faults, in words. */
-        public List<String> breaks() {
-            return breaks;
+        /** Returns descriptions of the first faults, in the order in which they were found. */
+        public List<String> faults() {
+            return faults;
         }
 
-        private void broken(double atMs, String how) {
-            broken++;
-            if (breaks.size() < MOST_TOLD) {
-                breaks.add("playlist at " + Math.round(atMs) + " ms: " + how);
+        /** Counts a fault; {@code atMs} is the time of the recording at which it was found, in ms. */
+        private void recordFault(double atMs, String description) {
+            faultCount++;
+            if (faults.size() < MAX_DESCRIBED_FAULTS) {
+                faults.add("playlist at " + Math.round(atMs) + " ms: " + description);
             }
         }
     }
 
-    private static final class Session {
+    /** All that one session was given, by its token in the playlists' URIs. */
+    private static final class SessionHistory {
         final String token;
         final String sessionClass;
         final String tenant;
         final String title;
         final String viewer;
         final PlaylistRules rules = new PlaylistRules();
-        final TreeMap<Long, Segment> all = new TreeMap<>();
+        /** Each segment that a playlist of the session listed, by its media sequence number. */
+        final TreeMap<Long, Segment> segments = new TreeMap<>();
+        /** Each EXT-X-DATERANGE that a playlist of the session had, by its id; the last text stands. */
         final Map<String, Range> ranges = new LinkedHashMap<>();
-        double firstMs;
-        double lastMs;
+        /** Times of the first and the last playlist in the recording, in ms. */
+        double firstPlaylistMs;
+
+        double lastPlaylistMs;
+        /** The end at which the last playlist was written, {@code manager:N}. */
         String manager;
 
-        Session(String token, String target, String title) {
+        SessionHistory(String token, String target, String title) {
             this.token = token;
             this.title = title;
-            sessionClass = query(target, "class");
-            tenant = query(target, "tenant");
-            viewer = query(target, "viewer");
+            sessionClass = queryParameter(target, "class");
+            tenant = queryParameter(target, "tenant");
+            viewer = queryParameter(target, "viewer");
         }
     }
 
-    private record Told(String manager, JsonNode change, double wallMs, double[] withdrawnWallMs) {
+    /**
+     * One change as announced to one manager.
+     *
+     * @param manager the manager's end, {@code manager:N}
+     * @param change the change document
+     * @param announcedMs when it was announced, in ms of the wall clock
+     * @param withdrawnMs one element: when it was withdrawn, in ms of the wall clock; infinite while it was not
+     */
+    private record AnnouncedChange(String manager, JsonNode change, double announcedMs, double[] withdrawnMs) {
         String id() {
             return change.path("id").asText();
         }
     }
 
-    private final Figures figures;
+    private final Figures parameters;
     private final Findings findings = new Findings();
-    private final Map<String, Session> sessions = new LinkedHashMap<>();
-    private final List<Told> told = new ArrayList<>();
-    private final Map<String, Integer> delivered = new HashMap<>();
+    private final Map<String, SessionHistory> sessionsByToken = new LinkedHashMap<>();
+    private final List<AnnouncedChange> announcedChanges = new ArrayList<>();
+    /** How often boxes delivered the segment at this path. */
+    private final Map<String, Integer> deliveriesByPath = new HashMap<>();
 
-    private PlaylistChecker(Figures figures) {
-        this.figures = figures;
+    private PlaylistChecker(Figures parameters) {
+        this.parameters = parameters;
     }
 
-    /** Judges a tape, whose entries are in the order of their time. */
-    public static Findings judge(Figures figures, List<Entry> entries) {
-        PlaylistChecker checker = new PlaylistChecker(figures);
-        entries.forEach(checker::take);
-        checker.findings.sessions =
-                checker.sessions.values().stream().filter(s -> !s.all.isEmpty()).count();
-        checker.sessions.values().forEach(checker::changes);
-        checker.twice();
+    /** Judges a recording, whose entries must be in the order of their time. */
+    public static Findings judge(Figures parameters, List<Entry> entries) {
+        PlaylistChecker checker = new PlaylistChecker(parameters);
+        entries.forEach(checker::readEntry);
+        checker.findings.sessionCount = checker.sessionsByToken.values().stream()
+                .filter(s -> !s.segments.isEmpty())
+                .count();
+        checker.sessionsByToken.values().forEach(checker::checkChanges);
+        checker.checkNotShownTwice();
         return checker.findings;
     }
 
-    private static String query(String target, String name) {
-        int at = target.indexOf('?');
-        for (String part : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
-            if (part.startsWith(name + "=")) {
-                return PercentEncoding.decode(part.substring(name.length() + 1));
+    /** Returns the decoded value of a query parameter, or an empty string when the target has none of this name. */
+    private static String queryParameter(String target, String name) {
+        int queryStart = target.indexOf('?');
+        for (String parameter : queryStart < 0
+                ? new String[0]
+                : target.substring(queryStart + 1).split("&")) {
+            if (parameter.startsWith(name + "=")) {
+                return PercentEncoding.decode(parameter.substring(name.length() + 1));
             }
         }
         return "";
     }
 
-    private void take(Entry e) {
-        if (e.kind() == Kind.MARK) {
-            mark(e);
+    private void readEntry(Entry entry) {
+        if (entry.kind() == Kind.MARK) {
+            readMark(entry);
             return;
         }
-        if (e.kind() != Kind.RESPONSE || e.status() != 200 || e.target() == null) {
+        if (entry.kind() != Kind.RESPONSE || entry.status() != 200 || entry.target() == null) {
             return;
         }
-        if (e.end().startsWith("box:") && e.target().startsWith("/s/")) {
-            delivered.merge(e.target(), 1, Integer::sum);
+        if (entry.end().startsWith("box:") && entry.target().startsWith("/s/")) {
+            deliveriesByPath.merge(entry.target(), 1, Integer::sum);
         }
-        boolean toPlayer = e.end().startsWith("manager:") && e.end().equals(e.peer()) && e.body() != null;
-        if (toPlayer && e.target().startsWith("/v1/lectures/")) {
-            String title = e.target().substring(13, e.target().indexOf('/', 13));
-            for (String line : e.body().split("\n")) {
+        boolean toPlayer =
+                entry.end().startsWith("manager:") && entry.end().equals(entry.peer()) && entry.body() != null;
+        if (toPlayer && entry.target().startsWith("/v1/lectures/")) {
+            String title = entry.target().substring(13, entry.target().indexOf('/', 13));
+            for (String line : entry.body().split("\n")) {
                 if (line.startsWith("/s/")) {
                     String token = line.substring(3, line.indexOf('/', 3));
-                    sessions.put(token, new Session(token, e.target(), title));
+                    sessionsByToken.put(token, new SessionHistory(token, entry.target(), title));
                 }
             }
-        } else if (toPlayer && e.target().startsWith("/s/") && e.target().endsWith("/media.m3u8")) {
-            Session s = sessions.get(e.target().substring(3, e.target().indexOf('/', 3)));
-            if (s == null) {
-                findings.broken(e.atMs(), e.target() + " was given to nobody");
+        } else if (toPlayer
+                && entry.target().startsWith("/s/")
+                && entry.target().endsWith("/media.m3u8")) {
+            SessionHistory session = sessionsByToken.get(
+                    entry.target().substring(3, entry.target().indexOf('/', 3)));
+            if (session == null) {
+                findings.recordFault(entry.atMs(), entry.target() + " was given to nobody");
             } else {
-                playlist(s, e);
+                checkPlaylist(session, entry);
             }
         }
     }
 
-    private void mark(Entry e) {
-        if (!e.method().equals("change-told") && !e.method().equals("change-withdrawn")) {
+    private void readMark(Entry entry) {
+        if (!entry.method().equals("change-told") && !entry.method().equals("change-withdrawn")) {
             return;
         }
         try {
-            JsonNode n = Documents.MAPPER.readTree(e.body());
-            if (e.method().equals("change-told")) {
-                told.add(new Told(
-                        e.peer(), n.get("change"), n.get("wallMs").asDouble(), new double[] {Double.POSITIVE_INFINITY
+            JsonNode mark = Documents.MAPPER.readTree(entry.body());
+            if (entry.method().equals("change-told")) {
+                announcedChanges.add(new AnnouncedChange(
+                        entry.peer(), mark.get("change"), mark.get("wallMs").asDouble(), new double[] {
+                            Double.POSITIVE_INFINITY
                         }));
             } else {
-                told.stream()
-                        .filter(t -> t.manager().equals(e.peer())
-                                && t.id().equals(n.get("id").asText()))
-                        .forEach(t -> t.withdrawnWallMs()[0] = n.get("wallMs").asDouble());
+                announcedChanges.stream()
+                        .filter(t -> t.manager().equals(entry.peer())
+                                && t.id().equals(mark.get("id").asText()))
+                        .forEach(t -> t.withdrawnMs()[0] = mark.get("wallMs").asDouble());
             }
-        } catch (JsonProcessingException x) {
-            throw new IllegalArgumentException("a mark that is no JSON: " + e.body(), x);
+        } catch (JsonProcessingException e) {
+            throw new IllegalArgumentException("mark of the script is not JSON: " + entry.body(), e);
         }
     }
 
-    private void playlist(Session s, Entry e) {
-        findings.playlists++;
-        for (String fault : s.rules.take(e.body())) {
-            findings.broken(e.atMs(), s.token + ": " + fault);
-        }
-        s.firstMs = s.all.isEmpty() ? e.atMs() : s.firstMs;
-        s.lastMs = e.atMs();
-        s.manager = e.end();
-        Figures.OfClass k = figures.of(s.sessionClass);
-        for (Segment x : s.rules.segments()) {
-            if (s.all.put(x.sequence(), x) == null && k != null && rung(x) >= 0 && rung(x) < k.lowestRung()) {
-                findings.broken(e.atMs(), s.token + ": segment " + x.uri() + " is under the floor " + k.lowestRung());
+    private void checkPlaylist(SessionHistory session, Entry entry) {
+        findings.playlistCount++;
+        for (String fault : session.rules.take(entry.body())) {
+            findings.recordFault(entry.atMs(), session.token + ": " + fault);
+        }
+        session.firstPlaylistMs = session.segments.isEmpty() ? entry.atMs() : session.firstPlaylistMs;
+        session.lastPlaylistMs = entry.atMs();
+        session.manager = entry.end();
+        Figures.OfClass sessionClass = parameters.of(session.sessionClass);
+        for (Segment segment : session.rules.segments()) {
+            if (session.segments.put(segment.sequence(), segment) == null
+                    && sessionClass != null
+                    && rungOf(segment) >= 0
+                    && rungOf(segment) < sessionClass.lowestRung()) {
+                findings.recordFault(
+                        entry.atMs(),
+                        session.token + ": segment " + segment.uri() + " is under the floor "
+                                + sessionClass.lowestRung());
             }
         }
-        s.ranges.putAll(s.rules.ranges());
+        session.ranges.putAll(session.rules.ranges());
     }
 
-    /** The rung that a segment's URI names; -1: none. */
-    private static int rung(Segment x) {
-        String[] parts = x.uri().split("/");
+    /** Returns the rung that a segment's URI names, or -1 when it names none. */
+    private static int rungOf(Segment segment) {
+        String[] parts = segment.uri().split("/");
         String rung = parts.length < 2 ? "" : parts[parts.length - 2];
         return rung.matches("\\d{1,2}") ? Integer.parseInt(rung) : -1;
     }
 
-    /** The box and set-up of a segment. */
-    private static String place(Segment x) {
-        String[] parts = x.uri().split("/");
-        return parts.length > 4 ? parts[2] + "/" + parts[4] : x.uri();
+    /** Returns the box and set-up that a segment's URI names; another URI is returned whole. */
+    private static String boxAndSetUpOf(Segment segment) {
+        String[] parts = segment.uri().split("/");
+        return parts.length > 4 ? parts[2] + "/" + parts[4] : segment.uri();
     }
 
-    private static String path(Segment x) {
-        return x.uri().substring(x.uri().indexOf('/', x.uri().indexOf("//") + 2));
+    private static String pathOf(Segment segment) {
+        return segment.uri().substring(segment.uri().indexOf('/', segment.uri().indexOf("//") + 2));
     }
 
-    private static int index(Segment x) {
-        String file = x.uri().substring(x.uri().lastIndexOf('/') + 1);
+    /** Returns the number in a segment's file name, or -1 when the name is not a number. */
+    private static int segmentIndexOf(Segment segment) {
+        String file = segment.uri().substring(segment.uri().lastIndexOf('/') + 1);
         return file.matches("\\d{1,6}\\.m4s") ? Integer.parseInt(file.substring(0, file.length() - 4)) : -1;
     }
 
-    private static String change(Range r) {
-        return r.id().substring(0, r.id().lastIndexOf('-'));
+    /** Returns the id of the change that a range shows: the range's id up to its last dash. */
+    private static String changeIdOf(Range range) {
+        return range.id().substring(0, range.id().lastIndexOf('-'));
     }
 
-    private static boolean in(Range r, Segment x) {
-        return x.dateMs() >= r.startMs() - 3 && x.dateMs() + 1000 * x.seconds() <= r.startMs() + 1000 * r.seconds() + 3;
+    /**
+     * Returns whether a segment lies within a range; dates may be off by 3 ms, because they are written in whole ms.
+     */
+    private static boolean isWithin(Range range, Segment segment) {
+        return segment.dateMs() >= range.startMs() - 3
+                && segment.dateMs() + 1000 * segment.seconds() <= range.startMs() + 1000 * range.seconds() + 3;
     }
 
     // --- Changes ---
 
-    private boolean forIt(Told t, Session s) {
-        JsonNode whom = t.change().path("for");
-        return t.manager().equals(s.manager)
-                && has(whom, "titles", s.title)
-                && has(whom, "classes", s.sessionClass)
-                && has(whom, "tenants", s.tenant)
-                && has(whom, "sessions", s.token);
+    /** Returns whether a change was announced to the session's manager and selects the session. */
+    private boolean isMeantFor(AnnouncedChange change, SessionHistory session) {
+        JsonNode audience = change.change().path("for");
+        return change.manager().equals(session.manager)
+                && selects(audience, "titles", session.title)
+                && selects(audience, "classes", session.sessionClass)
+                && selects(audience, "tenants", session.tenant)
+                && selects(audience, "sessions", session.token);
     }
 
-    private static boolean has(JsonNode whom, String key, String name) {
-        if (!whom.has(key)) {
+    /** Returns whether a change's selection has this name under the key, or does not restrict the key. */
+    private static boolean selects(JsonNode audience, String key, String name) {
+        if (!audience.has(key)) {
             return true;
         }
-        for (JsonNode n : whom.get(key)) {
-            if (n.asText().equals(name)) {
+        for (JsonNode entry : audience.get(key)) {
+            if (entry.asText().equals(name)) {
                 return true;
             }
         }
         return false;
     }
 
-    private void changes(Session s) {
-        if (s.all.isEmpty()) {
+    /** Checks the changes that a session was shown, and counts those that were due and not shown. */
+    private void checkChanges(SessionHistory session) {
+        if (session.segments.isEmpty()) {
             return;
         }
         Set<String> places = new HashSet<>();
-        s.all.values().stream()
-                .filter(x -> s.ranges.values().stream().noneMatch(r -> in(r, x)))
-                .forEach(x -> places.add(place(x)));
-        // or its manager was: then the numbers go on above those that may have been given
-        boolean lost = places.size() > 1 || s.all.firstKey() > 0 || s.all.lastKey() - s.all.firstKey() >= s.all.size();
-        Set<String> begun = new HashSet<>();
-        for (Range r : s.ranges.values()) {
-            begun.add(change(r));
-            Told t = told.stream()
-                    .filter(x -> x.id().equals(change(r)) && forIt(x, s))
+        session.segments.values().stream()
+                .filter(x -> session.ranges.values().stream().noneMatch(range -> isWithin(range, x)))
+                .forEach(x -> places.add(boxAndSetUpOf(x)));
+        // Lecture segments of several boxes or set-ups show that a box was lost. A gap in the sequence numbers shows
+        // that the
+        // manager was, because the next process numbers on above all that may have been given.
+        boolean boxOrManagerLost = places.size() > 1
+                || session.segments.firstKey() > 0
+                || session.segments.lastKey() - session.segments.firstKey() >= session.segments.size();
+        Set<String> shownChanges = new HashSet<>();
+        for (Range range : session.ranges.values()) {
+            shownChanges.add(changeIdOf(range));
+            AnnouncedChange change = announcedChanges.stream()
+                    .filter(x -> x.id().equals(changeIdOf(range)) && isMeantFor(x, session))
                     .findFirst()
                     .orElse(null);
-            if (t == null) {
-                findings.broken(s.lastMs, s.token + ": change " + change(r) + " was not told for it");
+            if (change == null) {
+                findings.recordFault(
+                        session.lastPlaylistMs,
+                        session.token + ": change " + changeIdOf(range) + " was not told for it");
                 continue;
             }
-            point(s, t, r, lost);
-            if (r.kind().equals("org.calicovale.change")) {
-                whole(s, r);
+            checkStart(session, change, range, boxOrManagerLost);
+            if (range.kind().equals("org.calicovale.change")) {
+                checkPiecePlayedOut(session, range);
             }
         }
-        findings.shown += begun.size();
-        for (Told t : told) {
-            if (!forIt(t, s)) {
+        findings.changesShown += shownChanges.size();
+        for (AnnouncedChange change : announcedChanges) {
+            if (!isMeantFor(change, session)) {
                 continue;
             }
-            double from = Math.max(dueMs(s, t), t.wallMs());
-            // by then every boundary that was not yet listed when it was told has come
-            double latest = from + 1000.0 * (window(s) + 2) * s.rules.target();
-            boolean counts = from < t.change().path("validUntilMs").asDouble() && t.withdrawnWallMs()[0] > latest;
-            if (counts && s.all.lastEntry().getValue().dateMs() > latest) {
-                findings.due++;
-                if (!begun.contains(t.id()) && !lost && !elsewhere(s, t)) {
-                    findings.missed++;
-                    findings.broken(
-                            s.lastMs,
-                            s.token + " of " + s.sessionClass + ": change " + t.id() + " was due and not shown");
+            double dueMs = Math.max(dueMs(session, change), change.announcedMs());
+            // By then a boundary has passed that was not listed yet when the change was announced.
+            double latestStartMs = dueMs + 1000.0 * (windowSegments(session) + 2) * session.rules.target();
+            boolean countsAsDue =
+                    dueMs < change.change().path("validUntilMs").asDouble() && change.withdrawnMs()[0] > latestStartMs;
+            if (countsAsDue && session.segments.lastEntry().getValue().dateMs() > latestStartMs) {
+                findings.changesDue++;
+                if (!shownChanges.contains(change.id()) && !boxOrManagerLost && !shownInOtherSession(session, change)) {
+                    findings.changesMissed++;
+                    findings.recordFault(
+                            session.lastPlaylistMs,
+                            session.token + " of " + session.sessionClass + ": change " + change.id()
+                                    + " was due and not shown");
                 }
             }
         }
     }
 
-    /** Whether the same viewer was shown it in another session: once a viewer, or a session that goes on. */
-    private boolean elsewhere(Session s, Told t) {
-        return sessions.values().stream()
-                .anyMatch(other -> other != s
-                        && !s.viewer.isEmpty()
-                        && other.viewer.equals(s.viewer)
+    /**
+     * Returns whether the same viewer was shown the change in another session, because it is shown once to each viewer
+     * or because that session goes on in this one.
+     */
+    private boolean shownInOtherSession(SessionHistory session, AnnouncedChange change) {
+        return sessionsByToken.values().stream()
+                .anyMatch(other -> other != session
+                        && !session.viewer.isEmpty()
+                        && other.viewer.equals(session.viewer)
                         && other.ranges.values().stream()
-                                .anyMatch(r -> change(r).equals(t.id())));
+                                .anyMatch(r -> changeIdOf(r).equals(change.id())));
     }
 
-    private static int window(Session s) {
-        return s.rules.segments().size();
+    /** Returns the number of segments in the session's last playlist. */
+    private static int windowSegments(SessionHistory session) {
+        return session.rules.segments().size();
     }
 
-    /** The first date at which it is due by its time or place; infinite: the place was never reached. */
-    private static double dueMs(Session s, Told t) {
-        JsonNode start = t.change().path("start");
+    /**
+     * Returns the first date at which a change is due by its time or place, or infinity when its place was not
+     * reached.
+     */
+    private static double dueMs(SessionHistory session, AnnouncedChange change) {
+        JsonNode start = change.change().path("start");
         if (start.has("atMs")) {
             return Math.max(
-                    start.get("atMs").asDouble(), s.all.firstEntry().getValue().dateMs());
-        }
-        for (Segment x : s.all.values()) {
-            boolean lecture = s.ranges.values().stream().noneMatch(r -> in(r, x));
-            if (lecture && index(x) * x.seconds() >= start.get("lectureS").asDouble() - 1e-6) {
-                return x.dateMs();
+                    start.get("atMs").asDouble(),
+                    session.segments.firstEntry().getValue().dateMs());
+        }
+        for (Segment segment : session.segments.values()) {
+            boolean isLecture = session.ranges.values().stream().noneMatch(r -> isWithin(r, segment));
+            if (isLecture
+                    && segmentIndexOf(segment) * segment.seconds()
+                            >= start.get("lectureS").asDouble() - 1e-6) {
+                return segment.dateMs();
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    private void point(Session s, Told t, Range r, boolean lost) {
-        JsonNode start = t.change().path("start");
-        if (start.has("atMs") && r.startMs() < start.get("atMs").asDouble() - CLOCK_SLACK_MS) {
-            findings.broken(
-                    s.lastMs,
-                    s.token + ": change " + t.id() + " began "
-                            + (start.get("atMs").asDouble() - r.startMs()) + " ms before its time");
-        }
-        // the lecture goes on behind a piece at its place, or later where a stretch is replaced
-        Segment after = s.all.values().stream()
-                .filter(x -> x.dateMs() > r.startMs() + 3
-                        && s.ranges.values().stream().noneMatch(other -> in(other, x)))
+    /** Checks that a change began neither before its time or place, nor late, nor after it was no longer valid. */
+    private void checkStart(SessionHistory session, AnnouncedChange change, Range range, boolean boxOrManagerLost) {
+        JsonNode start = change.change().path("start");
+        if (start.has("atMs") && range.startMs() < start.get("atMs").asDouble() - CLOCK_SLACK_MS) {
+            findings.recordFault(
+                    session.lastPlaylistMs,
+                    session.token + ": change " + change.id() + " began "
+                            + (start.get("atMs").asDouble() - range.startMs()) + " ms before its time");
+        }
+        // Behind a piece the lecture goes on at the place of the change, or later when the change replaces a part of
+        // it.
+        Segment nextLectureSegment = session.segments.values().stream()
+                .filter(x -> x.dateMs() > range.startMs() + 3
+                        && session.ranges.values().stream().noneMatch(other -> isWithin(other, x)))
                 .findFirst()
                 .orElse(null);
-        // segments that a lost box may not have given are listed again behind what was cut
+        // After the loss of a box, segments that it may not have delivered are listed again behind the cut.
         if (start.has("lectureS")
-                && !lost
-                && after != null
-                && index(after) * after.seconds() < start.get("lectureS").asDouble() - 0.01) {
-            findings.broken(
-                    s.lastMs,
-                    s.token + ": change " + t.id() + " began at " + index(after) * after.seconds()
+                && !boxOrManagerLost
+                && nextLectureSegment != null
+                && segmentIndexOf(nextLectureSegment) * nextLectureSegment.seconds()
+                        < start.get("lectureS").asDouble() - 0.01) {
+            findings.recordFault(
+                    session.lastPlaylistMs,
+                    session.token + ": change " + change.id() + " began at "
+                            + segmentIndexOf(nextLectureSegment) * nextLectureSegment.seconds()
                             + " s, before its place");
         }
-        double from = Math.max(
+        double dueMs = Math.max(
                 start.path("atMs").asDouble(),
-                Math.max(t.wallMs(), s.all.firstEntry().getValue().dateMs()));
-        double latest = from + 1000.0 * (window(s) + 2) * s.rules.target() + CLOCK_SLACK_MS;
-        if (start.has("atMs") && !lost && r.startMs() > latest) {
-            findings.broken(
-                    s.lastMs,
-                    s.token + ": change " + t.id() + " began " + (r.startMs() - from) + " ms after it was due");
-        }
-        if (r.startMs() > t.change().path("validUntilMs").asDouble() + CLOCK_SLACK_MS) {
-            findings.broken(s.lastMs, s.token + ": change " + t.id() + " began after its time was over");
+                Math.max(
+                        change.announcedMs(),
+                        session.segments.firstEntry().getValue().dateMs()));
+        double latestStartMs = dueMs + 1000.0 * (windowSegments(session) + 2) * session.rules.target() + CLOCK_SLACK_MS;
+        if (start.has("atMs") && !boxOrManagerLost && range.startMs() > latestStartMs) {
+            findings.recordFault(
+                    session.lastPlaylistMs,
+                    session.token + ": change " + change.id() + " began " + (range.startMs() - dueMs)
+                            + " ms after it was due");
+        }
+        if (range.startMs() > change.change().path("validUntilMs").asDouble() + CLOCK_SLACK_MS) {
+            findings.recordFault(
+                    session.lastPlaylistMs,
+                    session.token + ": change " + change.id() + " began after its time was over");
         }
     }
 
-    /** A piece that began is played out, in order, unless its box or the lecture's was lost. */
-    private void whole(Session s, Range r) {
-        List<Segment> of = s.all.values().stream().filter(x -> in(r, x)).toList();
-        if (of.isEmpty()) {
-            findings.broken(s.lastMs, s.token + ": " + r.id() + " marks no segments");
+    /** Checks that a piece that began is listed whole and in order, unless its box or the lecture's was lost. */
+    private void checkPiecePlayedOut(SessionHistory session, Range range) {
+        List<Segment> pieceSegments = session.segments.values().stream()
+                .filter(x -> isWithin(range, x))
+                .toList();
+        if (pieceSegments.isEmpty()) {
+            findings.recordFault(session.lastPlaylistMs, session.token + ": " + range.id() + " marks no segments");
             return;
         }
-        for (int i = 1; i < of.size(); i++) {
-            if (index(of.get(i)) >= 0 && index(of.get(i)) != index(of.get(i - 1)) + 1) {
-                findings.broken(
-                        s.lastMs,
-                        s.token + ": " + r.id() + " has " + of.get(i).uri() + " after "
-                                + of.get(i - 1).uri());
+        for (int i = 1; i < pieceSegments.size(); i++) {
+            if (segmentIndexOf(pieceSegments.get(i)) >= 0
+                    && segmentIndexOf(pieceSegments.get(i)) != segmentIndexOf(pieceSegments.get(i - 1)) + 1) {
+                findings.recordFault(
+                        session.lastPlaylistMs,
+                        session.token + ": " + range.id() + " has "
+                                + pieceSegments.get(i).uri() + " after "
+                                + pieceSegments.get(i - 1).uri());
             }
         }
-        Segment last = of.get(of.size() - 1);
-        Segment next = s.all.get(last.sequence() + 1);
-        boolean cut =
-                last.dateMs() + 1000 * last.seconds() < r.startMs() + 1000 * r.seconds() - 3 && index(of.get(0)) == 0;
-        if (cut && next != null && place(next).equals(place(last))) {
-            findings.broken(s.lastMs, s.token + ": " + r.id() + " was cut before " + next.uri());
+        Segment last = pieceSegments.get(pieceSegments.size() - 1);
+        Segment next = session.segments.get(last.sequence() + 1);
+        boolean wasCut = last.dateMs() + 1000 * last.seconds() < range.startMs() + 1000 * range.seconds() - 3
+                && segmentIndexOf(pieceSegments.get(0)) == 0;
+        if (wasCut && next != null && boxAndSetUpOf(next).equals(boxAndSetUpOf(last))) {
+            findings.recordFault(
+                    session.lastPlaylistMs, session.token + ": " + range.id() + " was cut before " + next.uri());
         }
     }
 
-    /** No viewer is shown a change twice: not all of its segments may have been delivered to it more than once. */
-    private void twice() {
-        Map<String, Map<Integer, Integer>> counts = new LinkedHashMap<>();
-        for (Session s : sessions.values()) {
-            for (Range r : s.ranges.values()) {
-                JsonNode change = told.stream()
-                        .filter(t -> t.id().equals(change(r)))
-                        .map(Told::change)
+    /**
+     * Checks that no viewer is shown a change twice. A change counts as shown twice when each of its delivered
+     * segments was delivered more than once.
+     */
+    private void checkNotShownTwice() {
+        Map<String, Map<Integer, Integer>> deliveriesByIndex = new LinkedHashMap<>();
+        for (SessionHistory session : sessionsByToken.values()) {
+            for (Range range : session.ranges.values()) {
+                JsonNode change = announcedChanges.stream()
+                        .filter(t -> t.id().equals(changeIdOf(range)))
+                        .map(AnnouncedChange::change)
                         .findFirst()
                         .orElse(null);
-                boolean byViewer = !s.viewer.isEmpty()
+                boolean oncePerViewer = !session.viewer.isEmpty()
                         && change != null
                         && change.path("once").asText().equals("viewer");
-                String who = (byViewer ? s.viewer : s.token) + " " + change(r);
-                for (Segment x : s.all.values()) {
-                    int times = in(r, x) ? delivered.getOrDefault(path(x), 0) : 0;
+                String viewerOrSessionAndChange =
+                        (oncePerViewer ? session.viewer : session.token) + " " + changeIdOf(range);
+                for (Segment segment : session.segments.values()) {
+                    int times = isWithin(range, segment) ? deliveriesByPath.getOrDefault(pathOf(segment), 0) : 0;
                     if (times > 0) {
-                        counts.computeIfAbsent(who, w -> new HashMap<>()).merge(index(x), 1, Integer::sum);
+                        deliveriesByIndex
+                                .computeIfAbsent(viewerOrSessionAndChange, w -> new HashMap<>())
+                                .merge(segmentIndexOf(segment), 1, Integer::sum);
                     }
                 }
             }
         }
-        counts.forEach((who, ofIndex) -> {
+        deliveriesByIndex.forEach((viewerOrSessionAndChange, ofIndex) -> {
             if (ofIndex.values().stream().allMatch(count -> count > 1)) {
-                findings.broken(0, who + " was shown twice");
+                findings.recordFault(0, viewerOrSessionAndChange + " was shown twice");
             }
         });
     }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
@@ -12,208 +12,243 @@
 import java.util.Objects;
 
 /**
- * Owns what RFC 8216 demands of one media playlist from reload to reload, as a strict player takes it: numbers that never go
- * back, segments that are never altered, one target duration, dates that agree, and nothing after the end. What two reloads
- * further back showed is forgotten: a player that strict keeps no more.
+ * Checks one media playlist by RFC 8216 from reload to reload, as a strict player does: sequence numbers never go
+ * back, segments are never altered, the target duration stays, dates agree, and nothing follows the end. Each playlist
+ * is compared with the one before it only, because a player keeps no older ones.
  */
 public final class PlaylistRules {
-    /** Ms by which dates may differ: they are written in whole ms, durations in their own digits. */
+    /** Time by which dates may differ, in ms, because dates are written in whole ms and durations with other digits. */
     private static final double DATE_SLACK_MS = 3;
 
     /**
-     * One segment as it is given.
+     * One segment as the playlist lists it.
      *
-     * @param number its discontinuity sequence number
-     * @param map the EXT-X-MAP in force, or null
+     * @param sequence its media sequence number
+     * @param uri its URI as written
+     * @param seconds its EXTINF duration, in s
+     * @param discontinuity whether EXT-X-DISCONTINUITY stands before it
+     * @param discontinuitySequence its discontinuity sequence number
+     * @param initializationMap the EXT-X-MAP in force, or null
      * @param keys the EXT-X-KEY lines in force
-     * @param dateMs its date, told or reckoned from the segment before; NaN: none is known
+     * @param dateMs its date in ms since 1970, as written or computed from the segment before; NaN when there is none
      */
     public record Segment(
             long sequence,
             String uri,
             double seconds,
             boolean discontinuity,
-            long number,
-            String map,
+            long discontinuitySequence,
+            String initializationMap,
             String keys,
             double dateMs) {}
 
-    /** One EXT-X-DATERANGE; {@code seconds} as told, or as planned while it is not over. */
-    public record Range(String id, String kind, double startMs, double seconds, Attributes told) {
+    /**
+     * One EXT-X-DATERANGE.
+     *
+     * @param id its ID
+     * @param kind its CLASS
+     * @param startMs its START-DATE in ms since 1970
+     * @param seconds its DURATION, or its PLANNED-DURATION while that is not written, in s; 0 without either
+     * @param attributes all attributes as written
+     */
+    public record Range(String id, String kind, double startMs, double seconds, Attributes attributes) {
 
-        /** Attributes may come to a range that was given, but none may be altered (RFC 8216, 4.3.2.7). */
-        boolean goesOn(Range later) {
-            return told.names().stream().allMatch(name -> told.get(name).equals(later.told.get(name)));
+        /** Returns whether a later text only adds attributes: none may be altered (RFC 8216, 4.3.2.7). */
+        boolean isKeptBy(Range later) {
+            return attributes.names().stream()
+                    .allMatch(name -> attributes.get(name).equals(later.attributes.get(name)));
         }
     }
 
-    private final Map<Long, Segment> given = new LinkedHashMap<>();
+    /** Segments of the playlist before, by their media sequence numbers. */
+    private final Map<Long, Segment> previousSegments = new LinkedHashMap<>();
+
     private final Map<String, Range> ranges = new LinkedHashMap<>();
     private List<Segment> segments = List.of();
-    private long first = -1;
-    private long next = -1;
-    private long target = -1;
+    private long firstSequence = -1;
+    private long nextSequence = -1;
+    private long targetDurationS = -1;
     private boolean ended;
     private boolean endedBefore;
     private List<String> faults = new ArrayList<>();
 
-    /** Segments of the last playlist taken. */
+    /** Returns the segments of the last playlist taken. */
     public List<Segment> segments() {
         return segments;
     }
 
-    /** Ranges of the last playlist taken, by their ids. */
+    /** Returns the date ranges of the last playlist taken, by their ids. */
     public Map<String, Range> ranges() {
         return ranges;
     }
 
-    /** Whether the last playlist has its end. */
+    /** Returns whether the last playlist taken has EXT-X-ENDLIST. */
     public boolean ended() {
         return ended;
     }
 
-    /** EXT-X-TARGETDURATION; -1 before the first. */
+    /** Returns EXT-X-TARGETDURATION of the last playlist taken, in s; -1 before the first. */
     public long target() {
-        return target;
+        return targetDurationS;
     }
 
-    private void fault(String what) {
-        faults.add(what);
+    private void addFault(String description) {
+        faults.add(description);
     }
 
-    /** Takes a playlist; what is wrong with it by itself or after those before it: empty if nothing is. */
+    /**
+     * Takes the next playlist and returns its faults, by itself or compared with the one before; empty when there are
+     * none.
+     */
     public List<String> take(String text) {
         faults = new ArrayList<>();
         Playlist playlist;
-        List<Segment> now;
-        Map<String, Range> dated = new LinkedHashMap<>();
+        List<Segment> current;
+        Map<String, Range> currentRanges = new LinkedHashMap<>();
         try {
             playlist = Playlist.parse(text);
-            now = read(playlist, dated);
+            current = readSegments(playlist, currentRanges);
         } catch (HlsException | DateTimeException | NumberFormatException e) {
-            fault("malformed: " + e.getMessage());
+            addFault("malformed: " + e.getMessage());
             return faults;
         }
-        long from = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
-        long told = playlist.number("EXT-X-TARGETDURATION", -1);
+        long mediaSequence = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
+        long targetS = playlist.number("EXT-X-TARGETDURATION", -1);
         endedBefore = ended;
         ended = playlist.isEnded();
-        if (told < 1) {
-            fault("EXT-X-TARGETDURATION is due");
+        if (targetS < 1) {
+            addFault("EXT-X-TARGETDURATION is due");
         }
-        if (target >= 0 && told != target) {
-            fault("the target duration was " + target + " and is " + told);
+        if (targetDurationS >= 0 && targetS != targetDurationS) {
+            addFault("the target duration was " + targetDurationS + " and is " + targetS);
         }
-        if (from < first) {
-            fault("the media sequence went back from " + first + " to " + from);
+        if (mediaSequence < firstSequence) {
+            addFault("the media sequence went back from " + firstSequence + " to " + mediaSequence);
         }
-        if (from + now.size() < next) {
-            fault("segments up to " + next + " were given, now up to " + (from + now.size()));
+        if (mediaSequence + current.size() < nextSequence) {
+            addFault("segments up to " + nextSequence + " were given, now up to " + (mediaSequence + current.size()));
         }
-        if (endedBefore && (!ended || from + now.size() != next)) {
-            fault("the playlist goes on after its end");
+        if (endedBefore && (!ended || mediaSequence + current.size() != nextSequence)) {
+            addFault("the playlist goes on after its end");
         }
-        double date = Double.NaN;
-        for (Segment s : now) {
-            if (Math.round(s.seconds()) > told) {
-                fault("segment " + s.sequence() + " of " + s.seconds() + " s is longer than the target " + told);
+        double previousDateMs = Double.NaN;
+        for (Segment segment : current) {
+            if (Math.round(segment.seconds()) > targetS) {
+                addFault("segment " + segment.sequence() + " of " + segment.seconds() + " s is longer than the target "
+                        + targetS);
             }
-            if (s.dateMs() < date - DATE_SLACK_MS) {
-                fault("the date of segment " + s.sequence() + " goes back");
+            if (segment.dateMs() < previousDateMs - DATE_SLACK_MS) {
+                addFault("the date of segment " + segment.sequence() + " goes back");
             }
-            date = s.dateMs();
-            compare(given.get(s.sequence()), s);
+            previousDateMs = segment.dateMs();
+            compareWithPrevious(previousSegments.get(segment.sequence()), segment);
         }
-        for (Range r : dated.values()) {
-            Range before = ranges.get(r.id());
-            if (before != null && !before.goesOn(r)) {
-                fault("EXT-X-DATERANGE " + r.id() + " was altered");
+        for (Range range : currentRanges.values()) {
+            Range before = ranges.get(range.id());
+            if (before != null && !before.isKeptBy(range)) {
+                addFault("EXT-X-DATERANGE " + range.id() + " was altered");
             }
         }
         ranges.clear();
-        ranges.putAll(dated);
-        given.clear();
-        now.forEach(s -> given.put(s.sequence(), s));
-        segments = now;
-        first = from;
-        next = from + now.size();
-        target = told;
+        ranges.putAll(currentRanges);
+        previousSegments.clear();
+        current.forEach(segment -> previousSegments.put(segment.sequence(), segment));
+        segments = current;
+        firstSequence = mediaSequence;
+        nextSequence = mediaSequence + current.size();
+        targetDurationS = targetS;
         return faults;
     }
 
-    private void compare(Segment before, Segment now) {
-        if (before == null) {
+    /** Adds a fault for each difference to the same segment in the playlist before, if it was there. */
+    private void compareWithPrevious(Segment previous, Segment current) {
+        if (previous == null) {
             return;
         }
-        boolean same = before.uri().equals(now.uri())
-                && before.seconds() == now.seconds()
-                && before.discontinuity() == now.discontinuity()
-                && Objects.equals(before.map(), now.map())
-                && before.keys().equals(now.keys());
+        boolean same = previous.uri().equals(current.uri())
+                && previous.seconds() == current.seconds()
+                && previous.discontinuity() == current.discontinuity()
+                && Objects.equals(previous.initializationMap(), current.initializationMap())
+                && previous.keys().equals(current.keys());
         if (!same) {
-            fault("segment " + now.sequence() + " was " + before + " and is " + now);
+            addFault("segment " + current.sequence() + " was " + previous + " and is " + current);
         }
-        if (before.number() != now.number()) {
-            fault("the discontinuity number of segment " + now.sequence() + " was " + before.number() + " and is "
-                    + now.number());
+        if (previous.discontinuitySequence() != current.discontinuitySequence()) {
+            addFault("the discontinuity number of segment " + current.sequence() + " was "
+                    + previous.discontinuitySequence() + " and is " + current.discontinuitySequence());
         }
-        if (Math.abs(before.dateMs() - now.dateMs()) > DATE_SLACK_MS) {
-            fault("the date of segment " + now.sequence() + " was " + before.dateMs() + " and is " + now.dateMs());
+        if (Math.abs(previous.dateMs() - current.dateMs()) > DATE_SLACK_MS) {
+            addFault("the date of segment " + current.sequence() + " was " + previous.dateMs() + " and is "
+                    + current.dateMs());
         }
     }
 
-    private List<Segment> read(Playlist playlist, Map<String, Range> dated) throws HlsException {
+    /** Reads the segments with what is in force at each, and adds the date ranges to {@code currentRanges}. */
+    private List<Segment> readSegments(Playlist playlist, Map<String, Range> currentRanges) throws HlsException {
         List<Segment> result = new ArrayList<>();
         long sequence = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
-        long number = playlist.number("EXT-X-DISCONTINUITY-SEQUENCE", 0);
+        long discontinuitySequence = playlist.number("EXT-X-DISCONTINUITY-SEQUENCE", 0);
         String map = null;
         String keys = "";
-        double date = Double.NaN;
+        double dateMs = Double.NaN;
         for (Playlist.Entry entry : playlist.entries()) {
-            boolean broken = entry.has("EXT-X-DISCONTINUITY");
-            number += broken ? 1 : 0;
-            StringBuilder told = new StringBuilder();
+            boolean isDiscontinuity = entry.has("EXT-X-DISCONTINUITY");
+            discontinuitySequence += isDiscontinuity ? 1 : 0;
+            StringBuilder keyLines = new StringBuilder();
             for (Playlist.Line line : entry.lines()) {
                 switch (line.isTag() ? line.name() : "") {
                     case "EXT-X-MAP" -> map = line.value();
-                    case "EXT-X-KEY" -> told.append(line).append('\n');
+                    case "EXT-X-KEY" -> keyLines.append(line).append('\n');
                     case "EXT-X-PROGRAM-DATE-TIME" -> {
-                        double here = Instant.parse(line.value()).toEpochMilli();
-                        if (!broken && Math.abs(here - date) > DATE_SLACK_MS) {
-                            fault("the date of segment " + sequence + " is not where the segment before ends");
+                        double writtenDateMs = Instant.parse(line.value()).toEpochMilli();
+                        if (!isDiscontinuity && Math.abs(writtenDateMs - dateMs) > DATE_SLACK_MS) {
+                            addFault("the date of segment " + sequence + " is not where the segment before ends");
                         }
-                        date = here;
+                        dateMs = writtenDateMs;
                     }
                     case "EXT-X-DATERANGE" -> {
-                        Attributes a = Attributes.parse(line.value(), 1);
-                        if (a.get("ID") == null || a.get("START-DATE") == null) {
-                            fault("EXT-X-DATERANGE needs ID and START-DATE");
+                        Attributes attributes = Attributes.parse(line.value(), 1);
+                        if (attributes.get("ID") == null || attributes.get("START-DATE") == null) {
+                            addFault("EXT-X-DATERANGE needs ID and START-DATE");
                             continue;
                         }
-                        String length = a.get("DURATION") == null ? a.get("PLANNED-DURATION") : a.get("DURATION");
-                        double seconds = length == null ? 0 : Double.parseDouble(length);
-                        dated.put(
-                                a.get("ID"),
+                        String durationS = attributes.get("DURATION") == null
+                                ? attributes.get("PLANNED-DURATION")
+                                : attributes.get("DURATION");
+                        double seconds = durationS == null ? 0 : Double.parseDouble(durationS);
+                        currentRanges.put(
+                                attributes.get("ID"),
                                 new Range(
-                                        a.get("ID"),
-                                        a.get("CLASS"),
-                                        Instant.parse(a.get("START-DATE")).toEpochMilli(),
+                                        attributes.get("ID"),
+                                        attributes.get("CLASS"),
+                                        Instant.parse(attributes.get("START-DATE"))
+                                                .toEpochMilli(),
                                         seconds,
-                                        a));
+                                        attributes));
                     }
                     default -> {}
                 }
             }
-            keys = told.length() == 0 ? keys : told.toString().contains("METHOD=NONE") ? "" : told.toString();
+            keys = keyLines.length() == 0
+                    ? keys
+                    : keyLines.toString().contains("METHOD=NONE") ? "" : keyLines.toString();
             if (map == null && entry.uri().endsWith(".m4s")) {
-                fault("segment " + sequence + " has no EXT-X-MAP");
+                addFault("segment " + sequence + " has no EXT-X-MAP");
             }
-            result.add(new Segment(sequence, entry.uri(), entry.durationSeconds(), broken, number, map, keys, date));
-            date += 1000 * entry.durationSeconds();
+            result.add(new Segment(
+                    sequence,
+                    entry.uri(),
+                    entry.durationSeconds(),
+                    isDiscontinuity,
+                    discontinuitySequence,
+                    map,
+                    keys,
+                    dateMs));
+            dateMs += 1000 * entry.durationSeconds();
             sequence++;
         }
-        if (!dated.isEmpty() && result.stream().anyMatch(s -> Double.isNaN(s.dateMs()))) {
-            fault("EXT-X-DATERANGE needs EXT-X-PROGRAM-DATE-TIME");
+        if (!currentRanges.isEmpty() && result.stream().anyMatch(s -> Double.isNaN(s.dateMs()))) {
+            addFault("EXT-X-DATERANGE needs EXT-X-PROGRAM-DATE-TIME");
         }
         return result;
     }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Report.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/Report.java
@@ -8,107 +8,107 @@
 import java.util.Map;
 
 /**
- * Owns the report of one run, for people and for programs.
+ * Report of one run, as JSON for programs and as a table for people.
  *
- * @param day the day's name
- * @param seed its seed
- * @param verdict what was found
- * @param playlists what was found of playlists and programme changes
- * @param faults the faults and whether they were seen
- * @param extra further figures by name
+ * @param day name of the scripted day
+ * @param seed seed of the day's random numbers
+ * @param verdict result for the six rules
+ * @param playlists result for playlists and programme changes
+ * @param faultTraces the day's faults, each with whether the sockets showed it
+ * @param extraFigures further figures by name
  */
 public record Report(
         String day,
         long seed,
         Verdict verdict,
         PlaylistChecker.Findings playlists,
-        List<Sightings.Seen> faults,
-        Map<String, Double> extra) {
+        List<Sightings.FaultTrace> faultTraces,
+        Map<String, Double> extraFigures) {
 
-    /** Whether the run counts: it was judged and no rule was broken, of the service's six or of playlists. */
+    /** Returns whether neither one of the six rules nor a rule of playlists was broken. */
     public boolean kept() {
-        return verdict.kept() && playlists.broken() == 0;
+        return verdict.allRulesKept() && playlists.faultCount() == 0;
     }
 
-    /** The report as JSON; further members may be added, these never change. */
+    /** Returns the report as JSON. Members may be added; the present ones never change. */
     public ObjectNode json() {
-        ObjectNode n = Documents.MAPPER
+        ObjectNode report = Documents.MAPPER
                 .createObjectNode()
                 .put("schema", "calicovale/report/1")
                 .put("day", day)
                 .put("seed", seed);
-        ObjectNode requests = n.putObject("requests");
-        verdict.requests().forEach(requests::put);
-        ObjectNode rules = n.putObject("rules");
+        ObjectNode requests = report.putObject("requests");
+        verdict.requestsByOutcome().forEach(requests::put);
+        ObjectNode rules = report.putObject("rules");
         for (String rule : Verdict.RULES) {
-            rules.putObject(rule).put("checked", verdict.checkedOf(rule)).put("broken", verdict.brokenOf(rule));
+            rules.putObject(rule).put("checked", verdict.checkCount(rule)).put("broken", verdict.violationCount(rule));
         }
-        n.putObject("worth").put("asked", verdict.asked()).put("inTime", verdict.inTime());
-        ArrayNode list = n.putArray("faults");
-        faults.forEach(
-                f -> list.addObject().put("kind", f.kind()).put("at", f.atS()).put("seen", f.seen()));
-        ArrayNode breaks = n.putArray("breaks");
-        verdict.breaks().forEach(breaks::add);
-        ObjectNode lists = n.putObject("playlists")
-                .put("checked", playlists.playlists())
-                .put("sessions", playlists.sessions())
-                .put("broken", playlists.broken())
-                .put("changesDue", playlists.due())
-                .put("changesShown", playlists.shown())
-                .put("changesMissed", playlists.missed());
-        ArrayNode of = lists.putArray("breaks");
-        playlists.breaks().forEach(of::add);
-        ObjectNode more = n.putObject("figures");
-        extra.forEach(more::put);
-        return n;
+        report.putObject("worth").put("asked", verdict.requestedWorth()).put("inTime", verdict.worthInTime());
+        ArrayNode faultArray = report.putArray("faults");
+        faultTraces.forEach(f ->
+                faultArray.addObject().put("kind", f.kind()).put("at", f.atS()).put("seen", f.seen()));
+        ArrayNode violations = report.putArray("breaks");
+        verdict.violations().forEach(violations::add);
+        ObjectNode playlistNode = report.putObject("playlists")
+                .put("checked", playlists.playlistCount())
+                .put("sessions", playlists.sessionCount())
+                .put("broken", playlists.faultCount())
+                .put("changesDue", playlists.changesDue())
+                .put("changesShown", playlists.changesShown())
+                .put("changesMissed", playlists.changesMissed());
+        ArrayNode playlistFaults = playlistNode.putArray("breaks");
+        playlists.faults().forEach(playlistFaults::add);
+        ObjectNode figures = report.putObject("figures");
+        extraFigures.forEach(figures::put);
+        return report;
     }
 
-    /** The report as a table. */
+    /** Returns the report as a table of text. */
     public String table() {
         StringBuilder out = new StringBuilder(String.format(Locale.ROOT, "%s, seed %d%n", day, seed));
-        verdict.requests()
+        verdict.requestsByOutcome()
                 .forEach((name, count) -> out.append(String.format(Locale.ROOT, "  %-16s%8d%n", name, count)));
         out.append(String.format(
                 Locale.ROOT,
                 "  worth in time %.3f of %.0f asked%n",
-                verdict.asked() == 0 ? 0 : verdict.inTime() / verdict.asked(),
-                verdict.asked()));
+                verdict.requestedWorth() == 0 ? 0 : verdict.worthInTime() / verdict.requestedWorth(),
+                verdict.requestedWorth()));
         out.append(String.format(Locale.ROOT, "%n  %-20s%10s%10s%n", "rule", "checked", "broken"));
         for (String rule : Verdict.RULES) {
-            long checked = verdict.checkedOf(rule);
+            long checked = verdict.checkCount(rule);
             out.append(String.format(
                     Locale.ROOT,
                     "  %-20s%10d%10d%s%n",
                     rule,
                     checked,
-                    verdict.brokenOf(rule),
-                    checked == 0 ? "   not tried" : verdict.brokenOf(rule) > 0 ? "   BROKEN" : ""));
+                    verdict.violationCount(rule),
+                    checked == 0 ? "   not tried" : verdict.violationCount(rule) > 0 ? "   BROKEN" : ""));
         }
         out.append(String.format(
                 Locale.ROOT,
                 "%n  %-20s%10d%10d%s%n",
                 "playlists",
-                playlists.playlists(),
-                playlists.broken(),
-                playlists.broken() > 0 ? "   BROKEN" : ""));
+                playlists.playlistCount(),
+                playlists.faultCount(),
+                playlists.faultCount() > 0 ? "   BROKEN" : ""));
         out.append(String.format(
                 Locale.ROOT,
                 "  programme changes: due %d, shown %d, missed %d%n",
-                playlists.due(),
-                playlists.shown(),
-                playlists.missed()));
+                playlists.changesDue(),
+                playlists.changesShown(),
+                playlists.changesMissed()));
         out.append('\n');
-        for (Sightings.Seen f : faults) {
+        for (Sightings.FaultTrace fault : faultTraces) {
             out.append(String.format(
                     Locale.ROOT,
                     "  fault %-20s at %6.1f s%s%n",
-                    f.kind(),
-                    f.atS(),
-                    f.seen() ? "" : "   left no trace on the sockets"));
+                    fault.kind(),
+                    fault.atS(),
+                    fault.seen() ? "" : "   left no trace on the sockets"));
         }
-        extra.forEach((name, value) -> out.append(String.format(Locale.ROOT, "  %-32s%12.1f%n", name, value)));
-        playlists.breaks().forEach(b -> out.append("  ").append(b).append('\n'));
-        verdict.breaks().forEach(b -> out.append("  ").append(b).append('\n'));
+        extraFigures.forEach((name, value) -> out.append(String.format(Locale.ROOT, "  %-32s%12.1f%n", name, value)));
+        playlists.faults().forEach(b -> out.append("  ").append(b).append('\n'));
+        verdict.violations().forEach(b -> out.append("  ").append(b).append('\n'));
         return out.toString();
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
@@ -17,46 +17,51 @@
 import java.util.Set;
 
 /**
- * Owns the judging of a run by the six rules. It reads the tape alone: what was sent and received at each end, and the marks
- * of processes that were started, stalled and killed.
+ * Judges a run by the six rules. The only input is the recording: what was sent and received at each end of the
+ * connections, and the script's marks of processes that were started, stalled and killed.
  */
 public final class RuleChecker {
-    private static final String LOST = "no-session-lost";
-    private static final String TWICE = "no-setup-twice";
-    private static final String DRAINS = "drains-kept";
-    private static final String COLD = "cold-paced";
-    private static final String TERMS = "terms-kept";
-    private static final String RATION = "attempts-rationed";
-
-    private final Figures figures;
+    // Names of the rules in the report.
+    private static final String NO_SESSION_LOST = "no-session-lost";
+    private static final String NO_SETUP_TWICE = "no-setup-twice";
+    private static final String DRAINS_KEPT = "drains-kept";
+    private static final String COLD_PACED = "cold-paced";
+    private static final String TERMS_KEPT = "terms-kept";
+    private static final String ATTEMPTS_RATIONED = "attempts-rationed";
+
+    private final Figures parameters;
     private final List<Entry> entries;
     private final Verdict verdict = new Verdict();
+    /** Requests with their answers, by connection and number of the exchange. */
     private final Map<String, Exchange> exchanges = new HashMap<>();
-    private final Map<String, List<Entry>> ends = new HashMap<>();
+    /** The entries that end a connection, by {@link #connectionKey}. */
+    private final Map<String, List<Entry>> connectionEnds = new HashMap<>();
+
     private final List<Entry> marks = new ArrayList<>();
-    private final Map<String, Attempt> attempts = new LinkedHashMap<>();
+    /** Set-up attempts in the order in which they were first recorded, by the key that the manager gave them. */
+    private final Map<String, Attempt> attemptsByKey = new LinkedHashMap<>();
 
-    private RuleChecker(Figures figures, List<Entry> entries) {
-        this.figures = figures;
+    private RuleChecker(Figures parameters, List<Entry> entries) {
+        this.parameters = parameters;
         this.entries = entries;
     }
 
-    /** Judges a tape, whose entries are in the order of their time. */
-    public static Verdict judge(Figures figures, List<Entry> entries) {
-        RuleChecker checker = new RuleChecker(figures, entries);
-        checker.index();
-        checker.answers();
-        checker.setUps();
-        checker.drains();
-        checker.coldBoxes();
-        checker.terms();
-        checker.seats();
-        checker.ration();
-        checker.worth();
+    /** Judges a recording, whose entries must be in the order of their time. */
+    public static Verdict judge(Figures parameters, List<Entry> entries) {
+        RuleChecker checker = new RuleChecker(parameters, entries);
+        checker.indexEntries();
+        checker.checkAnswers();
+        checker.checkSetUps();
+        checker.checkDrains();
+        checker.checkColdBoxes();
+        checker.checkRungFloors();
+        checker.checkSeats();
+        checker.checkAttemptBudget();
+        checker.sumWorth();
         return checker.verdict;
     }
 
-    /** One exchange at one end. */
+    /** One request and its answer, as recorded at one end; what was not recorded is null. */
     private static final class Exchange {
         Entry request;
         Entry head;
@@ -67,17 +72,22 @@
         }
     }
 
-    /** One set-up, at both ends. */
+    /** One set-up attempt, as recorded at the manager's and the box's end. Times are in ms of the recording. */
     private static final class Attempt {
         final String key;
         final String session;
         final JsonNode body;
-        Entry sent;
-        Entry read;
-        double over = Double.POSITIVE_INFINITY;
-        double confirmed = -1;
-        double playedUntil = Double.POSITIVE_INFINITY;
+        Entry requestAtManager;
+        Entry requestAtBox;
+        /** When the set-up was answered or its connection ended, whichever was first at either end. */
+        double setUpEndMs = Double.POSITIVE_INFINITY;
+        /** When the box accepted the confirmation; negative: not confirmed. */
+        double confirmedMs = -1;
+        /** When the session at the box was ended, infinite while it was not. */
+        double playbackEndMs = Double.POSITIVE_INFINITY;
+        /** The token in the URIs of the box's segments; null unless the box accepted the set-up. */
         String token;
+        /** HTTP status of the box's answer, 0 without one. */
         int status;
 
         Attempt(String key, JsonNode body) {
@@ -87,11 +97,12 @@
         }
     }
 
-    private static String conn(Entry e) {
-        return e.end() + " " + e.conn();
+    private static String connectionKey(Entry entry) {
+        return entry.end() + " " + entry.conn();
     }
 
-    private static JsonNode json(String text) {
+    /** Parses a body; returns an empty object when it is missing or malformed. */
+    private static JsonNode parseJson(String text) {
         try {
             return text == null || text.isEmpty()
                     ? Documents.MAPPER.createObjectNode()
@@ -101,482 +112,567 @@
         }
     }
 
-    private static boolean atManager(Entry e) {
-        return e.end().startsWith("manager:");
+    private static boolean isAtManager(Entry entry) {
+        return entry.end().startsWith("manager:");
     }
 
-    private static boolean atBox(Entry e) {
-        return e.end().startsWith("box:");
+    private static boolean isAtBox(Entry entry) {
+        return entry.end().startsWith("box:");
     }
 
-    /** A request of a player as a manager read it. */
-    private static boolean ofPlayer(Entry e) {
-        return atManager(e) && e.peer().equals(e.end());
+    /** Returns whether an entry was recorded at a manager's end of a connection with a player. */
+    private static boolean isPlayerAtManager(Entry entry) {
+        return isAtManager(entry) && entry.peer().equals(entry.end());
     }
 
-    private static boolean forLecture(Entry e) {
-        return e.target() != null && e.target().startsWith("/v1/lectures/");
+    private static boolean isLectureRequest(Entry entry) {
+        return entry.target() != null && entry.target().startsWith("/v1/lectures/");
     }
 
-    private static String query(String target, String name) {
-        int at = target.indexOf('?');
-        for (String part : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
-            if (part.startsWith(name + "=")) {
-                return PercentEncoding.decode(part.substring(name.length() + 1));
+    /** Returns the decoded value of a query parameter, or null when the target has none of this name. */
+    private static String queryParameter(String target, String name) {
+        int queryStart = target.indexOf('?');
+        for (String parameter : queryStart < 0
+                ? new String[0]
+                : target.substring(queryStart + 1).split("&")) {
+            if (parameter.startsWith(name + "=")) {
+                return PercentEncoding.decode(parameter.substring(name.length() + 1));
             }
         }
         return null;
     }
 
-    private void index() {
-        for (Entry e : entries) {
-            String id = conn(e) + " " + e.exchange();
-            switch (e.kind()) {
-                case REQUEST -> exchanges.put(id, new Exchange(e));
+    private void indexEntries() {
+        for (Entry entry : entries) {
+            String exchangeKey = connectionKey(entry) + " " + entry.exchange();
+            switch (entry.kind()) {
+                case REQUEST -> exchanges.put(exchangeKey, new Exchange(entry));
                 case HEAD -> {
-                    if (exchanges.containsKey(id)) {
-                        exchanges.get(id).head = e;
+                    if (exchanges.containsKey(exchangeKey)) {
+                        exchanges.get(exchangeKey).head = entry;
                     }
                 }
                 case RESPONSE -> {
-                    if (exchanges.containsKey(id)) {
-                        exchanges.get(id).response = e;
+                    if (exchanges.containsKey(exchangeKey)) {
+                        exchanges.get(exchangeKey).response = entry;
                     }
                 }
                 case CLOSED, ENDED ->
-                    ends.computeIfAbsent(conn(e), c -> new ArrayList<>()).add(e);
-                case MARK -> marks.add(e);
+                    connectionEnds
+                            .computeIfAbsent(connectionKey(entry), c -> new ArrayList<>())
+                            .add(entry);
+                case MARK -> marks.add(entry);
                 default -> {}
             }
         }
     }
 
-    private double firstEnd(Entry of) {
-        double result = Double.POSITIVE_INFINITY;
-        for (Entry e : ends.getOrDefault(conn(of), List.of())) {
-            if (e.atMs() >= of.atMs()) {
-                result = Math.min(result, e.atMs());
+    /** Returns the first time at or after an entry at which its connection ended, or infinity. */
+    private double connectionEndMs(Entry entry) {
+        double firstEndMs = Double.POSITIVE_INFINITY;
+        for (Entry end : connectionEnds.getOrDefault(connectionKey(entry), List.of())) {
+            if (end.atMs() >= entry.atMs()) {
+                firstEndMs = Math.min(firstEndMs, end.atMs());
             }
         }
-        return result;
+        return firstEndMs;
     }
 
-    /** Whether a manager did not run all the time between: stalled, killed, or the run was over. */
-    private boolean away(String manager, double from, double to) {
-        for (Entry m : marks) {
-            boolean here = m.peer().equals(manager);
-            if (here && m.method().equals("manager-stall")) {
-                double until = m.atMs() + Double.parseDouble(m.body());
-                if (m.atMs() <= to && until >= from) {
+    /** Returns whether a manager was stalled or killed, or the day was over, at some time in this span. */
+    private boolean managerWasAway(String manager, double fromMs, double toMs) {
+        for (Entry mark : marks) {
+            boolean ofManager = mark.peer().equals(manager);
+            if (ofManager && mark.method().equals("manager-stall")) {
+                double stallEndMs = mark.atMs() + Double.parseDouble(mark.body());
+                if (mark.atMs() <= toMs && stallEndMs >= fromMs) {
                     return true;
                 }
             }
-            if (here && m.method().equals("manager-kill") && m.atMs() >= from && m.atMs() <= to
-                    || m.method().equals("day-end") && m.atMs() <= to) {
+            if (ofManager && mark.method().equals("manager-kill") && mark.atMs() >= fromMs && mark.atMs() <= toMs
+                    || mark.method().equals("day-end") && mark.atMs() <= toMs) {
                 return true;
             }
         }
         return false;
     }
 
-    // --- Rule 1 ---
+    // --- Rule 1: no-session-lost ---
 
-    private void answers() {
-        double longest = figures.classes().stream()
+    /** Checks that each request of a player was answered once, and within the deadline of its class. */
+    private void checkAnswers() {
+        double longestDeadlineMs = parameters.classes().stream()
                 .mapToDouble(Figures.OfClass::deadlineMs)
                 .max()
                 .orElse(0);
-        Map<String, Double> sentAt = new HashMap<>();
-        for (Entry e : entries) {
-            if (e.kind() == Kind.REQUEST && e.end().equals("viewers") && forLecture(e)) {
-                sentAt.put(e.target(), e.atMs());
-            }
-            boolean served = e.end().equals("viewers") && e.peer().startsWith("manager")
-                    || atManager(e) && e.peer().equals(e.end());
-            if (e.kind() == Kind.MALFORMED && served && e.status() >= 200 && e.exchange() == -1) {
-                verdict.request("answeredTwice");
-                verdict.broken(LOST, e.atMs(), "a second answer at " + e.end());
+        Map<String, Double> sentAtMsByTarget = new HashMap<>();
+        for (Entry entry : entries) {
+            if (entry.kind() == Kind.REQUEST && entry.end().equals("viewers") && isLectureRequest(entry)) {
+                sentAtMsByTarget.put(entry.target(), entry.atMs());
+            }
+            boolean managerToPlayer =
+                    entry.end().equals("viewers") && entry.peer().startsWith("manager")
+                            || isAtManager(entry) && entry.peer().equals(entry.end());
+            if (entry.kind() == Kind.MALFORMED && managerToPlayer && entry.status() >= 200 && entry.exchange() == -1) {
+                verdict.countRequest("answeredTwice");
+                verdict.recordViolation(
+                        NO_SESSION_LOST, entry.atMs(), "second answer to one request at " + entry.end());
             }
         }
-        for (Exchange x : exchanges.values()) {
-            Entry asked = x.request;
-            boolean counts =
-                    ofPlayer(asked) && (forLecture(asked) || asked.target().startsWith("/s/"));
-            if (!counts) {
+        for (Exchange exchange : exchanges.values()) {
+            Entry request = exchange.request;
+            boolean isJudged = isPlayerAtManager(request)
+                    && (isLectureRequest(request) || request.target().startsWith("/s/"));
+            if (!isJudged) {
                 continue;
             }
-            verdict.checked(LOST);
-            boolean lecture = forLecture(asked);
-            if (lecture) {
-                verdict.request("taken");
-                if (x.response != null) {
-                    int status = x.response.status();
-                    verdict.request(status == 200 ? "played" : status == 503 ? "refused" : "failed");
+            verdict.recordCheck(NO_SESSION_LOST);
+            boolean isLecture = isLectureRequest(request);
+            if (isLecture) {
+                verdict.countRequest("taken");
+                if (exchange.response != null) {
+                    int status = exchange.response.status();
+                    verdict.countRequest(status == 200 ? "played" : status == 503 ? "refused" : "failed");
                 }
             }
-            Figures.OfClass k = lecture ? figures.of(query(asked.target(), "class")) : null;
-            double from = lecture ? sentAt.getOrDefault(asked.target(), asked.atMs()) : asked.atMs();
-            double due = from + (k == null ? longest : k.deadlineMs()) + figures.answerSlackMs();
-            double answered = x.response == null ? Double.POSITIVE_INFINITY : x.response.atMs();
-            if (answered <= due || away(asked.end(), from, due)) {
+            Figures.OfClass sessionClass = isLecture ? parameters.of(queryParameter(request.target(), "class")) : null;
+            double sentMs =
+                    isLecture ? sentAtMsByTarget.getOrDefault(request.target(), request.atMs()) : request.atMs();
+            double dueMs = sentMs
+                    + (sessionClass == null ? longestDeadlineMs : sessionClass.deadlineMs())
+                    + parameters.answerSlackMs();
+            double answeredMs = exchange.response == null ? Double.POSITIVE_INFINITY : exchange.response.atMs();
+            if (answeredMs <= dueMs || managerWasAway(request.end(), sentMs, dueMs)) {
                 continue;
             }
-            // who leaves before the time is up is owed nothing more; a viewer that waited to the end was
-            boolean left = firstEnd(asked) < due - 2 * figures.answerSlackMs();
-            if (!left) {
-                verdict.request("unanswered");
-                verdict.broken(
-                        LOST, asked.atMs(), asked.target() + " had no answer at " + asked.end() + " by its time");
+            // A viewer that closes early needs no answer. One that waits until close to the deadline does.
+            boolean viewerLeftEarly = connectionEndMs(request) < dueMs - 2 * parameters.answerSlackMs();
+            if (!viewerLeftEarly) {
+                verdict.countRequest("unanswered");
+                verdict.recordViolation(
+                        NO_SESSION_LOST,
+                        request.atMs(),
+                        request.target() + " had no answer at " + request.end() + " by its deadline");
             }
         }
     }
 
-    // --- Rule 2 ---
+    // --- Rule 2: no-setup-twice ---
 
-    private Attempt attempt(Entry e) {
-        JsonNode body = json(e.body());
+    /** Returns the attempt that a set-up request belongs to; creates it at the first request with its key. */
+    private Attempt attemptFor(Entry entry) {
+        JsonNode body = parseJson(entry.body());
         String key = body.path("key").asText();
-        return attempts.computeIfAbsent(key, k -> new Attempt(k, body));
+        return attemptsByKey.computeIfAbsent(key, k -> new Attempt(k, body));
     }
 
-    private void setUps() {
+    /**
+     * Checks that a session has one set-up at a time and one confirmed playback at a time, and that a set-up with a
+     * side effect is neither repeated nor refused to the viewer unless the box answered 429, which says that it did
+     * not run.
+     */
+    private void checkSetUps() {
         Map<String, Attempt> byToken = new HashMap<>();
-        for (Entry e : entries) {
-            if (e.kind() != Kind.REQUEST || !"POST".equals(e.method()) || !"/v1/sessions".equals(e.target())) {
+        for (Entry entry : entries) {
+            if (entry.kind() != Kind.REQUEST
+                    || !"POST".equals(entry.method())
+                    || !"/v1/sessions".equals(entry.target())) {
                 continue;
             }
-            Attempt a = attempt(e);
-            if (atBox(e)) {
-                if (a.read != null) {
-                    verdict.broken(TWICE, e.atMs(), "set-up " + a.key + " was sent twice");
+            Attempt attempt = attemptFor(entry);
+            if (isAtBox(entry)) {
+                if (attempt.requestAtBox != null) {
+                    verdict.recordViolation(NO_SETUP_TWICE, entry.atMs(), "set-up " + attempt.key + " was sent twice");
                 }
-                a.read = e;
+                attempt.requestAtBox = entry;
             } else {
-                a.sent = e;
-            }
-            Exchange x = exchanges.get(conn(e) + " " + e.exchange());
-            double answered = x.response == null ? Double.POSITIVE_INFINITY : x.response.atMs();
-            a.over = Math.min(a.over, Math.min(answered, firstEnd(e)));
-            if (atBox(e) && x.response != null) {
-                a.status = x.response.status();
-                String base = json(x.response.body()).path("base").asText("");
-                if (a.status == 201 && base.length() > 4) {
-                    a.token = base.substring(3, base.length() - 1);
-                    byToken.put(a.token, a);
+                attempt.requestAtManager = entry;
+            }
+            Exchange exchange = exchanges.get(connectionKey(entry) + " " + entry.exchange());
+            double answeredMs = exchange.response == null ? Double.POSITIVE_INFINITY : exchange.response.atMs();
+            attempt.setUpEndMs = Math.min(attempt.setUpEndMs, Math.min(answeredMs, connectionEndMs(entry)));
+            if (isAtBox(entry) && exchange.response != null) {
+                attempt.status = exchange.response.status();
+                String base = parseJson(exchange.response.body()).path("base").asText("");
+                if (attempt.status == 201 && base.length() > 4) {
+                    attempt.token = base.substring(3, base.length() - 1);
+                    byToken.put(attempt.token, attempt);
                 }
             }
         }
-        plays(byToken);
+        recordPlayback(byToken);
         Map<String, List<Attempt>> bySession = new LinkedHashMap<>();
-        attempts.values().stream()
-                .filter(a -> a.read != null)
-                .sorted((a, b) -> Double.compare(a.read.atMs(), b.read.atMs()))
-                .forEach(a -> bySession
-                        .computeIfAbsent(a.session, s -> new ArrayList<>())
-                        .add(a));
-        for (Entry e : entries) {
-            boolean refused = e.kind() == Kind.HEAD && ofPlayer(e) && e.status() == 503 && e.body() != null;
-            for (Attempt a : refused ? bySession.getOrDefault(e.body(), List.of()) : List.<Attempt>of()) {
-                Figures.OfClass k = figures.of(a.body.path("class").asText());
-                if (k != null && k.effect() == Effect.SIDE_EFFECT && a.status != 429) {
-                    verdict.broken(TWICE, e.atMs(), e.body() + " was refused though " + a.key + " may have run");
+        attemptsByKey.values().stream()
+                .filter(attempt -> attempt.requestAtBox != null)
+                .sorted((attempt, b) -> Double.compare(attempt.requestAtBox.atMs(), b.requestAtBox.atMs()))
+                .forEach(attempt -> bySession
+                        .computeIfAbsent(attempt.session, s -> new ArrayList<>())
+                        .add(attempt));
+        for (Entry entry : entries) {
+            boolean refused = entry.kind() == Kind.HEAD
+                    && isPlayerAtManager(entry)
+                    && entry.status() == 503
+                    && entry.body() != null;
+            for (Attempt attempt : refused ? bySession.getOrDefault(entry.body(), List.of()) : List.<Attempt>of()) {
+                Figures.OfClass sessionClass =
+                        parameters.of(attempt.body.path("class").asText());
+                if (sessionClass != null && sessionClass.effect() == Effect.SIDE_EFFECT && attempt.status != 429) {
+                    verdict.recordViolation(
+                            NO_SETUP_TWICE,
+                            entry.atMs(),
+                            entry.body() + " was refused though " + attempt.key + " may have run");
                 }
             }
         }
-        for (List<Attempt> all : bySession.values()) {
-            verdict.checked(TWICE);
-            for (int i = 1; i < all.size(); i++) {
-                Attempt before = all.get(i - 1);
-                Attempt next = all.get(i);
-                if (next.read.atMs() < before.over) {
-                    verdict.broken(TWICE, next.read.atMs(), next.key + " was out beside " + before.key);
+        for (List<Attempt> sessionAttempts : bySession.values()) {
+            verdict.recordCheck(NO_SETUP_TWICE);
+            for (int i = 1; i < sessionAttempts.size(); i++) {
+                Attempt previous = sessionAttempts.get(i - 1);
+                Attempt next = sessionAttempts.get(i);
+                if (next.requestAtBox.atMs() < previous.setUpEndMs) {
+                    verdict.recordViolation(
+                            NO_SETUP_TWICE,
+                            next.requestAtBox.atMs(),
+                            next.key + " was outstanding at the same time as " + previous.key);
                 }
-                Figures.OfClass k = figures.of(next.body.path("class").asText());
-                if (k != null && k.effect() == Effect.SIDE_EFFECT && before.status != 429) {
-                    verdict.broken(TWICE, next.read.atMs(), next.key + " repeats what may have run");
+                Figures.OfClass sessionClass =
+                        parameters.of(next.body.path("class").asText());
+                if (sessionClass != null && sessionClass.effect() == Effect.SIDE_EFFECT && previous.status != 429) {
+                    verdict.recordViolation(
+                            NO_SETUP_TWICE,
+                            next.requestAtBox.atMs(),
+                            next.key + " repeats a set-up with a side effect that may have run");
                 }
-                for (Attempt other : all.subList(0, i)) {
-                    boolean both = other.confirmed >= 0 && next.confirmed >= 0;
-                    if (both
-                            && Math.max(other.confirmed, next.confirmed)
-                                    < Math.min(other.playedUntil, next.playedUntil)) {
-                        verdict.broken(TWICE, next.confirmed, next.key + " plays beside " + other.key);
+                for (Attempt other : sessionAttempts.subList(0, i)) {
+                    boolean bothConfirmed = other.confirmedMs >= 0 && next.confirmedMs >= 0;
+                    if (bothConfirmed
+                            && Math.max(other.confirmedMs, next.confirmedMs)
+                                    < Math.min(other.playbackEndMs, next.playbackEndMs)) {
+                        verdict.recordViolation(
+                                NO_SETUP_TWICE, next.confirmedMs, next.key + " plays at the same time as " + other.key);
                     }
                 }
             }
         }
     }
 
-    /** Confirmations, ends and segments at the boxes' sockets. */
-    private void plays(Map<String, Attempt> byToken) {
-        for (Entry e : entries) {
-            boolean message = atBox(e)
-                    && e.kind() == Kind.REQUEST
-                    && e.target() != null
-                    && e.target().startsWith("/v1/sessions/");
-            if (message) {
-                Attempt a = attempts.get(e.target().substring(13));
-                if (a != null
-                        && "PUT".equals(e.method())
-                        && json(e.body()).path("confirmed").asBoolean()) {
-                    Exchange x = exchanges.get(conn(e) + " " + e.exchange());
-                    boolean taken = x.response != null && x.response.status() == 204;
-                    a.confirmed = taken && a.confirmed < 0 ? e.atMs() : a.confirmed;
+    /**
+     * Records when attempts were confirmed and ended at the boxes' sockets, and checks that segments are only served
+     * for confirmed attempts.
+     */
+    private void recordPlayback(Map<String, Attempt> byToken) {
+        for (Entry entry : entries) {
+            boolean isSessionMessage = isAtBox(entry)
+                    && entry.kind() == Kind.REQUEST
+                    && entry.target() != null
+                    && entry.target().startsWith("/v1/sessions/");
+            if (isSessionMessage) {
+                Attempt attempt = attemptsByKey.get(entry.target().substring(13));
+                if (attempt != null
+                        && "PUT".equals(entry.method())
+                        && parseJson(entry.body()).path("confirmed").asBoolean()) {
+                    Exchange exchange = exchanges.get(connectionKey(entry) + " " + entry.exchange());
+                    boolean accepted = exchange.response != null && exchange.response.status() == 204;
+                    attempt.confirmedMs = accepted && attempt.confirmedMs < 0 ? entry.atMs() : attempt.confirmedMs;
                 }
-                if (a != null && "DELETE".equals(e.method())) {
-                    a.playedUntil = Math.min(a.playedUntil, e.atMs());
+                if (attempt != null && "DELETE".equals(entry.method())) {
+                    attempt.playbackEndMs = Math.min(attempt.playbackEndMs, entry.atMs());
                 }
             }
-            if (atBox(e) && e.kind() == Kind.EVENT && "ended".equals(e.method())) {
-                Attempt a = attempts.get(json(e.body()).path("key").asText());
-                if (a != null) {
-                    a.playedUntil = Math.min(a.playedUntil, e.atMs());
+            if (isAtBox(entry) && entry.kind() == Kind.EVENT && "ended".equals(entry.method())) {
+                Attempt attempt =
+                        attemptsByKey.get(parseJson(entry.body()).path("key").asText());
+                if (attempt != null) {
+                    attempt.playbackEndMs = Math.min(attempt.playbackEndMs, entry.atMs());
                 }
             }
-            if (e.kind() == Kind.MARK && e.method().equals("box-down")) {
-                for (Attempt a : attempts.values()) {
-                    if (a.read != null && a.read.end().equals(e.peer()) && a.read.atMs() < e.atMs()) {
-                        a.playedUntil = Math.min(a.playedUntil, e.atMs());
+            if (entry.kind() == Kind.MARK && entry.method().equals("box-down")) {
+                for (Attempt attempt : attemptsByKey.values()) {
+                    if (attempt.requestAtBox != null
+                            && attempt.requestAtBox.end().equals(entry.peer())
+                            && attempt.requestAtBox.atMs() < entry.atMs()) {
+                        attempt.playbackEndMs = Math.min(attempt.playbackEndMs, entry.atMs());
                     }
                 }
             }
-            if (atBox(e)
-                    && e.kind() == Kind.HEAD
-                    && e.status() == 200
-                    && e.target() != null
-                    && e.target().startsWith("/s/")) {
-                Attempt a = byToken.get(e.target().split("/")[2]);
-                if (a == null || a.confirmed < 0 || e.atMs() < a.confirmed) {
-                    verdict.broken(TWICE, e.atMs(), "a segment of a set-up that nobody confirmed: " + e.target());
+            if (isAtBox(entry)
+                    && entry.kind() == Kind.HEAD
+                    && entry.status() == 200
+                    && entry.target() != null
+                    && entry.target().startsWith("/s/")) {
+                Attempt attempt = byToken.get(entry.target().split("/")[2]);
+                if (attempt == null || attempt.confirmedMs < 0 || entry.atMs() < attempt.confirmedMs) {
+                    verdict.recordViolation(
+                            NO_SETUP_TWICE,
+                            entry.atMs(),
+                            "segment of a set-up that was not confirmed: " + entry.target());
                 }
             }
         }
     }
 
-    // --- Rule 3 ---
+    // --- Rule 3: drains-kept ---
 
-    private void drains() {
-        Map<String, Map<String, Double>> told = new HashMap<>();
-        Map<String, Set<String>> known = new HashMap<>();
-        for (Entry e : entries) {
-            if (e.kind() == Kind.MARK && e.method().equals("manager-start")) {
-                told.remove(e.peer());
-                known.remove(e.peer());
+    /** Checks that no manager sends a set-up to a box for longer than the grace after it learnt of the box's drain. */
+    private void checkDrains() {
+        Map<String, Map<String, Double>> drainAtMsByManager = new HashMap<>();
+        Map<String, Set<String>> knownBoxesByManager = new HashMap<>();
+        for (Entry entry : entries) {
+            if (entry.kind() == Kind.MARK && entry.method().equals("manager-start")) {
+                drainAtMsByManager.remove(entry.peer());
+                knownBoxesByManager.remove(entry.peer());
             }
-            if (!atManager(e)) {
+            if (!isAtManager(entry)) {
                 continue;
             }
-            Map<String, Double> here = told.computeIfAbsent(e.end(), m -> new HashMap<>());
-            if (e.kind() == Kind.EVENT && "/v1/boxes".equals(e.target())) {
-                Set<String> all = known.computeIfAbsent(e.end(), m -> new HashSet<>());
-                Set<String> named = new HashSet<>();
-                for (JsonNode box : json(e.body()).path("boxes")) {
+            Map<String, Double> drainAtMsByBox = drainAtMsByManager.computeIfAbsent(entry.end(), m -> new HashMap<>());
+            if (entry.kind() == Kind.EVENT && "/v1/boxes".equals(entry.target())) {
+                Set<String> knownBoxes = knownBoxesByManager.computeIfAbsent(entry.end(), m -> new HashSet<>());
+                Set<String> listedBoxes = new HashSet<>();
+                for (JsonNode box : parseJson(entry.body()).path("boxes")) {
                     String name = "box:" + box.path("id").asLong();
-                    named.add(name);
+                    listedBoxes.add(name);
                     if (box.path("state").asText().equals("ready")) {
-                        here.remove(name);
-                    } else if (!here.containsKey(name)) {
-                        here.put(name, e.atMs());
-                        verdict.checked(DRAINS);
+                        drainAtMsByBox.remove(name);
+                    } else if (!drainAtMsByBox.containsKey(name)) {
+                        drainAtMsByBox.put(name, entry.atMs());
+                        verdict.recordCheck(DRAINS_KEPT);
                     }
                 }
-                all.addAll(named);
-                if ("full".equals(e.method())) {
-                    for (String name : all) {
-                        if (!named.contains(name) && here.putIfAbsent(name, e.atMs()) == null) {
-                            verdict.checked(DRAINS);
+                knownBoxes.addAll(listedBoxes);
+                if ("full".equals(entry.method())) {
+                    for (String name : knownBoxes) {
+                        if (!listedBoxes.contains(name) && drainAtMsByBox.putIfAbsent(name, entry.atMs()) == null) {
+                            verdict.recordCheck(DRAINS_KEPT);
                         }
                     }
                 }
             }
-            boolean setUp = e.kind() == Kind.REQUEST && "POST".equals(e.method()) && "/v1/sessions".equals(e.target());
-            if (setUp && here.containsKey(e.peer()) && e.atMs() > here.get(e.peer()) + figures.drainGraceMs()) {
-                verdict.broken(
-                        DRAINS,
-                        e.atMs(),
-                        e.end() + " sent a set-up to " + e.peer() + " " + Math.round(e.atMs() - here.get(e.peer()))
-                                + " ms after it was told");
+            boolean isSetUp = entry.kind() == Kind.REQUEST
+                    && "POST".equals(entry.method())
+                    && "/v1/sessions".equals(entry.target());
+            if (isSetUp
+                    && drainAtMsByBox.containsKey(entry.peer())
+                    && entry.atMs() > drainAtMsByBox.get(entry.peer()) + parameters.drainGraceMs()) {
+                verdict.recordViolation(
+                        DRAINS_KEPT,
+                        entry.atMs(),
+                        entry.end() + " sent a set-up to " + entry.peer() + " "
+                                + Math.round(entry.atMs() - drainAtMsByBox.get(entry.peer()))
+                                + " ms after its drain was announced");
             }
         }
     }
 
-    // --- Rule 4 ---
-
-    private void coldBoxes() {
-        Map<String, Double> started = new HashMap<>();
-        Map<String, ArrayDeque<Double>> window = new HashMap<>();
-        for (Entry e : entries) {
-            if (e.kind() == Kind.MARK && e.method().equals("box-start")) {
-                started.put(e.peer(), e.atMs());
-                window.put(e.peer(), new ArrayDeque<>());
-            }
-            boolean setUp = atBox(e)
-                    && e.kind() == Kind.REQUEST
-                    && "POST".equals(e.method())
-                    && "/v1/sessions".equals(e.target());
-            Double start = started.get(e.end());
-            if (!setUp || start == null || e.atMs() - start >= figures.warmAfterMs()) {
+    // --- Rule 4: cold-paced ---
+
+    /** Checks that a box that is still cold is not sent set-ups above the pace that makes it crash. */
+    private void checkColdBoxes() {
+        Map<String, Double> startedAtMsByBox = new HashMap<>();
+        Map<String, ArrayDeque<Double>> setUpTimesByBox = new HashMap<>();
+        for (Entry entry : entries) {
+            if (entry.kind() == Kind.MARK && entry.method().equals("box-start")) {
+                startedAtMsByBox.put(entry.peer(), entry.atMs());
+                setUpTimesByBox.put(entry.peer(), new ArrayDeque<>());
+            }
+            boolean isSetUp = isAtBox(entry)
+                    && entry.kind() == Kind.REQUEST
+                    && "POST".equals(entry.method())
+                    && "/v1/sessions".equals(entry.target());
+            Double startedAtMs = startedAtMsByBox.get(entry.end());
+            if (!isSetUp || startedAtMs == null || entry.atMs() - startedAtMs >= parameters.warmAfterMs()) {
                 continue;
             }
-            verdict.checked(COLD);
-            ArrayDeque<Double> last = window.get(e.end());
-            last.addLast(e.atMs());
-            while (last.peekFirst() <= e.atMs() - figures.tipMs()) {
-                last.removeFirst();
-            }
-            double warmed = figures.coldFrom() + (1 - figures.coldFrom()) * (e.atMs() - start) / figures.warmAfterMs();
-            double budget =
-                    figures.tipMultiple() * figures.streams() / figures.warmAfterMs() * warmed * figures.tipMs();
-            if (last.size() > budget + 1) {
-                verdict.broken(
-                        COLD,
-                        e.atMs(),
-                        e.end() + " was sent " + last.size() + " set-ups in " + Math.round(figures.tipMs()) + " ms, "
-                                + Math.round(budget) + " are permitted");
+            verdict.recordCheck(COLD_PACED);
+            ArrayDeque<Double> recentSetUpsMs = setUpTimesByBox.get(entry.end());
+            recentSetUpsMs.addLast(entry.atMs());
+            while (recentSetUpsMs.peekFirst() <= entry.atMs() - parameters.tipMs()) {
+                recentSetUpsMs.removeFirst();
+            }
+            double paceShare = parameters.coldFrom()
+                    + (1 - parameters.coldFrom()) * (entry.atMs() - startedAtMs) / parameters.warmAfterMs();
+            double permittedSetUps = parameters.tipMultiple()
+                    * parameters.streams()
+                    / parameters.warmAfterMs()
+                    * paceShare
+                    * parameters.tipMs();
+            if (recentSetUpsMs.size() > permittedSetUps + 1) {
+                verdict.recordViolation(
+                        COLD_PACED,
+                        entry.atMs(),
+                        entry.end() + " was sent " + recentSetUpsMs.size() + " set-ups in "
+                                + Math.round(parameters.tipMs()) + " ms, " + Math.round(permittedSetUps)
+                                + " are permitted");
             }
         }
     }
 
-    // --- Rule 5 ---
-
-    private void terms() {
-        Map<String, String> classOf = new HashMap<>();
-        for (Entry e : entries) {
-            // what a manager wrote and what a viewer read are both judged
-            boolean given = e.kind() == Kind.RESPONSE
-                    && e.status() == 200
-                    && e.body() != null
-                    && (e.end().equals("viewers") || ofPlayer(e));
-            if (given && forLecture(e)) {
-                for (String line : e.body().split("\n")) {
+    // --- Rule 5: terms-kept ---
+
+    /** Checks that no session is set up, changed to or shown a rung under the floor of its class. */
+    private void checkRungFloors() {
+        Map<String, String> classByPlaylist = new HashMap<>();
+        for (Entry entry : entries) {
+            // Both what a manager wrote and what a viewer read are checked.
+            boolean givenToPlayer = entry.kind() == Kind.RESPONSE
+                    && entry.status() == 200
+                    && entry.body() != null
+                    && (entry.end().equals("viewers") || isPlayerAtManager(entry));
+            if (givenToPlayer && isLectureRequest(entry)) {
+                for (String line : entry.body().split("\n")) {
                     if (line.startsWith("/s/")) {
-                        classOf.put(line, query(e.target(), "class"));
+                        classByPlaylist.put(line, queryParameter(entry.target(), "class"));
                     }
                 }
             }
-            if (given && classOf.containsKey(e.target())) {
-                Figures.OfClass k = figures.of(classOf.get(e.target()));
-                if (k == null || k.lowestRung() == 0) {
+            if (givenToPlayer && classByPlaylist.containsKey(entry.target())) {
+                Figures.OfClass sessionClass = parameters.of(classByPlaylist.get(entry.target()));
+                if (sessionClass == null || sessionClass.lowestRung() == 0) {
                     continue;
                 }
-                verdict.checked(TERMS);
-                for (String line : e.body().split("\n")) {
-                    int at = line.startsWith("http://") ? line.indexOf("/s/") : -1;
-                    String[] parts = at < 0 ? new String[0] : line.substring(at).split("/");
-                    if (parts.length == 5 && Integer.parseInt(parts[3]) < k.lowestRung()) {
-                        verdict.broken(TERMS, e.atMs(), "a playlist of " + k.name() + " shows rung " + parts[3]);
+                verdict.recordCheck(TERMS_KEPT);
+                for (String line : entry.body().split("\n")) {
+                    int pathStart = line.startsWith("http://") ? line.indexOf("/s/") : -1;
+                    String[] pathParts = pathStart < 0
+                            ? new String[0]
+                            : line.substring(pathStart).split("/");
+                    if (pathParts.length == 5 && Integer.parseInt(pathParts[3]) < sessionClass.lowestRung()) {
+                        verdict.recordViolation(
+                                TERMS_KEPT,
+                                entry.atMs(),
+                                "a playlist of " + sessionClass.name() + " shows rung " + pathParts[3]);
                         break;
                     }
                 }
             }
         }
-        for (Attempt a : attempts.values()) {
-            Figures.OfClass k = figures.of(a.body.path("class").asText());
-            if (k != null && k.lowestRung() > 0) {
-                verdict.checked(TERMS);
-                if (a.body.path("rung").asInt() < k.lowestRung()) {
-                    verdict.broken(
-                            TERMS,
-                            (a.read == null ? a.sent : a.read).atMs(),
-                            a.key + " was set up at rung " + a.body.path("rung").asInt());
+        for (Attempt attempt : attemptsByKey.values()) {
+            Figures.OfClass sessionClass =
+                    parameters.of(attempt.body.path("class").asText());
+            if (sessionClass != null && sessionClass.lowestRung() > 0) {
+                verdict.recordCheck(TERMS_KEPT);
+                if (attempt.body.path("rung").asInt() < sessionClass.lowestRung()) {
+                    verdict.recordViolation(
+                            TERMS_KEPT,
+                            (attempt.requestAtBox == null ? attempt.requestAtManager : attempt.requestAtBox).atMs(),
+                            attempt.key + " was set up at rung "
+                                    + attempt.body.path("rung").asInt());
                 }
             }
         }
-        for (Entry e : entries) {
-            boolean change = atBox(e)
-                    && e.kind() == Kind.REQUEST
-                    && "PUT".equals(e.method())
-                    && e.target().startsWith("/v1/sessions/");
-            Attempt a = change ? attempts.get(e.target().substring(13)) : null;
-            Figures.OfClass k =
-                    a == null ? null : figures.of(a.body.path("class").asText());
-            JsonNode rung = a == null ? null : json(e.body()).get("rung");
-            if (k != null && rung != null && rung.asInt() < k.lowestRung()) {
-                verdict.broken(TERMS, e.atMs(), a.key + " was put at rung " + rung.asInt());
+        for (Entry entry : entries) {
+            boolean isRungChange = isAtBox(entry)
+                    && entry.kind() == Kind.REQUEST
+                    && "PUT".equals(entry.method())
+                    && entry.target().startsWith("/v1/sessions/");
+            Attempt attempt = isRungChange ? attemptsByKey.get(entry.target().substring(13)) : null;
+            Figures.OfClass sessionClass = attempt == null
+                    ? null
+                    : parameters.of(attempt.body.path("class").asText());
+            JsonNode rung = attempt == null ? null : parseJson(entry.body()).get("rung");
+            if (sessionClass != null && rung != null && rung.asInt() < sessionClass.lowestRung()) {
+                verdict.recordViolation(TERMS_KEPT, entry.atMs(), attempt.key + " was changed to rung " + rung.asInt());
             }
         }
     }
 
-    private void seats() {
+    /** Checks that no more sessions of a class than it has seats are set up or play one title at one manager. */
+    private void checkSeats() {
         record Change(double at, int by, String key) {}
         Map<String, List<Change>> changes = new HashMap<>();
-        Map<String, Integer> most = new HashMap<>();
-        for (Attempt a : attempts.values()) {
-            Figures.OfClass k = figures.of(a.body.path("class").asText());
-            if (k == null || k.seats() <= 0 || a.read == null) {
+        Map<String, Integer> seatsByClassAndTitle = new HashMap<>();
+        for (Attempt attempt : attemptsByKey.values()) {
+            Figures.OfClass sessionClass =
+                    parameters.of(attempt.body.path("class").asText());
+            if (sessionClass == null || sessionClass.seats() <= 0 || attempt.requestAtBox == null) {
                 continue;
             }
-            boolean played = a.status == 201 && a.confirmed >= 0;
-            double until = played ? a.playedUntil : a.over;
-            String seat = a.body.path("manager").asText() + " " + k.name() + " "
-                    + a.body.path("title").asText();
-            most.put(seat, k.seats());
-            List<Change> all = changes.computeIfAbsent(seat, s -> new ArrayList<>());
-            all.add(new Change(a.read.atMs(), 1, a.key));
-            all.add(new Change(until, -1, a.key));
+            boolean played = attempt.status == 201 && attempt.confirmedMs >= 0;
+            double releasedMs = played ? attempt.playbackEndMs : attempt.setUpEndMs;
+            String seatKey = attempt.body.path("manager").asText() + " " + sessionClass.name() + " "
+                    + attempt.body.path("title").asText();
+            seatsByClassAndTitle.put(seatKey, sessionClass.seats());
+            List<Change> seatChanges = changes.computeIfAbsent(seatKey, s -> new ArrayList<>());
+            seatChanges.add(new Change(attempt.requestAtBox.atMs(), 1, attempt.key));
+            seatChanges.add(new Change(releasedMs, -1, attempt.key));
         }
-        changes.forEach((seat, all) -> {
-            // of one moment's changes the ends come first
-            all.sort((a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Integer.compare(a.by(), b.by()));
+        changes.forEach((seatKey, seatChanges) -> {
+            // Of changes at the same time, releases come first.
+            seatChanges.sort((attempt, b) -> attempt.at() != b.at()
+                    ? Double.compare(attempt.at(), b.at())
+                    : Integer.compare(attempt.by(), b.by()));
             int held = 0;
-            for (Change c : all) {
+            for (Change c : seatChanges) {
                 held += c.by();
                 if (c.by() > 0) {
-                    verdict.checked(TERMS);
-                    if (held > most.get(seat)) {
-                        verdict.broken(
-                                TERMS, c.at(), c.key() + " is number " + held + " of " + most.get(seat) + " seats");
+                    verdict.recordCheck(TERMS_KEPT);
+                    if (held > seatsByClassAndTitle.get(seatKey)) {
+                        verdict.recordViolation(
+                                TERMS_KEPT,
+                                c.at(),
+                                c.key() + " holds seat number " + held + " of " + seatsByClassAndTitle.get(seatKey)
+                                        + " seats");
                     }
                 }
             }
         });
     }
 
-    // --- Rule 6 ---
+    // --- Rule 6: attempts-rationed ---
 
-    private void ration() {
-        if (figures.extraFree() < 0) {
+    /** Checks that each manager's further attempts stay within the budget that its requests earn. */
+    private void checkAttemptBudget() {
+        if (parameters.extraFree() < 0) {
             return;
         }
-        Map<String, Map<String, Double>> taken = new HashMap<>();
-        Map<String, List<Double>> extras = new HashMap<>();
-        for (Entry e : entries) {
-            if (atManager(e)
-                    && e.kind() == Kind.HEAD
-                    && e.body() != null
-                    && e.peer().equals(e.end())) {
-                Exchange x = exchanges.get(conn(e) + " " + e.exchange());
-                int dash = e.body().lastIndexOf('-');
-                if (x != null && dash > 0) {
-                    taken.computeIfAbsent(e.body().substring(0, dash), m -> new HashMap<>())
-                            .merge(e.body(), x.request.atMs(), Math::min);
+        Map<String, Map<String, Double>> requestTimesByManager = new HashMap<>();
+        Map<String, List<Double>> furtherAttemptsMsByManager = new HashMap<>();
+        for (Entry entry : entries) {
+            if (isAtManager(entry)
+                    && entry.kind() == Kind.HEAD
+                    && entry.body() != null
+                    && entry.peer().equals(entry.end())) {
+                Exchange exchange = exchanges.get(connectionKey(entry) + " " + entry.exchange());
+                int lastDash = entry.body().lastIndexOf('-');
+                if (exchange != null && lastDash > 0) {
+                    requestTimesByManager
+                            .computeIfAbsent(entry.body().substring(0, lastDash), m -> new HashMap<>())
+                            .merge(entry.body(), exchange.request.atMs(), Math::min);
                 }
             }
-            boolean setUp = atManager(e)
-                    && e.kind() == Kind.REQUEST
-                    && "POST".equals(e.method())
-                    && "/v1/sessions".equals(e.target());
-            if (setUp) {
-                JsonNode body = json(e.body());
-                String id = body.path("session").asText();
-                String manager = id.substring(0, Math.max(0, id.lastIndexOf('-')));
-                taken.computeIfAbsent(manager, m -> new HashMap<>()).merge(id, e.atMs(), Math::min);
+            boolean isSetUp = isAtManager(entry)
+                    && entry.kind() == Kind.REQUEST
+                    && "POST".equals(entry.method())
+                    && "/v1/sessions".equals(entry.target());
+            if (isSetUp) {
+                JsonNode body = parseJson(entry.body());
+                String session = body.path("session").asText();
+                String manager = session.substring(0, Math.max(0, session.lastIndexOf('-')));
+                requestTimesByManager
+                        .computeIfAbsent(manager, m -> new HashMap<>())
+                        .merge(session, entry.atMs(), Math::min);
                 if (body.path("attempt").asInt() > 0) {
-                    extras.computeIfAbsent(manager, m -> new ArrayList<>()).add(e.atMs());
+                    furtherAttemptsMsByManager
+                            .computeIfAbsent(manager, m -> new ArrayList<>())
+                            .add(entry.atMs());
                 }
             }
         }
-        extras.forEach((manager, all) -> {
+        furtherAttemptsMsByManager.forEach((manager, all) -> {
             for (int i = 0; i < all.size(); i++) {
-                double at = all.get(i);
-                double from = at - figures.extraWindowMs();
-                long made = all.subList(0, i + 1).stream().filter(t -> t > from).count();
-                long in = taken.get(manager).values().stream()
-                        .filter(t -> t > from && t <= at)
+                double atMs = all.get(i);
+                double fromMs = atMs - parameters.extraWindowMs();
+                long furtherAttempts =
+                        all.subList(0, i + 1).stream().filter(t -> t > fromMs).count();
+                long requestsTaken = requestTimesByManager.get(manager).values().stream()
+                        .filter(t -> t > fromMs && t <= atMs)
                         .count();
-                verdict.checked(RATION);
-                if (made > figures.extraFree() + figures.extraRatio() * in) {
-                    verdict.broken(RATION, at, manager + " made " + made + " further attempts on " + in + " requests");
+                verdict.recordCheck(ATTEMPTS_RATIONED);
+                if (furtherAttempts > parameters.extraFree() + parameters.extraRatio() * requestsTaken) {
+                    verdict.recordViolation(
+                            ATTEMPTS_RATIONED,
+                            atMs,
+                            manager + " made " + furtherAttempts + " further attempts on " + requestsTaken
+                                    + " requests");
                 }
             }
         });
@@ -584,24 +680,25 @@
 
     // --- Worth ---
 
-    private void worth() {
-        Map<String, String> wishes = new LinkedHashMap<>();
-        Set<String> played = new HashSet<>();
-        for (Entry e : entries) {
-            if (!e.end().equals("viewers") || !forLecture(e)) {
+    /** Sums the worth of all viewers' requests and of those that played; a viewer counts once. */
+    private void sumWorth() {
+        Map<String, String> classByViewer = new LinkedHashMap<>();
+        Set<String> viewersPlayed = new HashSet<>();
+        for (Entry entry : entries) {
+            if (!entry.end().equals("viewers") || !isLectureRequest(entry)) {
                 continue;
             }
-            String viewer = query(e.target(), "viewer");
-            if (e.kind() == Kind.REQUEST) {
-                wishes.putIfAbsent(viewer, query(e.target(), "class"));
-            } else if (e.kind() == Kind.RESPONSE && e.status() == 200) {
-                played.add(viewer);
+            String viewer = queryParameter(entry.target(), "viewer");
+            if (entry.kind() == Kind.REQUEST) {
+                classByViewer.putIfAbsent(viewer, queryParameter(entry.target(), "class"));
+            } else if (entry.kind() == Kind.RESPONSE && entry.status() == 200) {
+                viewersPlayed.add(viewer);
             }
         }
-        wishes.forEach((viewer, name) -> {
-            Figures.OfClass k = figures.of(name);
-            double worth = k == null ? 0 : k.worth();
-            verdict.worth(worth, played.contains(viewer) ? worth : 0);
+        classByViewer.forEach((viewer, name) -> {
+            Figures.OfClass sessionClass = parameters.of(name);
+            double worth = sessionClass == null ? 0 : sessionClass.worth();
+            verdict.addWorth(worth, viewersPlayed.contains(viewer) ? worth : 0);
         });
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Sightings.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/Sightings.java
@@ -6,66 +6,77 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Owns the search for each fault's trace on the tape: a fault that left none was not tried, whatever the script says. */
+/**
+ * Searches the recording for the trace of each fault of the script. A fault without a trace on the sockets did not take
+ * effect, so the run says nothing about it.
+ */
 public final class Sightings {
-    /** Time after a fault's begin in which its trace is looked for, in ms. */
-    private static final double WITHIN_MS = 15_000;
+    /** Time after the begin of a fault in which its trace is searched, in ms. */
+    private static final double TRACE_WINDOW_MS = 15_000;
 
     private Sightings() {}
 
-    /** One fault of the script and whether the sockets showed it. */
-    public record Seen(String kind, double atS, boolean seen) {}
+    /** One fault of the script, its time in the script in s, and whether the sockets showed it. */
+    public record FaultTrace(String kind, double atS, boolean seen) {}
 
-    /** Looks for the traces of all faults. */
-    public static List<Seen> of(List<Entry> entries) {
-        List<Seen> result = new ArrayList<>();
-        for (Entry m : entries) {
-            if (m.kind() == Kind.MARK && m.method().equals("fault")) {
+    /** Returns all faults of the script, each with whether the recording shows a trace of it. */
+    public static List<FaultTrace> of(List<Entry> entries) {
+        List<FaultTrace> traces = new ArrayList<>();
+        for (Entry mark : entries) {
+            if (mark.kind() == Kind.MARK && mark.method().equals("fault")) {
                 boolean seen = false;
-                Entry last = null;
-                for (Entry e : entries) {
-                    if (e.atMs() < m.atMs() || e.atMs() > m.atMs() + WITHIN_MS || e.kind() == Kind.MARK) {
+                Entry lastEntryInWindow = null;
+                for (Entry entry : entries) {
+                    if (entry.atMs() < mark.atMs()
+                            || entry.atMs() > mark.atMs() + TRACE_WINDOW_MS
+                            || entry.kind() == Kind.MARK) {
                         continue;
                     }
-                    if (trace(m.peer(), e)) {
+                    if (isTrace(mark.peer(), entry)) {
                         seen = true;
                         break;
                     }
-                    last = e;
+                    lastEntryInWindow = entry;
                 }
-                result.add(new Seen(
-                        m.peer(), Double.parseDouble(m.body()) / 1000, seen || last != null && stalled(m, entries)));
+                traces.add(new FaultTrace(
+                        mark.peer(),
+                        Double.parseDouble(mark.body()) / 1000,
+                        seen || lastEntryInWindow != null && managerWasSilent(mark, entries)));
             }
         }
-        return result;
+        return traces;
     }
 
-    private static boolean trace(String kind, Entry e) {
-        boolean box = e.end().startsWith("box:");
-        boolean manager = e.end().startsWith("manager:");
-        boolean setUp = "/v1/sessions".equals(e.target());
-        return switch (kind) {
-            case "crash", "connections-reset" -> box && e.kind() == Kind.CLOSED;
+    /** Returns whether an entry is what a fault of this kind causes at the sockets. */
+    private static boolean isTrace(String faultKind, Entry entry) {
+        boolean atBox = entry.end().startsWith("box:");
+        boolean atManager = entry.end().startsWith("manager:");
+        boolean isSetUp = "/v1/sessions".equals(entry.target());
+        return switch (faultKind) {
+            case "crash", "connections-reset" -> atBox && entry.kind() == Kind.CLOSED;
             case "deploy" ->
-                manager
-                        && e.kind() == Kind.EVENT
-                        && e.body() != null
-                        && e.body().contains("\"draining\"");
-            case "hang", "resets", "slow" -> manager && e.peer().startsWith("box:") && e.kind() == Kind.CLOSED;
-            case "errors" -> box && setUp && e.kind() == Kind.RESPONSE && e.status() >= 500;
+                atManager
+                        && entry.kind() == Kind.EVENT
+                        && entry.body() != null
+                        && entry.body().contains("\"draining\"");
+            case "hang", "resets", "slow" ->
+                atManager && entry.peer().startsWith("box:") && entry.kind() == Kind.CLOSED;
+            case "errors" -> atBox && isSetUp && entry.kind() == Kind.RESPONSE && entry.status() >= 500;
             case "uplink-sag", "link-sag" ->
-                manager && e.kind() == Kind.EVENT && "note".equals(e.method()) && shortShare(e.body());
-            case "list-late", "reports-late" -> manager && e.kind() == Kind.EVENT;
-            case "directory-down" -> e.end().equals("directory") && e.kind() == Kind.CLOSED;
-            case "list-forgets" -> manager && e.kind() == Kind.EVENT && "full".equals(e.method());
-            case "half-open" -> manager && e.kind() == Kind.CLOSED && e.peer().startsWith("box:");
+                atManager && entry.kind() == Kind.EVENT && "note".equals(entry.method()) && isShareNote(entry.body());
+            case "list-late", "reports-late" -> atManager && entry.kind() == Kind.EVENT;
+            case "directory-down" -> entry.end().equals("directory") && entry.kind() == Kind.CLOSED;
+            case "list-forgets" -> atManager && entry.kind() == Kind.EVENT && "full".equals(entry.method());
+            case "half-open" ->
+                atManager && entry.kind() == Kind.CLOSED && entry.peer().startsWith("box:");
             case "manager-kill" ->
-                manager && e.kind() == Kind.CLOSED && e.peer().equals("directory");
+                atManager && entry.kind() == Kind.CLOSED && entry.peer().equals("directory");
             default -> false;
         };
     }
 
-    private static boolean shortShare(String note) {
+    /** Returns whether a note of a box reports a short share of a link or uplink. */
+    private static boolean isShareNote(String note) {
         try {
             return Documents.MAPPER.readTree(note).path("kind").asText().equals("share");
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
@@ -73,20 +84,25 @@
         }
     }
 
-    /** A stall shows as silence at the manager's end for most of its time. */
-    private static boolean stalled(Entry fault, List<Entry> entries) {
+    /**
+     * Returns whether a manager's stall is seen: nothing was recorded at the manager's end during the middle 80 % of
+     * the stall. Returns false for faults of other kinds.
+     */
+    private static boolean managerWasSilent(Entry fault, List<Entry> entries) {
         if (!fault.peer().equals("manager-stall")) {
             return false;
         }
-        for (Entry m : entries) {
-            if (m.kind() == Kind.MARK && m.method().equals("manager-stall") && Math.abs(m.atMs() - fault.atMs()) < 50) {
-                double length = Double.parseDouble(m.body());
-                long inside = entries.stream()
-                        .filter(e -> e.end().equals(m.peer())
-                                && e.atMs() > m.atMs() + 0.1 * length
-                                && e.atMs() < m.atMs() + 0.9 * length)
+        for (Entry mark : entries) {
+            if (mark.kind() == Kind.MARK
+                    && mark.method().equals("manager-stall")
+                    && Math.abs(mark.atMs() - fault.atMs()) < 50) {
+                double stallMs = Double.parseDouble(mark.body());
+                long entriesDuringStall = entries.stream()
+                        .filter(e -> e.end().equals(mark.peer())
+                                && e.atMs() > mark.atMs() + 0.1 * stallMs
+                                && e.atMs() < mark.atMs() + 0.9 * stallMs)
                         .count();
-                return inside == 0;
+                return entriesDuringStall == 0;
             }
         }
         return false;
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Verdict.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/Verdict.java
@@ -5,80 +5,89 @@
 import java.util.List;
 import java.util.Map;
 
-/** Owns what was found of one run: for each rule how often it was tried and broken, and the first breaks in words. */
+/**
+ * Result of judging one run: for each rule how often it was checked and broken, descriptions of the first violations,
+ * the requests by outcome, and the worth requested and played.
+ */
 public final class Verdict {
-    /** The rules, by the names of the report. */
+    /** Names of the rules, as they stand in the report. */
     public static final List<String> RULES = List.of(
             "no-session-lost", "no-setup-twice", "drains-kept", "cold-paced", "terms-kept", "attempts-rationed");
-    /** Breaks told in words; all are counted. */
-    private static final int MOST_TOLD = 20;
+    /** Largest number of violations that are described in words; further ones are only counted. */
+    private static final int MAX_DESCRIBED_VIOLATIONS = 20;
 
-    private final Map<String, long[]> rules = new LinkedHashMap<>();
-    private final List<String> breaks = new ArrayList<>();
-    private final Map<String, Long> requests = new LinkedHashMap<>();
-    private double asked;
-    private double inTime;
+    /** By rule name: the number of checks and the number of violations. */
+    private final Map<String, long[]> checksAndViolationsByRule = new LinkedHashMap<>();
 
-    /** A verdict without findings. */
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, Long> requestsByOutcome = new LinkedHashMap<>();
+    private double requestedWorth;
+    private double worthInTime;
+
+    /** Creates a verdict without checks and violations. */
     public Verdict() {
-        RULES.forEach(rule -> rules.put(rule, new long[2]));
+        RULES.forEach(rule -> checksAndViolationsByRule.put(rule, new long[2]));
         for (String name : List.of("taken", "played", "refused", "failed", "unanswered", "answeredTwice")) {
-            requests.put(name, 0L);
+            requestsByOutcome.put(name, 0L);
         }
     }
 
-    void checked(String rule) {
-        rules.get(rule)[0]++;
+    /** Counts one check of a rule. */
+    void recordCheck(String rule) {
+        checksAndViolationsByRule.get(rule)[0]++;
     }
 
-    void broken(String rule, double atMs, String how) {
-        rules.get(rule)[1]++;
-        if (breaks.size() < MOST_TOLD) {
-            breaks.add(rule + " at " + Math.round(atMs) + " ms: " + how);
+    /** Counts one violation of a rule; {@code atMs} is the time of the recording at which it was found, in ms. */
+    void recordViolation(String rule, double atMs, String description) {
+        checksAndViolationsByRule.get(rule)[1]++;
+        if (violations.size() < MAX_DESCRIBED_VIOLATIONS) {
+            violations.add(rule + " at " + Math.round(atMs) + " ms: " + description);
         }
     }
 
-    void request(String name) {
-        requests.merge(name, 1L, Long::sum);
+    /** Counts one request with this outcome. */
+    void countRequest(String outcome) {
+        requestsByOutcome.merge(outcome, 1L, Long::sum);
     }
 
-    void worth(double asks, double gets) {
-        asked += asks;
-        inTime += gets;
+    /** Adds the worth of one request, and the part of it that came to play in time. */
+    void addWorth(double requested, double playedInTime) {
+        requestedWorth += requested;
+        worthInTime += playedInTime;
     }
 
-    /** How often a rule was tried. */
-    public long checkedOf(String rule) {
-        return rules.get(rule)[0];
+    /** Returns how often a rule was checked. */
+    public long checkCount(String rule) {
+        return checksAndViolationsByRule.get(rule)[0];
     }
 
-    /** How often a rule was broken. */
-    public long brokenOf(String rule) {
-        return rules.get(rule)[1];
+    /** Returns how often a rule was broken. */
+    public long violationCount(String rule) {
+        return checksAndViolationsByRule.get(rule)[1];
     }
 
-    /** Whether no rule was broken. */
-    public boolean kept() {
-        return rules.values().stream().allMatch(r -> r[1] == 0);
+    /** Returns whether no rule was broken. */
+    public boolean allRulesKept() {
+        return checksAndViolationsByRule.values().stream().allMatch(r -> r[1] == 0);
     }
 
-    /** The first breaks, in words. */
-    public List<String> breaks() {
-        return breaks;
+    /** Returns descriptions of the first violations, in the order in which they were found. */
+    public List<String> violations() {
+        return violations;
     }
 
-    /** Counts of requests by how they ended. */
-    public Map<String, Long> requests() {
-        return requests;
+    /** Returns the numbers of requests by outcome. */
+    public Map<String, Long> requestsByOutcome() {
+        return requestsByOutcome;
     }
 
-    /** Worth of all wishes. */
-    public double asked() {
-        return asked;
+    /** Returns the worth of all requests of viewers. */
+    public double requestedWorth() {
+        return requestedWorth;
     }
 
-    /** Worth of the wishes that came to play in time. */
-    public double inTime() {
-        return inTime;
+    /** Returns the worth of the requests that came to play in time. */
+    public double worthInTime() {
+        return worthInTime;
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
@@ -32,8 +32,8 @@
             run.tape().write(folder.resolve("tape.jsonl"));
             // the verdict hangs on the records alone: read back, they give the same
             var again = RuleChecker.judge(Rehearsal.figures(day), Tape.read(folder.resolve("tape.jsonl")));
-            assertEquals(report.verdict().requests(), again.requests());
-            assertEquals(report.verdict().checkedOf("no-session-lost"), again.checkedOf("no-session-lost"));
+            assertEquals(report.verdict().requestsByOutcome(), again.requestsByOutcome());
+            assertEquals(report.verdict().checkCount("no-session-lost"), again.checkCount("no-session-lost"));
             return report;
         }
     }
@@ -60,9 +60,9 @@
                         + "{\"kind\": \"manager-kill\", \"at\": 4, \"for\": 0.2, \"manager\": 2},"
                         + "{\"kind\": \"errors\", \"at\": 2, \"for\": 3, \"boxes\": [1], \"value\": 0.5}]");
         Report report = play(day);
-        assertTrue(report.verdict().checkedOf("cold-paced") > 0, report.table());
-        assertTrue(report.verdict().checkedOf("drains-kept") > 0, report.table());
-        assertEquals(0, report.verdict().requests().get("answeredTwice"));
+        assertTrue(report.verdict().checkCount("cold-paced") > 0, report.table());
+        assertTrue(report.verdict().checkCount("drains-kept") > 0, report.table());
+        assertEquals(0, report.verdict().requestsByOutcome().get("answeredTwice"));
     }
 
     @Test
@@ -84,8 +84,8 @@
                         + "{\"kind\": \"directory-down\", \"at\": 4, \"for\": 2},"
                         + "{\"kind\": \"connections-reset\", \"at\": 5, \"boxes\": [1]}]");
         Report report = play(day);
-        assertTrue(report.verdict().requests().get("played") > 20, report.table());
-        assertTrue(report.faults().stream().filter(f -> f.seen()).count() >= 5, report.table());
+        assertTrue(report.verdict().requestsByOutcome().get("played") > 20, report.table());
+        assertTrue(report.faultTraces().stream().filter(f -> f.seen()).count() >= 5, report.table());
     }
 
     @Test
@@ -102,8 +102,8 @@
                         + "{\"kind\": \"errors\", \"at\": 2, \"for\": 3, \"boxes\": [0, 1], \"value\": 0.4},"
                         + "{\"kind\": \"crash\", \"at\": 4, \"for\": 1, \"boxes\": [2]}]");
         Report report = play(day);
-        assertTrue(report.verdict().requests().get("failed") > 0, report.table());
-        assertTrue(report.verdict().checkedOf("no-setup-twice") > 10, report.table());
+        assertTrue(report.verdict().requestsByOutcome().get("failed") > 0, report.table());
+        assertTrue(report.verdict().checkCount("no-setup-twice") > 10, report.table());
     }
 
     @Test
--- a/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
@@ -192,6 +192,6 @@
         entries.add(new Entry(9, "manager:0", "box:2", 2, 1, Kind.RESPONSE, null, null, 500, "", 0));
         FirstSetUps firsts = FirstSetUps.of(entries);
         assertEquals(4, firsts.sent());
-        assertEquals(java.util.Map.of("box:2", 1L, "box:3", 1L), firsts.failed());
+        assertEquals(java.util.Map.of("box:2", 1L, "box:3", 1L), firsts.failedByBox());
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -72,7 +72,7 @@
             HttpResponse<String> other = stage.get(stage.at("/s/00000000000000000000000000000000/media.m3u8"));
             assertEquals(404, other.statusCode());
             Report report = stage.end();
-            assertTrue(report.verdict().checkedOf("terms-kept") > 0);
+            assertTrue(report.verdict().checkCount("terms-kept") > 0);
         }
     }
 
@@ -93,7 +93,7 @@
             // what was given stays as it was, up to the front of the window
             assertTrue(Stage.segments(before).stream().anyMatch(Stage.segments(next.body())::contains));
             assertEquals(200, stage.get(URI.create(last.uri())).statusCode());
-            assertEquals(0, stage.end().verdict().requests().get("answeredTwice"));
+            assertEquals(0, stage.end().verdict().requestsByOutcome().get("answeredTwice"));
         }
     }
 
@@ -151,7 +151,7 @@
                     "the ghost lets its stream go when it is released",
                     () -> stage.run.atBox(hung, MediaBox::sessionCount) == 0);
             Report report = stage.end();
-            assertTrue(report.verdict().checkedOf("no-setup-twice") > 0);
+            assertTrue(report.verdict().checkCount("no-setup-twice") > 0);
             long played = stage.run.tape().entries().stream()
                     .filter(e -> atBox(e)
                             && e.kind() == Kind.REQUEST
@@ -272,7 +272,7 @@
             }
             assertFalse(stage.run.atBox(0, MediaBox::crashedByOverload));
             Report report = stage.end();
-            assertEquals(40, report.verdict().requests().get("taken"));
+            assertEquals(40, report.verdict().requestsByOutcome().get("taken"));
         }
     }
 
@@ -358,7 +358,7 @@
             assertEquals(200, again.statusCode());
             assertEquals(200, stage.get(URI.create(segment)).statusCode());
             assertEquals(0, stage.counter("sessions-lost"));
-            assertTrue(stage.end().verdict().checkedOf("drains-kept") > 0);
+            assertTrue(stage.end().verdict().checkCount("drains-kept") > 0);
         }
     }
 
@@ -394,7 +394,7 @@
                 }
             }
             Report report = stage.end();
-            assertTrue(report.verdict().checkedOf("terms-kept") > 10);
+            assertTrue(report.verdict().checkCount("terms-kept") > 10);
         }
     }
 
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlaylistCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlaylistCheckerTest.java
@@ -103,7 +103,7 @@
 
     private void broken(String what) {
         PlaylistChecker.Findings found = PlaylistChecker.judge(FIGURES, tape);
-        assertTrue(found.breaks().stream().anyMatch(b -> b.contains(what)), what + " in " + found.breaks());
+        assertTrue(found.faults().stream().anyMatch(b -> b.contains(what)), what + " in " + found.faults());
     }
 
     @BeforeEach
@@ -117,9 +117,9 @@
         session("a1", "v1", "b1", x -> x, SHOWN);
         session("a2", "v2", "b2", x -> x, SHOWN);
         PlaylistChecker.Findings found = PlaylistChecker.judge(FIGURES, tape);
-        assertEquals(List.of(), found.breaks());
-        assertEquals(2, found.shown());
-        assertEquals(2, found.sessions());
+        assertEquals(List.of(), found.faults());
+        assertEquals(2, found.changesShown());
+        assertEquals(2, found.sessionCount());
     }
 
     @Test
@@ -223,7 +223,7 @@
                         + "\n#EXT-X-MAP:URI=\"false\"\n#EXTINF:1,\n"
                         + uri("b1", "2/15") + ".m4s\n");
         broken("was due and not shown");
-        assertEquals(1, PlaylistChecker.judge(FIGURES, tape).missed());
+        assertEquals(1, PlaylistChecker.judge(FIGURES, tape).changesMissed());
     }
 
     @Test
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlaylistRulesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlaylistRulesTest.java
@@ -61,7 +61,10 @@
         assertEquals(List.of(), rules.take(after(GOOD) + "#EXT-X-ENDLIST\n"));
         assertEquals(List.of(), rules.take(after(GOOD) + "#EXT-X-ENDLIST\n"));
         assertEquals(
-                3, rules.segments().get(1).number() + rules.segments().get(0).number() - 1);
+                3,
+                rules.segments().get(1).discontinuitySequence()
+                        + rules.segments().get(0).discontinuitySequence()
+                        - 1);
     }
 
     @Test
--- a/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
@@ -157,21 +157,21 @@
     private void broken(String rule) {
         Verdict v = judge();
         for (String other : Verdict.RULES) {
-            assertEquals(other.equals(rule), v.brokenOf(other) > 0, other + ": " + v.breaks());
+            assertEquals(other.equals(rule), v.violationCount(other) > 0, other + ": " + v.violations());
         }
-        assertTrue(v.checkedOf(rule) > 0 || rule.equals("no-session-lost"));
+        assertTrue(v.checkCount(rule) > 0 || rule.equals("no-session-lost"));
     }
 
     @Test
     void aGoodTapeBreaksNothing() {
         good();
         Verdict v = judge();
-        assertTrue(v.kept(), v.breaks().toString());
-        assertEquals(1, v.requests().get("taken"));
-        assertEquals(1, v.requests().get("played"));
-        assertEquals(3, v.inTime());
-        assertEquals(1, v.checkedOf("no-setup-twice"));
-        assertEquals(2, v.checkedOf("terms-kept"));
+        assertTrue(v.allRulesKept(), v.violations().toString());
+        assertEquals(1, v.requestsByOutcome().get("taken"));
+        assertEquals(1, v.requestsByOutcome().get("played"));
+        assertEquals(3, v.worthInTime());
+        assertEquals(1, v.checkCount("no-setup-twice"));
+        assertEquals(2, v.checkCount("terms-kept"));
     }
 
     @Test
@@ -195,7 +195,7 @@
         add(500, "manager:0", "manager:0", conns, Kind.CLOSED, null, null, 0, null);
         mark(9000, "manager-stall", "manager:0", "6000");
         ask(9500, 14_900, "v3", "course", null, "S3", 503);
-        assertTrue(judge().kept());
+        assertTrue(judge().allRulesKept());
     }
 
     @Test
@@ -211,7 +211,7 @@
         good();
         add(400, "viewers", "manager:0", 101, Kind.MALFORMED, null, null, 200, "a response without a request");
         broken("no-session-lost");
-        assertEquals(1, judge().requests().get("answeredTwice"));
+        assertEquals(1, judge().requestsByOutcome().get("answeredTwice"));
     }
 
     @Test
@@ -227,7 +227,7 @@
         good();
         setUp(1000, 1300, 1, "m0-x-2", 0, "course", 2, 500);
         setUp(1301, 1400, 2, "m0-x-2", 1, "course", 2, 201);
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
     }
 
     @Test
@@ -236,7 +236,7 @@
         setUp(1000, -1, 1, "m0-x-2", 0, "course", 2, 0);
         add(1250, "manager:0", "box:1", conns - 1, Kind.CLOSED, null, null, 0, null);
         setUp(1251, 1400, 2, "m0-x-2", 1, "course", 2, 201);
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
     }
 
     @Test
@@ -260,7 +260,7 @@
         good();
         setUp(1000, 1100, 1, "m0-x-2", 0, "paid", 2, 429);
         ask(990, 1200, "v2", "paid", "m0-x-2", "S2", 503);
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
         setUp(2000, 2100, 1, "m0-x-3", 0, "paid", 2, 500);
         ask(1990, 2200, "v3", "paid", "m0-x-3", "S3", 503);
         broken("no-setup-twice");
@@ -282,7 +282,7 @@
         setUp(1200, 1300, 2, "m0-x-2", 1, "course", 2, 201);
         message(1250, 1, "DELETE", "m0-x-2.0", "");
         message(1310, 2, "PUT", "m0-x-2.1", "{\"confirmed\":true}");
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
         tape.removeIf(e -> "DELETE".equals(e.method()));
         broken("no-setup-twice");
     }
@@ -292,7 +292,7 @@
         good();
         list(1000, "change", listed(1, "draining"));
         setUp(2900, 2950, 1, "m0-x-2", 0, "course", 2, 201);
-        assertTrue(judge().kept());
+        assertTrue(judge().allRulesKept());
         setUp(3100, 3150, 1, "m0-x-3", 0, "course", 2, 201);
         broken("drains-kept");
     }
@@ -304,7 +304,7 @@
         setUp(3100, 3150, 1, "m0-x-2", 0, "course", 2, 201);
         broken("drains-kept");
         list(3050, "change", listed(1, "ready"));
-        assertTrue(judge().kept());
+        assertTrue(judge().allRulesKept());
     }
 
     @Test
@@ -315,7 +315,7 @@
         for (int i = 0; i < 3; i++) {
             setUp(2000 + 100 * i, 2050 + 100 * i, 2, "m0-x-" + (10 + i), 0, "course", 2, 201);
         }
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
         setUp(2400, 2450, 2, "m0-x-20", 0, "course", 2, 201);
         broken("cold-paced");
     }
@@ -359,7 +359,7 @@
             message(1110 + i, 1, "PUT", "m0-x-" + (10 + i) + ".0", "{\"confirmed\":true}");
         }
         setUp(900, 950, 1, "m0-x-9", 0, "seated", 2, 429);
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
         setUp(1500, 1600, 2, "m0-x-30", 0, "seated", 2, 201);
         broken("terms-kept");
     }
@@ -372,7 +372,7 @@
         setUp(1020, 1030, 2, "m0-x-2", 1, "course", 2, 500);
         setUp(1100, 1110, 1, "m0-x-3", 0, "course", 2, 500);
         setUp(1120, 1130, 2, "m0-x-3", 1, "course", 2, 500);
-        assertTrue(judge().kept(), judge().breaks().toString());
+        assertTrue(judge().allRulesKept(), judge().violations().toString());
         setUp(1140, 1150, 1, "m0-x-3", 2, "course", 2, 500);
         broken("attempts-rationed");
     }
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -242,7 +242,7 @@
                     place >= segment(Stage.segments(last).get(0)),
                     "the lecture does not begin again: " + first[0] + " after " + last);
             assertEquals(1, stage.counter("sessions-back"));
-            assertEquals(1, stage.end().playlists().shown());
+            assertEquals(1, stage.end().playlists().changesShown());
         }
     }
 
@@ -300,7 +300,7 @@
                 return whole.size() == all.size();
             });
             assertTrue(stage.counter("piece-set-ups") > 0, "no session was at another box");
-            assertEquals(6, stage.end().playlists().shown());
+            assertEquals(6, stage.end().playlists().changesShown());
         }
     }
 
