--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -2,7 +2,7 @@
 
 import calicovale.protocols.http.PercentEncoding;
 import calicovale.protocols.json.Documents;
-import calicovale.rehearsal.judge.PlaylistRules.Range;
+import calicovale.rehearsal.judge.PlaylistRules.DateRange;
 import calicovale.rehearsal.judge.PlaylistRules.Segment;
 import calicovale.rehearsal.tape.Entry;
 import calicovale.rehearsal.tape.Entry.Kind;
@@ -96,7 +96,7 @@
         /** Each segment that a playlist of the session listed, by its media sequence number. */
         final TreeMap<Long, Segment> segments = new TreeMap<>();
         /** Each EXT-X-DATERANGE that a playlist of the session had, by its id; the last text stands. */
-        final Map<String, Range> ranges = new LinkedHashMap<>();
+        final Map<String, DateRange> ranges = new LinkedHashMap<>();
         /** Times of the first and the last playlist in the recording, in ms. */
         double firstPlaylistMs;
 
@@ -266,14 +266,14 @@
     }
 
     /** Returns the id of the change that a range shows: the range's id up to its last dash. */
-    private static String changeIdOf(Range range) {
+    private static String changeIdOf(DateRange range) {
         return range.id().substring(0, range.id().lastIndexOf('-'));
     }
 
     /**
      * Returns whether a segment lies within a range; dates may be off by 3 ms, because they are written in whole ms.
      */
-    private static boolean isWithin(Range range, Segment segment) {
+    private static boolean isWithin(DateRange range, Segment segment) {
         return segment.dateMs() >= range.startMs() - 3
                 && segment.dateMs() + 1000 * segment.seconds() <= range.startMs() + 1000 * range.seconds() + 3;
     }
@@ -319,7 +319,7 @@
                 || session.segments.firstKey() > 0
                 || session.segments.lastKey() - session.segments.firstKey() >= session.segments.size();
         Set<String> shownChanges = new HashSet<>();
-        for (Range range : session.ranges.values()) {
+        for (DateRange range : session.ranges.values()) {
             shownChanges.add(changeIdOf(range));
             AnnouncedChange change = announcedChanges.stream()
                     .filter(x -> x.id().equals(changeIdOf(range)) && isMeantFor(x, session))
@@ -400,7 +400,7 @@
     }
 
     /** Checks that a change began neither before its time or place, nor late, nor after it was no longer valid. */
-    private void checkStart(SessionHistory session, AnnouncedChange change, Range range, boolean boxOrManagerLost) {
+    private void checkStart(SessionHistory session, AnnouncedChange change, DateRange range, boolean boxOrManagerLost) {
         JsonNode start = change.change().path("start");
         if (start.has("atMs") && range.startMs() < start.get("atMs").asDouble() - CLOCK_SLACK_MS) {
             findings.recordFault(
@@ -447,7 +447,7 @@
     }
 
     /** Checks that a piece that began is listed whole and in order, unless its box or the lecture's was lost. */
-    private void checkPiecePlayedOut(SessionHistory session, Range range) {
+    private void checkPiecePlayedOut(SessionHistory session, DateRange range) {
         List<Segment> pieceSegments = session.segments.values().stream()
                 .filter(x -> isWithin(range, x))
                 .toList();
@@ -482,7 +482,7 @@
     private void checkNotShownTwice() {
         Map<String, Map<Integer, Integer>> deliveriesByIndex = new LinkedHashMap<>();
         for (SessionHistory session : sessionsByToken.values()) {
-            for (Range range : session.ranges.values()) {
+            for (DateRange range : session.ranges.values()) {
                 JsonNode change = announcedChanges.stream()
                         .filter(t -> t.id().equals(changeIdOf(range)))
                         .map(AnnouncedChange::change)
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
@@ -51,10 +51,10 @@
      * @param seconds its DURATION, or its PLANNED-DURATION while that is not written, in s; 0 without either
      * @param attributes all attributes as written
      */
-    public record Range(String id, String kind, double startMs, double seconds, Attributes attributes) {
+    public record DateRange(String id, String kind, double startMs, double seconds, Attributes attributes) {
 
         /** Returns whether a later text only adds attributes: none may be altered (RFC 8216, 4.3.2.7). */
-        boolean isKeptBy(Range later) {
+        boolean isKeptBy(DateRange later) {
             return attributes.names().stream()
                     .allMatch(name -> attributes.get(name).equals(later.attributes.get(name)));
         }
@@ -63,7 +63,7 @@
     /** Segments of the playlist before, by their media sequence numbers. */
     private final Map<Long, Segment> previousSegments = new LinkedHashMap<>();
 
-    private final Map<String, Range> ranges = new LinkedHashMap<>();
+    private final Map<String, DateRange> ranges = new LinkedHashMap<>();
     private List<Segment> segments = List.of();
     private long firstSequence = -1;
     private long nextSequence = -1;
@@ -78,7 +78,7 @@
     }
 
     /** Returns the date ranges of the last playlist taken, by their ids. */
-    public Map<String, Range> ranges() {
+    public Map<String, DateRange> ranges() {
         return ranges;
     }
 
@@ -104,7 +104,7 @@
         faults = new ArrayList<>();
         Playlist playlist;
         List<Segment> current;
-        Map<String, Range> currentRanges = new LinkedHashMap<>();
+        Map<String, DateRange> currentRanges = new LinkedHashMap<>();
         try {
             playlist = Playlist.parse(text);
             current = readSegments(playlist, currentRanges);
@@ -143,8 +143,8 @@
             previousDateMs = segment.dateMs();
             compareWithPrevious(previousSegments.get(segment.sequence()), segment);
         }
-        for (Range range : currentRanges.values()) {
-            Range before = ranges.get(range.id());
+        for (DateRange range : currentRanges.values()) {
+            DateRange before = ranges.get(range.id());
             if (before != null && !before.isKeptBy(range)) {
                 addFault("EXT-X-DATERANGE " + range.id() + " was altered");
             }
@@ -184,7 +184,7 @@
     }
 
     /** Reads the segments with what is in force at each, and adds the date ranges to {@code currentRanges}. */
-    private List<Segment> readSegments(Playlist playlist, Map<String, Range> currentRanges) throws HlsException {
+    private List<Segment> readSegments(Playlist playlist, Map<String, DateRange> currentRanges) throws HlsException {
         List<Segment> result = new ArrayList<>();
         long sequence = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
         long discontinuitySequence = playlist.number("EXT-X-DISCONTINUITY-SEQUENCE", 0);
@@ -218,7 +218,7 @@
                         double seconds = durationS == null ? 0 : Double.parseDouble(durationS);
                         currentRanges.put(
                                 attributes.get("ID"),
-                                new Range(
+                                new DateRange(
                                         attributes.get("ID"),
                                         attributes.get("CLASS"),
                                         Instant.parse(attributes.get("START-DATE"))
--- a/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
@@ -16,31 +16,31 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole days through real sockets. */
+/** Plays whole scripted days with several faults through real sockets and asserts that no rule is broken. */
 @Timeout(180)
 class DaysTest {
     @TempDir
     private Path folder;
 
-    private Report play(Day day) throws Exception {
-        try (Rehearsal run = new Rehearsal(day, folder)) {
-            run.start();
-            run.play();
-            run.finish();
-            Report report = run.report();
+    private Report playAndAssertRulesKept(Day day) throws Exception {
+        try (Rehearsal rehearsal = new Rehearsal(day, folder)) {
+            rehearsal.start();
+            rehearsal.play();
+            rehearsal.finish();
+            Report report = rehearsal.report();
             assertTrue(report.kept(), report.table());
-            run.tape().write(folder.resolve("tape.jsonl"));
-            // the verdict hangs on the records alone: read back, they give the same
-            var again = RuleChecker.judge(Rehearsal.figures(day), Tape.read(folder.resolve("tape.jsonl")));
-            assertEquals(report.verdict().requestsByOutcome(), again.requestsByOutcome());
-            assertEquals(report.verdict().checkCount("no-session-lost"), again.checkCount("no-session-lost"));
+            rehearsal.tape().write(folder.resolve("tape.jsonl"));
+            // The verdict must depend on the recording alone: read back from the file, it gives the same verdict.
+            var rejudged = RuleChecker.judge(Rehearsal.figures(day), Tape.read(folder.resolve("tape.jsonl")));
+            assertEquals(report.verdict().requestsByOutcome(), rejudged.requestsByOutcome());
+            assertEquals(report.verdict().checkCount("no-session-lost"), rejudged.checkCount("no-session-lost"));
             return report;
         }
     }
 
     @Test
-    void threeManagersWithWrongClocksKeepTheColdPaceOfOneBoxTogether() throws Exception {
-        Day day = Stage.day(
+    void threeManagersWithSkewedClocksTogetherKeepColdPaceOfOneBox() throws Exception {
+        Day day = RehearsalHarness.day(
                 "/seconds",
                 "9",
                 "/managers",
@@ -59,15 +59,15 @@
                         + "{\"kind\": \"clock-step\", \"at\": 2, \"manager\": 1, \"value\": 500},"
                         + "{\"kind\": \"manager-kill\", \"at\": 4, \"for\": 0.2, \"manager\": 2},"
                         + "{\"kind\": \"errors\", \"at\": 2, \"for\": 3, \"boxes\": [1], \"value\": 0.5}]");
-        Report report = play(day);
+        Report report = playAndAssertRulesKept(day);
         assertTrue(report.verdict().checkCount("cold-paced") > 0, report.table());
         assertTrue(report.verdict().checkCount("drains-kept") > 0, report.table());
         assertEquals(0, report.verdict().requestsByOutcome().get("answeredTwice"));
     }
 
     @Test
-    void aDayOfHangsResetsAndSilenceLosesNobody() throws Exception {
-        Day day = Stage.day(
+    void dayOfHangsResetsAndSilentConnectionsLosesNoSession() throws Exception {
+        Day day = RehearsalHarness.day(
                 "/seconds",
                 "8",
                 "/viewers/perSecond",
@@ -83,14 +83,14 @@
                         + "{\"kind\": \"manager-stall\", \"at\": 3, \"for\": 1, \"manager\": 0},"
                         + "{\"kind\": \"directory-down\", \"at\": 4, \"for\": 2},"
                         + "{\"kind\": \"connections-reset\", \"at\": 5, \"boxes\": [1]}]");
-        Report report = play(day);
+        Report report = playAndAssertRulesKept(day);
         assertTrue(report.verdict().requestsByOutcome().get("played") > 20, report.table());
         assertTrue(report.faultTraces().stream().filter(f -> f.seen()).count() >= 5, report.table());
     }
 
     @Test
-    void whatIsPaidForAtSetUpIsNeverSentAgainNorRefusedOnceItMayHaveRun() throws Exception {
-        Day day = Stage.day(
+    void setUpWithSideEffectIsNeitherRepeatedNorRefusedOnceItMayHaveRun() throws Exception {
+        Day day = RehearsalHarness.day(
                 "/seconds",
                 "7",
                 "/viewers/perSecond",
@@ -101,16 +101,16 @@
                 "[{\"kind\": \"resets\", \"at\": 0.5, \"for\": 3, \"boxes\": [0, 1, 2], \"value\": 0.4},"
                         + "{\"kind\": \"errors\", \"at\": 2, \"for\": 3, \"boxes\": [0, 1], \"value\": 0.4},"
                         + "{\"kind\": \"crash\", \"at\": 4, \"for\": 1, \"boxes\": [2]}]");
-        Report report = play(day);
+        Report report = playAndAssertRulesKept(day);
         assertTrue(report.verdict().requestsByOutcome().get("failed") > 0, report.table());
         assertTrue(report.verdict().checkCount("no-setup-twice") > 10, report.table());
     }
 
     @Test
-    void allFaultsOfADayFileAreToldAtOnce() {
+    void allFaultsOfDayFileAreReportedTogether() {
         List<String> faults = assertThrows(
                         InvalidDocumentException.class,
-                        () -> Stage.day(
+                        () -> RehearsalHarness.day(
                                 "/service/limits/attempts",
                                 "0",
                                 "/faults",
@@ -120,8 +120,8 @@
                                 "/service/manager",
                                 "{}"))
                 .faults();
-        for (String place : List.of("/service: /limits/attempts", "/faults/0/boxes", "/service/manager")) {
-            assertTrue(faults.stream().anyMatch(f -> f.contains(place)), place + " in " + faults);
+        for (String pointer : List.of("/service: /limits/attempts", "/faults/0/boxes", "/service/manager")) {
+            assertTrue(faults.stream().anyMatch(f -> f.contains(pointer)), pointer + " in " + faults);
         }
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
@@ -23,155 +23,165 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Managers that share their suspicions, through real sockets: from a claim to the place of a session. */
+/** Tests managers that gossip claims about boxes, through real sockets: how claims change where sessions are set up. */
 class GossipDayTest {
-    private static final String GROUP =
+    private static final String THREE_MANAGERS =
             "{\"count\": 3, \"gossip\": {\"probeMs\": 300, \"timeoutMs\": 140, \"newsMs\": 50, "
                     + "\"exchangeMs\": 1000, \"claims\": {\"believedMs\": 50, \"quorumLeast\": 2}}}";
 
     @TempDir
     private Path state;
 
-    private static boolean believes(FrontProcess manager, int box) {
+    private static boolean hasEvidenceAgainst(FrontProcess manager, int box) {
         return manager.loop().call(() -> manager.peers().view().path("evidence").has(Integer.toString(box)));
     }
 
-    private static Day.Fault lies(int manager, int box, double seconds) {
+    private static Day.Fault falseClaims(int manager, int box, double seconds) {
         return new Day.Fault("false-claims", 0, seconds, List.of(box), 0, manager, 0, false);
     }
 
-    /** Set-ups that a manager sent to a box before the first answer of that box to it. */
-    private static long untilAnswered(List<Entry> entries, Predicate<Entry> box) {
+    /** Returns the number of set-ups that manager 2 sent to a box before the box's first answer 201. */
+    private static long setUpsBeforeFirstAnswer(List<Entry> entries, Predicate<Entry> isOfBox) {
         long sent = 0;
-        for (Entry e : entries) {
-            if (!e.end().equals("manager:2") || !box.test(e)) {
+        for (Entry entry : entries) {
+            if (!entry.end().equals("manager:2") || !isOfBox.test(entry)) {
                 continue;
             }
-            if (e.kind() == Kind.RESPONSE && e.status() == 201) {
+            if (entry.kind() == Kind.RESPONSE && entry.status() == 201) {
                 return sent;
             }
-            sent += e.kind() == Kind.REQUEST && "/v1/sessions".equals(e.target()) ? 1 : 0;
+            sent += entry.kind() == Kind.REQUEST && "/v1/sessions".equals(entry.target()) ? 1 : 0;
         }
         return sent;
     }
 
     @Test
-    void whatAQuorumClaimsIsTriedOnceAtATimeAndCostsNobodyAPlace() throws Exception {
-        try (Stage stage = new Stage(state, "/managers", GROUP, "/boxes/setUpMs", "300")) {
-            double from = stage.run.tape().nowMs();
-            Stage.await(
-                    "all three know each other",
-                    () -> stage.run.managers().stream()
+    void quorumClaimLimitsSetUpsAtBoxToOneAtATimeAndRefusesNoViewer() throws Exception {
+        try (RehearsalHarness harness =
+                new RehearsalHarness(state, "/managers", THREE_MANAGERS, "/boxes/setUpMs", "300")) {
+            double startedMs = harness.rehearsal.tape().nowMs();
+            RehearsalHarness.await(
+                    "all three managers list each other as present",
+                    () -> harness.rehearsal.managers().stream()
                             .allMatch(m -> m.loop()
                                             .call(() -> m.peers()
                                                     .node()
                                                     .membership()
                                                     .presentCount())
                                     == 3));
-            FrontProcess third = stage.run.managers().get(2);
-            stage.run.happen(lies(0, 1, 30));
-            Stage.await(
-                    "a claim is heard",
+            FrontProcess third = harness.rehearsal.managers().get(2);
+            harness.rehearsal.happen(falseClaims(0, 1, 30));
+            RehearsalHarness.await(
+                    "the third manager receives a claim",
                     () -> third.loop()
                                     .call(() ->
                                             third.peers().view().path("claims").size())
                             > 0);
-            assertTrue(!believes(third, 1), "one manager's word");
-            stage.run.happen(lies(1, 1, 30));
-            // past the time after its start in which a manager sends every box little
-            Stage.await(
-                    "a quorum is believed",
-                    () -> believes(third, 1) && stage.run.tape().nowMs() - from > 4500);
+            assertTrue(!hasEvidenceAgainst(third, 1), "the claim of a single manager is believed");
+            harness.rehearsal.happen(falseClaims(1, 1, 30));
+            // Also waits until the third manager is past the time after its start in which it sends each box few
+            // set-ups.
+            RehearsalHarness.await(
+                    "the claim of a quorum is believed",
+                    () -> hasEvidenceAgainst(third, 1)
+                            && harness.rehearsal.tape().nowMs() - startedMs > 4500);
             List<CompletableFuture<HttpResponse<String>>> burst = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                burst.add(stage.client.sendAsync(
-                        HttpRequest.newBuilder(stage.at(2, "/v1/lectures/t1/index.m3u8?class=talk&viewer=b" + i))
+                burst.add(harness.client.sendAsync(
+                        HttpRequest.newBuilder(harness.uri(2, "/v1/lectures/t1/index.m3u8?class=talk&viewer=b" + i))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString()));
             }
-            for (CompletableFuture<HttpResponse<String>> each : burst) {
-                assertEquals(200, each.join().statusCode());
+            for (CompletableFuture<HttpResponse<String>> answer : burst) {
+                assertEquals(200, answer.join().statusCode());
             }
-            List<Entry> entries = stage.run.tape().entries();
-            long there = untilAnswered(entries, e -> e.peer().equals("box:1"));
-            long all = entries.stream()
+            List<Entry> entries = harness.rehearsal.tape().entries();
+            long setUpsBeforeAnswer =
+                    setUpsBeforeFirstAnswer(entries, e -> e.peer().equals("box:1"));
+            long allSetUps = entries.stream()
                     .filter(e -> e.end().equals("manager:2")
                             && e.kind() == Kind.REQUEST
                             && "/v1/sessions".equals(e.target()))
                     .count();
-            assertTrue(there <= 1 && all >= 12, there + " trials at once, " + all + " set-ups");
-            stage.end();
+            assertTrue(
+                    setUpsBeforeAnswer <= 1 && allSetUps >= 12,
+                    setUpsBeforeAnswer + " concurrent set-ups before the first answer, " + allSetUps + " set-ups");
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void whatWorksHereOutranksTheGroupAndLiarsLoseTheirVoice() throws Exception {
-        try (Stage stage = new Stage(state, "/managers", GROUP)) {
-            FrontProcess third = stage.run.managers().get(2);
-            Stage.await(
-                    "they know each other",
+    void ownObservationOverridesQuorumAndContradictedClaimsAreCounted() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state, "/managers", THREE_MANAGERS)) {
+            FrontProcess third = harness.rehearsal.managers().get(2);
+            RehearsalHarness.await(
+                    "the third manager lists three present members",
                     () -> third.loop()
                                     .call(() ->
                                             third.peers().node().membership().presentCount())
                             == 3);
-            stage.run.happen(lies(0, 1, 30));
-            stage.run.happen(lies(1, 1, 30));
-            Stage.await("a quorum is believed", () -> believes(third, 1));
-            Stage.await("what is seen here ends it", () -> {
-                HttpResponse<String> answer = stage.getQuietly(
-                        stage.at(2, "/v1/lectures/t1/index.m3u8?class=talk&viewer=" + System.nanoTime()));
+            harness.rehearsal.happen(falseClaims(0, 1, 30));
+            harness.rehearsal.happen(falseClaims(1, 1, 30));
+            RehearsalHarness.await("the claim of a quorum is believed", () -> hasEvidenceAgainst(third, 1));
+            RehearsalHarness.await("the manager's own observations contradict the claim", () -> {
+                HttpResponse<String> answer = harness.getWithRetry(
+                        harness.uri(2, "/v1/lectures/t1/index.m3u8?class=talk&viewer=" + System.nanoTime()));
                 return answer.statusCode() >= 200
-                        && !believes(third, 1)
+                        && !hasEvidenceAgainst(third, 1)
                         && third.loop().call(() -> third.peers().counters().get("gossip-claims-contradicted")) > 0;
             });
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aManagerCutOffAndOneKilledComeBackToTheGroup() throws Exception {
-        try (Stage stage =
-                new Stage(state, "/managers", GROUP, "/service/operators", "{\"host\": \"127.0.0.1\", \"port\": 0}")) {
-            FrontProcess first = stage.run.managers().get(0);
-            Predicate<State> second = s ->
+    void isolatedManagerServesAndRestartedManagerRejoinsGroup() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(
+                state, "/managers", THREE_MANAGERS, "/service/operators", "{\"host\": \"127.0.0.1\", \"port\": 0}")) {
+            FrontProcess first = harness.rehearsal.managers().get(0);
+            Predicate<State> secondMemberIs = s ->
                     first.loop().call(() -> first.peers().node().membership().state("m1")) == s;
-            Stage.await("it is there", () -> second.test(State.ALIVE));
-            stage.run.happen(new Day.Fault("members-cut", 0, 0, List.of(), 0, 1, 0, false));
-            Stage.await("it is not heard of", () -> second.test(State.DEAD));
-            // cut off from the others it serves as before
-            assertEquals(200, stage.askAt(1, "talk", "v1", "Accept", "*/*").statusCode());
-            stage.kill(1);
-            Stage.await("its new process is", () -> second.test(State.ALIVE));
+            RehearsalHarness.await("the second manager is listed as alive", () -> secondMemberIs.test(State.ALIVE));
+            harness.rehearsal.happen(new Day.Fault("members-cut", 0, 0, List.of(), 0, 1, 0, false));
+            RehearsalHarness.await(
+                    "the isolated second manager is listed as dead", () -> secondMemberIs.test(State.DEAD));
+            // Isolated from the group, it still serves players.
+            assertEquals(
+                    200,
+                    harness.requestLectureAt(1, "talk", "v1", "Accept", "*/*").statusCode());
+            harness.killManager(1);
+            RehearsalHarness.await(
+                    "the second manager's new process is listed as alive", () -> secondMemberIs.test(State.ALIVE));
             URI members =
                     URI.create("http://127.0.0.1:" + first.operatorsAddress().getPort() + "/v1/members");
-            var view = Documents.MAPPER.readTree(stage.get(members).body());
-            assertEquals("calicovale/members/1", view.path("schema").asText());
-            assertEquals(3, view.path("members").size());
-            stage.end();
+            var memberList = Documents.MAPPER.readTree(harness.get(members).body());
+            assertEquals("calicovale/members/1", memberList.path("schema").asText());
+            assertEquals(3, memberList.path("members").size());
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void withoutSettingsForItNoManagerTalksToAnother() throws Exception {
-        try (Stage stage = new Stage(
+    void managersWithoutGossipSettingsSendNoDatagrams() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(
                 state, "/managers", "{\"count\": 2}", "/service/operators", "{\"host\": \"127.0.0.1\", \"port\": 0}")) {
-            for (FrontProcess manager : stage.run.managers()) {
+            for (FrontProcess manager : harness.rehearsal.managers()) {
                 assertNull(manager.peers());
                 assertNull(manager.gossipAddress());
                 assertNotNull(manager.operatorsAddress());
                 assertEquals(
                         404,
-                        stage.get(URI.create("http://127.0.0.1:"
+                        harness.get(URI.create("http://127.0.0.1:"
                                         + manager.operatorsAddress().getPort() + "/v1/members"))
                                 .statusCode());
                 assertEquals(0, manager.loop().call(() -> manager.loop().counters().datagramsSent));
             }
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void firstSetUpsThatFailedAreCountedByWhatWasAnswered() throws Exception {
+    void firstSetUpsFailUnlessAnsweredWith201Or429() throws Exception {
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             entries.add(new Entry(
@@ -190,8 +200,8 @@
         entries.add(new Entry(9, "manager:0", "box:0", 0, 1, Kind.RESPONSE, null, null, 201, "", 0));
         entries.add(new Entry(9, "manager:0", "box:1", 1, 1, Kind.RESPONSE, null, null, 429, "", 0));
         entries.add(new Entry(9, "manager:0", "box:2", 2, 1, Kind.RESPONSE, null, null, 500, "", 0));
-        FirstSetUps firsts = FirstSetUps.of(entries);
-        assertEquals(4, firsts.sent());
-        assertEquals(java.util.Map.of("box:2", 1L, "box:3", 1L), firsts.failedByBox());
+        FirstSetUps firstSetUps = FirstSetUps.of(entries);
+        assertEquals(4, firstSetUps.sent());
+        assertEquals(java.util.Map.of("box:2", 1L, "box:3", 1L), firstSetUps.failedByBox());
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -24,30 +24,32 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The hard cases, each caused through real sockets and judged by the tape. */
+/** Tests failures that are hard to handle, each caused through real sockets and judged by the recording. */
 @Timeout(120)
 class HardCasesTest {
     @TempDir
     private Path state;
 
-    private static boolean setUp(Entry e) {
-        return e.kind() == Kind.REQUEST && "POST".equals(e.method()) && "/v1/sessions".equals(e.target());
+    private static boolean isSetUp(Entry entry) {
+        return entry.kind() == Kind.REQUEST && "POST".equals(entry.method()) && "/v1/sessions".equals(entry.target());
     }
 
-    private static boolean atBox(Entry e) {
-        return e.end().startsWith("box:");
+    private static boolean isAtBox(Entry entry) {
+        return entry.end().startsWith("box:");
     }
 
-    private int[] all(Stage stage) {
-        return java.util.stream.IntStream.range(0, stage.run.boxes().size()).toArray();
+    private int[] boxIndexes(RehearsalHarness harness) {
+        return java.util.stream.IntStream.range(0, harness.rehearsal.boxes().size())
+                .toArray();
     }
 
-    /** Sets a fault at all boxes but one. */
-    private void onlyBox(Stage stage, int open, java.util.function.Consumer<MediaBox> fault) {
-        for (int i : all(stage)) {
-            if (i != open) {
-                stage.run.atBox(i, box -> {
-                    fault.accept(box);
+    /** Applies an action to all boxes but one. */
+    private void applyToAllBoxesBut(
+            RehearsalHarness harness, int exceptBox, java.util.function.Consumer<MediaBox> action) {
+        for (int i : boxIndexes(harness)) {
+            if (i != exceptBox) {
+                harness.rehearsal.atBox(i, box -> {
+                    action.accept(box);
                     return true;
                 });
             }
@@ -55,174 +57,188 @@
     }
 
     @Test
-    void aSessionPlaysFromRequestToSegmentWithTheJdksOwnClient() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            HttpResponse<String> first = stage.ask("contractor-course", "v1");
+    void sessionPlaysFromRequestToSegmentWithJdkHttpClient() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            HttpResponse<String> first = harness.requestLecture("contractor-course", "v1");
             assertEquals(200, first.statusCode());
             assertTrue(Playlist.parse(first.body()).isMultivariant());
-            HttpResponse<String> media = stage.get(stage.at(Stage.media(first)));
+            HttpResponse<String> media = harness.get(harness.uri(RehearsalHarness.mediaPath(first)));
             assertEquals(200, media.statusCode());
             Playlist playlist = Playlist.parse(media.body());
             assertTrue(playlist.entries().size() >= 2);
-            for (String uri : Stage.segments(media.body())) {
-                HttpResponse<String> segment = stage.get(URI.create(uri));
+            for (String uri : RehearsalHarness.segmentUris(media.body())) {
+                HttpResponse<String> segment = harness.get(URI.create(uri));
                 assertEquals(200, segment.statusCode());
                 assertFalse(segment.body().isEmpty());
             }
-            HttpResponse<String> other = stage.get(stage.at("/s/00000000000000000000000000000000/media.m3u8"));
+            HttpResponse<String> other = harness.get(harness.uri("/s/00000000000000000000000000000000/media.m3u8"));
             assertEquals(404, other.statusCode());
-            Report report = stage.end();
+            Report report = harness.finishAndAssertRulesKept();
             assertTrue(report.verdict().checkCount("terms-kept") > 0);
         }
     }
 
     @Test
-    void aBoxThatDiesMidPlaylistIsReplacedAtTheNextLoad() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            String media = Stage.media(stage.ask("talk", "v1"));
-            String before = stage.get(stage.at(media)).body();
-            int box = stage.boxOf(Stage.segments(before).get(0));
-            stage.run.happen(Stage.fault("crash", 0, 0, box));
-            Stage.await("the loss is known", () -> stage.counter("sessions-lost") == 1);
-            HttpResponse<String> next = stage.get(stage.at(media));
+    void crashedBoxIsReplacedAtNextPlaylistReload() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            String media = RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1"));
+            String before = harness.get(harness.uri(media)).body();
+            int box = harness.boxOf(RehearsalHarness.segmentUris(before).get(0));
+            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0, box));
+            RehearsalHarness.await("the manager counts the lost session", () -> harness.counter("sessions-lost") == 1);
+            HttpResponse<String> next = harness.get(harness.uri(media));
             assertEquals(200, next.statusCode());
             List<Playlist.Entry> entries = Playlist.parse(next.body()).entries();
             Playlist.Entry last = entries.get(entries.size() - 1);
-            assertNotEquals(box, stage.boxOf(last.uri()));
+            assertNotEquals(box, harness.boxOf(last.uri()));
             assertTrue(entries.stream().anyMatch(e -> e.has("EXT-X-DISCONTINUITY")));
-            // what was given stays as it was, up to the front of the window
-            assertTrue(Stage.segments(before).stream().anyMatch(Stage.segments(next.body())::contains));
-            assertEquals(200, stage.get(URI.create(last.uri())).statusCode());
-            assertEquals(0, stage.end().verdict().requestsByOutcome().get("answeredTwice"));
+            // Segments that were given stay listed unchanged, as far as the window still covers them.
+            assertTrue(RehearsalHarness.segmentUris(before).stream()
+                    .anyMatch(RehearsalHarness.segmentUris(next.body())::contains));
+            assertEquals(200, harness.get(URI.create(last.uri())).statusCode());
+            assertEquals(
+                    0,
+                    harness.finishAndAssertRulesKept()
+                            .verdict()
+                            .requestsByOutcome()
+                            .get("answeredTwice"));
         }
     }
 
     @Test
-    void aSessionThatIsMovedGoesOnAtAnotherPlaceInTheSamePlaylist() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            HttpResponse<String> first = stage.ask("contractor-course", "v1");
-            String media = Stage.media(first);
-            String before = stage.get(stage.at(media)).body();
+    void movedSessionContinuesElsewhereInSamePlaylist() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            HttpResponse<String> first = harness.requestLecture("contractor-course", "v1");
+            String media = RehearsalHarness.mediaPath(first);
+            String before = harness.get(harness.uri(media)).body();
             String id = first.headers().firstValue("Calicovale-Session").orElseThrow();
-            var manager = stage.run.managers().get(0);
+            var manager = harness.rehearsal.managers().get(0);
             manager.loop().call(() -> {
                 manager.manager().moveSession(id);
                 return true;
             });
-            HttpResponse<String> next = stage.get(stage.at(media));
+            HttpResponse<String> next = harness.get(harness.uri(media));
             for (int i = 0; next.statusCode() == 503 && i < 100; i++) {
-                next = stage.get(stage.at(media));
+                next = harness.get(harness.uri(media));
             }
             assertEquals(200, next.statusCode());
             assertNotEquals(id, next.headers().firstValue("Calicovale-Session").orElseThrow());
-            List<String> now = Stage.segments(next.body());
-            assertTrue(Stage.segments(before).stream().anyMatch(now::contains), "what was given stays");
-            assertEquals(200, stage.get(URI.create(now.get(now.size() - 1))).statusCode());
+            List<String> now = RehearsalHarness.segmentUris(next.body());
+            assertTrue(
+                    RehearsalHarness.segmentUris(before).stream().anyMatch(now::contains),
+                    "no segment that was given is still listed");
+            assertEquals(200, harness.get(URI.create(now.get(now.size() - 1))).statusCode());
             assertEquals(
-                    410, stage.get(URI.create(Stage.segments(before).get(0))).statusCode());
-            stage.end();
+                    410,
+                    harness.get(URI.create(RehearsalHarness.segmentUris(before).get(0)))
+                            .statusCode());
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aSetUpThatTimedOutAndIsStartedLateNeitherPlaysNorHoldsItsStream() throws Exception {
-        // with a lease that outlives the test, only the manager's release lets the ghost go
-        try (Stage stage = new Stage(state, "/service/times/leaseMs", "600000")) {
-            for (int i : all(stage)) {
-                stage.run.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
+    void setUpThatTimedOutAndStartsLateNeitherPlaysNorHoldsItsStream() throws Exception {
+        // The lease is longer than the test, so only the manager's release can end the late set-up.
+        try (RehearsalHarness harness = new RehearsalHarness(state, "/service/times/leaseMs", "600000")) {
+            for (int i : boxIndexes(harness)) {
+                harness.rehearsal.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
             }
-            CompletableFuture<HttpResponse<String>> answer = stage.askAsync("talk", "v1");
-            Entry first = stage.awaitEntry("the first set-up", e -> atBox(e) && setUp(e));
+            CompletableFuture<HttpResponse<String>> answer = harness.requestLectureAsync("talk", "v1");
+            Entry first = harness.awaitEntry("the first set-up", e -> isAtBox(e) && isSetUp(e));
             int hung = Integer.parseInt(first.end().substring(4));
-            // the others wake, the first box stays deaf: the second attempt plays elsewhere
-            onlyBox(stage, hung, MediaBox::endHang);
+            // The other boxes answer again while the first one still hangs, so the second attempt plays elsewhere.
+            applyToAllBoxesBut(harness, hung, MediaBox::endHang);
             assertEquals(200, answer.join().statusCode());
-            String media = Stage.media(answer.join());
+            String media = RehearsalHarness.mediaPath(answer.join());
             assertNotEquals(
                     hung,
-                    stage.boxOf(
-                            Stage.segments(stage.get(stage.at(media)).body()).get(0)));
-            // now the ghost comes to play, and nobody hears of it
-            stage.run.atBox(hung, box -> {
+                    harness.boxOf(RehearsalHarness.segmentUris(
+                                    harness.get(harness.uri(media)).body())
+                            .get(0)));
+            // Now the hung box starts the first attempt, which must not play.
+            harness.rehearsal.atBox(hung, box -> {
                 box.endHang();
                 return box.sessionCount();
             });
-            Stage.await(
-                    "the ghost lets its stream go when it is released",
-                    () -> stage.run.atBox(hung, MediaBox::sessionCount) == 0);
-            Report report = stage.end();
+            RehearsalHarness.await(
+                    "the late set-up is released and frees its stream",
+                    () -> harness.rehearsal.atBox(hung, MediaBox::sessionCount) == 0);
+            Report report = harness.finishAndAssertRulesKept();
             assertTrue(report.verdict().checkCount("no-setup-twice") > 0);
-            long played = stage.run.tape().entries().stream()
-                    .filter(e -> atBox(e)
+            long played = harness.rehearsal.tape().entries().stream()
+                    .filter(e -> isAtBox(e)
                             && e.kind() == Kind.REQUEST
                             && "PUT".equals(e.method())
                             && e.body().contains("confirmed"))
                     .count();
-            assertEquals(1, played, "one attempt alone is confirmed");
+            assertEquals(1, played, "confirmed attempts");
         }
     }
 
     @Test
-    void aGhostWhoseManagerIsDeadLetsItsStreamGoAtTheEndOfItsLease() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            for (int i : all(stage)) {
-                stage.run.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
+    void lateSetUpOfKilledManagerReleasesItsStreamWhenItsLeaseExpires() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            for (int i : boxIndexes(harness)) {
+                harness.rehearsal.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
             }
-            CompletableFuture<HttpResponse<String>> answer = stage.askAsync("talk", "v1");
-            Entry first = stage.awaitEntry("the set-up", e -> atBox(e) && setUp(e));
-            stage.run.happen(new Day.Fault("manager-kill", 0, 0, List.of(), 0, 0, 0, false));
-            assertTrue(answer.handle((a, e) -> e != null).join(), "its manager is dead");
+            CompletableFuture<HttpResponse<String>> answer = harness.requestLectureAsync("talk", "v1");
+            Entry first = harness.awaitEntry("the set-up", e -> isAtBox(e) && isSetUp(e));
+            harness.rehearsal.happen(new Day.Fault("manager-kill", 0, 0, List.of(), 0, 0, 0, false));
+            assertTrue(answer.handle((a, e) -> e != null).join(), "the request of a killed manager was answered");
             int box = Integer.parseInt(first.end().substring(4));
-            assertEquals(1, (int) stage.run.atBox(box, b -> {
+            assertEquals(1, (int) harness.rehearsal.atBox(box, b -> {
                 b.endHang();
                 return b.sessionCount();
             }));
-            Stage.await(
-                    "nobody releases it: the lease ends it", () -> stage.run.atBox(box, MediaBox::sessionCount) == 0);
-            stage.end();
+            RehearsalHarness.await(
+                    "the lease ends the late set-up that nobody releases",
+                    () -> harness.rehearsal.atBox(box, MediaBox::sessionCount) == 0);
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aManagerWithAWrongClockGoesByTheDirectorysWhateverItsOwnDoes() throws Exception {
-        try (Stage stage = new Stage(state, "/managers", "{\"count\": 1, \"skewMs\": [60000]}")) {
-            var manager = stage.run.managers().get(0);
-            assertTrue(Math.abs(offCommonMs(manager)) < 10_000, "off by " + offCommonMs(manager));
-            stage.run.happen(new Day.Fault("clock-step", 0, 0, List.of(), 0, 0, 90_000, false));
-            assertTrue(Math.abs(offCommonMs(manager)) < 10_000, "off by " + offCommonMs(manager));
-            stage.end();
+    void managerWithWrongClockFollowsDirectoryClock() throws Exception {
+        try (RehearsalHarness harness =
+                new RehearsalHarness(state, "/managers", "{\"count\": 1, \"skewMs\": [60000]}")) {
+            var manager = harness.rehearsal.managers().get(0);
+            assertTrue(Math.abs(clockOffsetMs(manager)) < 10_000, "clock offset in ms: " + clockOffsetMs(manager));
+            harness.rehearsal.happen(new Day.Fault("clock-step", 0, 0, List.of(), 0, 0, 90_000, false));
+            assertTrue(Math.abs(clockOffsetMs(manager)) < 10_000, "clock offset in ms: " + clockOffsetMs(manager));
+            harness.finishAndAssertRulesKept();
         }
     }
 
-    private static double offCommonMs(calicovale.front.FrontProcess manager) {
+    private static double clockOffsetMs(calicovale.front.FrontProcess manager) {
         return manager.loop().call(() -> manager.manager().host().nowMs()) - System.currentTimeMillis();
     }
 
     @Test
-    void aViewerThatClosesBetweenSetUpAndAnswerLeavesNoStreamBehind() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            for (int i : all(stage)) {
-                stage.run.atBox(i, box -> box.faults().setUpTimeFactor = 40);
+    void viewerThatClosesBeforeAnswerLeavesNoStreamBehind() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            for (int i : boxIndexes(harness)) {
+                harness.rehearsal.atBox(i, box -> box.faults().setUpTimeFactor = 40);
             }
-            try (Socket s = new Socket("127.0.0.1", stage.run.addresses().get(0).getPort())) {
+            try (Socket s =
+                    new Socket("127.0.0.1", harness.rehearsal.addresses().get(0).getPort())) {
                 s.getOutputStream()
                         .write("GET /v1/lectures/t1/index.m3u8?class=talk&viewer=v1&try=1 HTTP/1.1\r\nHost: h\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII));
-                stage.awaitEntry("the set-up", e -> atBox(e) && setUp(e));
+                harness.awaitEntry("the set-up", e -> isAtBox(e) && isSetUp(e));
             }
-            Stage.await("the departure is told", () -> stage.counter("departed") == 1);
-            Stage.await(
-                    "the boxes hold nothing",
-                    () -> java.util.Arrays.stream(all(stage))
-                            .allMatch(i -> stage.run.atBox(i, MediaBox::sessionCount) == 0));
-            assertEquals(0, stage.counter("played"));
-            stage.end();
+            RehearsalHarness.await("the manager counts the viewer's departure", () -> harness.counter("departed") == 1);
+            RehearsalHarness.await(
+                    "no box holds a session",
+                    () -> java.util.Arrays.stream(boxIndexes(harness))
+                            .allMatch(i -> harness.rehearsal.atBox(i, MediaBox::sessionCount) == 0));
+            assertEquals(0, harness.counter("played"));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aBoxThatAnswersAfterTheDeadlineIsNotHeard() throws Exception {
-        try (Stage stage = new Stage(
+    void boxAnswerAfterDeadlineIsIgnored() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(
                 state,
                 "/service/classes/0/deadlineMs",
                 "1200",
@@ -230,141 +246,153 @@
                 "1",
                 "/service/classes/0/aimMs",
                 "2400")) {
-            for (int i : all(stage)) {
-                // every answer takes longer than the viewer waits
-                stage.run.atBox(i, box -> box.faults().setUpTimeFactor = 300);
+            for (int i : boxIndexes(harness)) {
+                // Every answer of a box takes longer than the viewer waits.
+                harness.rehearsal.atBox(i, box -> box.faults().setUpTimeFactor = 300);
             }
-            HttpResponse<String> answer = stage.ask("talk", "v1");
+            HttpResponse<String> answer = harness.requestLecture("talk", "v1");
             assertTrue(answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
             assertTrue(answer.statusCode() != 503
                     || answer.headers().firstValue("Retry-After").isPresent());
-            Stage.await(
-                    "the boxes hold nothing",
-                    () -> java.util.Arrays.stream(all(stage))
-                            .allMatch(i -> stage.run.atBox(i, MediaBox::sessionCount) == 0));
-            stage.end();
+            RehearsalHarness.await(
+                    "no box holds a session",
+                    () -> java.util.Arrays.stream(boxIndexes(harness))
+                            .allMatch(i -> harness.rehearsal.atBox(i, MediaBox::sessionCount) == 0));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aStalledManagerWakesToABurstAndPushesNoColdBox() throws Exception {
-        try (Stage stage = new Stage(state, "/service/rules/warmAfterMs", "20000")) {
-            // the two other boxes drain, so that all would go to the one that just started
-            stage.run.happen(Stage.fault("crash", 0.1, 0, 0));
-            stage.awaitEntry(
-                    "the cold start is told",
+    void resumedManagerKeepsColdPaceInBurstOfRequests() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state, "/service/rules/warmAfterMs", "20000")) {
+            // The two other boxes refuse set-ups, so without a pace all would go to the box that just started.
+            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0.1, 0, 0));
+            harness.awaitEntry(
+                    "the manager is told of the box's restart",
                     e -> e.end().startsWith("manager")
                             && e.kind() == Kind.EVENT
                             && e.body() != null
                             && e.body().contains("\"id\":0,\"state\":\"ready\"")
                             && !e.body().contains("\"startedMs\":0.0"));
             for (int i : new int[] {1, 2}) {
-                stage.run.atBox(i, box -> box.faults().setUpErrorShare = 1);
+                harness.rehearsal.atBox(i, box -> box.faults().setUpErrorShare = 1);
             }
-            stage.run.happen(new Day.Fault("manager-stall", 0, 1.0, List.of(), 0, 0, 0, false));
+            harness.rehearsal.happen(new Day.Fault("manager-stall", 0, 1.0, List.of(), 0, 0, 0, false));
             List<CompletableFuture<HttpResponse<String>>> burst = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                burst.add(stage.askAsync(i % 2 == 0 ? "talk" : "contractor-course", "v" + i));
+                burst.add(harness.requestLectureAsync(i % 2 == 0 ? "talk" : "contractor-course", "v" + i));
             }
             for (CompletableFuture<HttpResponse<String>> answer : burst) {
                 int status = answer.join().statusCode();
                 assertTrue(status == 200 || status >= 502 && status <= 504, "" + status);
             }
-            assertFalse(stage.run.atBox(0, MediaBox::crashedByOverload));
-            Report report = stage.end();
+            assertFalse(harness.rehearsal.atBox(0, MediaBox::crashedByOverload));
+            Report report = harness.finishAndAssertRulesKept();
             assertEquals(40, report.verdict().requestsByOutcome().get("taken"));
         }
     }
 
     @Test
-    void aBoxThatRestartsOnItsPortKnowsNothingOfBefore() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            String media = Stage.media(stage.ask("talk", "v1"));
-            String segment = Stage.segments(stage.get(stage.at(media)).body()).get(0);
-            int box = stage.boxOf(segment);
-            stage.run.happen(Stage.fault("crash", 0.05, 0, box));
-            stage.awaitEntry(
-                    "the new process", e -> e.kind() == Kind.MARK && e.method().equals("box-start"));
+    void restartedBoxOnSamePortHasNoEarlierSessions() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            String media = RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1"));
+            String segment = RehearsalHarness.segmentUris(
+                            harness.get(harness.uri(media)).body())
+                    .get(0);
+            int box = harness.boxOf(segment);
+            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0.05, 0, box));
+            harness.awaitEntry(
+                    "the box's new process",
+                    e -> e.kind() == Kind.MARK && e.method().equals("box-start"));
             assertEquals(URI.create(segment).getPort(), (int)
-                    stage.run.atBox(box, b -> b.address().getPort()));
-            assertEquals(410, stage.get(URI.create(segment)).statusCode());
-            Stage.await("the loss is known", () -> stage.counter("sessions-lost") == 1);
-            HttpResponse<String> next = stage.get(stage.at(media));
+                    harness.rehearsal.atBox(box, b -> b.address().getPort()));
+            assertEquals(410, harness.get(URI.create(segment)).statusCode());
+            RehearsalHarness.await("the manager counts the lost session", () -> harness.counter("sessions-lost") == 1);
+            HttpResponse<String> next = harness.get(harness.uri(media));
             assertEquals(200, next.statusCode());
-            List<String> now = Stage.segments(next.body());
-            assertEquals(200, stage.get(URI.create(now.get(now.size() - 1))).statusCode());
-            stage.end();
+            List<String> now = RehearsalHarness.segmentUris(next.body());
+            assertEquals(200, harness.get(URI.create(now.get(now.size() - 1))).statusCode());
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aManagerStartsWithoutTheDirectoryFromTheListItKept() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            assertEquals(200, stage.ask("talk", "v1").statusCode());
-            Stage.await(
-                    "the list is kept",
+    void managerStartsFromSavedListWithoutDirectory() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            assertEquals(200, harness.requestLecture("talk", "v1").statusCode());
+            RehearsalHarness.await(
+                    "the box list is saved",
                     () -> state.resolve("list-0.json").toFile().exists());
-            stage.run.happen(Stage.fault("directory-down", 0, 0));
-            stage.awaitEntry("the outage", e -> e.end().equals("directory") && e.kind() == Kind.CLOSED);
-            // later: sessions are placed by the list as it was
-            assertEquals(200, stage.ask("talk", "v2").statusCode());
-            var killed = stage.run.managers().get(0);
-            stage.run.happen(new Day.Fault("manager-kill", 0, 0.05, List.of(), 0, 0, 0, false));
-            Stage.await("a new process", () -> stage.run.managers().get(0) != killed);
-            stage.run.managers().get(0).address();
-            Stage.await("the kept list is used", () -> stage.counter("saved-lists-used") == 1);
-            assertEquals(200, stage.ask("talk", "v3").statusCode());
-            stage.end();
+            harness.rehearsal.happen(RehearsalHarness.fault("directory-down", 0, 0));
+            harness.awaitEntry(
+                    "the directory's connection is closed",
+                    e -> e.end().equals("directory") && e.kind() == Kind.CLOSED);
+            // Without the directory, sessions are placed by the last list.
+            assertEquals(200, harness.requestLecture("talk", "v2").statusCode());
+            var killed = harness.rehearsal.managers().get(0);
+            harness.rehearsal.happen(new Day.Fault("manager-kill", 0, 0.05, List.of(), 0, 0, 0, false));
+            RehearsalHarness.await(
+                    "the manager's new process",
+                    () -> harness.rehearsal.managers().get(0) != killed);
+            harness.rehearsal.managers().get(0).address();
+            RehearsalHarness.await("the saved list is used", () -> harness.counter("saved-lists-used") == 1);
+            assertEquals(200, harness.requestLecture("talk", "v3").statusCode());
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void withoutAnyListRequestsAreRefusedAtOnceAndServedWhenItComes() throws Exception {
-        try (Stage stage = new Stage(state, "/directory/startsAtS", "1.5")) {
-            HttpResponse<String> early = stage.ask("talk", "v1");
+    void requestsAreRefusedAtOnceUntilFirstBoxListArrives() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state, "/directory/startsAtS", "1.5")) {
+            HttpResponse<String> early = harness.requestLecture("talk", "v1");
             assertEquals(503, early.statusCode());
             assertTrue(early.headers().firstValue("Retry-After").isPresent());
-            stage.awaitEntry(
-                    "the list",
+            harness.awaitEntry(
+                    "the first full list",
                     e -> e.end().startsWith("manager") && e.kind() == Kind.EVENT && "full".equals(e.method()));
-            Stage.await(
+            RehearsalHarness.await(
                     "a session plays",
-                    () -> stage.ask("talk", "v" + System.nanoTime()).statusCode() == 200);
-            stage.end();
+                    () -> harness.requestLecture("talk", "v" + System.nanoTime())
+                                    .statusCode()
+                            == 200);
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aFullListThatLacksABoxEndsNoSessionThere() throws Exception {
-        try (Stage stage = new Stage(state)) {
-            String media = Stage.media(stage.ask("talk", "v1"));
-            String segment = Stage.segments(stage.get(stage.at(media)).body()).get(0);
-            int box = stage.boxOf(segment);
-            stage.run.happen(Stage.fault("list-forgets", 0, 0, box));
-            stage.awaitEntry(
-                    "the list without it",
+    void boxMissingFromFullListKeepsItsSessions() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            String media = RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1"));
+            String segment = RehearsalHarness.segmentUris(
+                            harness.get(harness.uri(media)).body())
+                    .get(0);
+            int box = harness.boxOf(segment);
+            harness.rehearsal.happen(RehearsalHarness.fault("list-forgets", 0, 0, box));
+            harness.awaitEntry(
+                    "the full list without the box",
                     e -> e.end().startsWith("manager")
                             && e.kind() == Kind.EVENT
                             && "full".equals(e.method())
                             && !e.body().contains("\"id\":" + box + ","));
             for (int i = 0; i < 6; i++) {
-                String next = Stage.media(stage.askUntilItPlays("talk", "w" + i));
+                String next = RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("talk", "w" + i));
                 assertNotEquals(
                         box,
-                        stage.boxOf(
-                                Stage.segments(stage.get(stage.at(next)).body()).get(0)));
+                        harness.boxOf(RehearsalHarness.segmentUris(
+                                        harness.get(harness.uri(next)).body())
+                                .get(0)));
             }
-            HttpResponse<String> again = stage.get(stage.at(media));
+            HttpResponse<String> again = harness.get(harness.uri(media));
             assertEquals(200, again.statusCode());
-            assertEquals(200, stage.get(URI.create(segment)).statusCode());
-            assertEquals(0, stage.counter("sessions-lost"));
-            assertTrue(stage.end().verdict().checkCount("drains-kept") > 0);
+            assertEquals(200, harness.get(URI.create(segment)).statusCode());
+            assertEquals(0, harness.counter("sessions-lost"));
+            assertTrue(harness.finishAndAssertRulesKept().verdict().checkCount("drains-kept") > 0);
         }
     }
 
     @Test
-    void withEveryLinkShortNoCourseIsAtTheBottomRung() throws Exception {
-        try (Stage stage = new Stage(
+    void noCourseFallsUnderItsFloorWhenAllLinksAreShort() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(
                 state,
                 "/boxes/linkKb",
                 "150",
@@ -374,54 +402,58 @@
                 "0")) {
             List<String> playing = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
-                playing.add(Stage.media(stage.askUntilItPlays(i % 3 == 0 ? "talk" : "contractor-course", "v" + i)));
+                playing.add(RehearsalHarness.mediaPath(
+                        harness.requestLectureUntilAdmitted(i % 3 == 0 ? "talk" : "contractor-course", "v" + i)));
             }
-            for (int i : all(stage)) {
-                stage.run.atBox(i, box -> {
+            for (int i : boxIndexes(harness)) {
+                harness.rehearsal.atBox(i, box -> {
                     box.setLinkDivisor(4);
                     return true;
                 });
             }
-            stage.awaitEntry(
-                    "a session is lowered",
-                    e -> atBox(e)
+            harness.awaitEntry(
+                    "a session's rung is lowered",
+                    e -> isAtBox(e)
                             && e.kind() == Kind.REQUEST
                             && "PUT".equals(e.method())
                             && e.body().contains("\"rung\""));
             for (int round = 0; round < 3; round++) {
                 for (String media : playing) {
-                    stage.get(stage.at(media));
+                    harness.get(harness.uri(media));
                 }
             }
-            Report report = stage.end();
+            Report report = harness.finishAndAssertRulesKept();
             assertTrue(report.verdict().checkCount("terms-kept") > 10);
         }
     }
 
     @Test
-    void aStreamThatFallsSilentIsOpenedAnewAndItsSessionsStay() throws Exception {
-        try (Stage stage = new Stage(state, "/boxes/graceMs", "20000")) {
-            String media = Stage.media(stage.ask("talk", "v1"));
-            String segment = Stage.segments(stage.get(stage.at(media)).body()).get(0);
-            int box = stage.boxOf(segment);
-            Stage.await(
-                    "its news are heard",
-                    () -> stage.run.tape().entries().stream()
+    void silentEventStreamIsReopenedAndItsSessionsStay() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state, "/boxes/graceMs", "20000")) {
+            String media = RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1"));
+            String segment = RehearsalHarness.segmentUris(
+                            harness.get(harness.uri(media)).body())
+                    .get(0);
+            int box = harness.boxOf(segment);
+            RehearsalHarness.await(
+                    "the manager receives an event of the box",
+                    () -> harness.rehearsal.tape().entries().stream()
                             .anyMatch(e -> e.end().equals("manager:0")
                                     && e.peer().equals("box:" + box)
                                     && e.kind() == Kind.EVENT));
-            stage.run.atBox(box, b -> b.faults().silentEventStreams = true);
-            Stage.await("the silence is noticed", () -> stage.counter("box-streams-silent") >= 1);
-            stage.run.atBox(box, b -> b.faults().silentEventStreams = false);
-            assertEquals(200, stage.get(URI.create(segment)).statusCode());
-            assertEquals(0, stage.counter("sessions-lost"));
-            stage.end();
+            harness.rehearsal.atBox(box, b -> b.faults().silentEventStreams = true);
+            RehearsalHarness.await(
+                    "the manager counts the silent event stream", () -> harness.counter("box-streams-silent") >= 1);
+            harness.rehearsal.atBox(box, b -> b.faults().silentEventStreams = false);
+            assertEquals(200, harness.get(URI.create(segment)).statusCode());
+            assertEquals(0, harness.counter("sessions-lost"));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aPageOfAnotherOriginMayReadRefusalsAndSegments() throws Exception {
-        try (Stage stage = new Stage(
+    void listedOriginMayReadRefusalsAndSegments() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(
                 state,
                 "/service/crossOrigin",
                 "{\"origins\": [\"https://page\"]}",
@@ -429,14 +461,14 @@
                 "[\"https://page\"]",
                 "/service/bounds",
                 "{\"sessions\": 1}")) {
-            HttpResponse<String> first = stage.askAt(0, "talk", "v1", "Origin", "https://page");
-            HttpResponse<String> refused = stage.askAt(0, "talk", "v2", "Origin", "https://page");
-            HttpResponse<String> wrong = stage.askAt(0, "none", "v3", "Origin", "https://page");
+            HttpResponse<String> first = harness.requestLectureAt(0, "talk", "v1", "Origin", "https://page");
+            HttpResponse<String> refused = harness.requestLectureAt(0, "talk", "v2", "Origin", "https://page");
+            HttpResponse<String> wrong = harness.requestLectureAt(0, "none", "v3", "Origin", "https://page");
             assertEquals(List.of(200, 503, 400), List.of(first.statusCode(), refused.statusCode(), wrong.statusCode()));
-            String segment = Stage.segments(
-                            stage.get(stage.at(Stage.media(first))).body())
+            String segment = RehearsalHarness.segmentUris(harness.get(harness.uri(RehearsalHarness.mediaPath(first)))
+                            .body())
                     .get(0);
-            HttpResponse<String> played = stage.client.send(
+            HttpResponse<String> played = harness.client.send(
                     HttpRequest.newBuilder(URI.create(segment))
                             .header("Origin", "https://page")
                             .build(),
@@ -455,21 +487,21 @@
                     .contains("Retry-After"));
             assertEquals(
                     "",
-                    stage.askAt(0, "talk", "v4", "Origin", "https://other")
+                    harness.requestLectureAt(0, "talk", "v4", "Origin", "https://other")
                             .headers()
                             .firstValue("Access-Control-Allow-Origin")
                             .orElse(""));
             var status = calicovale.protocols.json.Documents.MAPPER.readTree(
-                    stage.get(stage.at("/v1/status")).body());
+                    harness.get(harness.uri("/v1/status")).body());
             assertEquals(
                     List.of(1, 0),
                     List.of(
                             status.path("sessions").asInt(-1),
                             status.path("pending").asInt(-1)));
-            HttpResponse<String> nothing = stage.get(stage.at("/v1/lectures/t1/index.m3u8"));
+            HttpResponse<String> nothing = harness.get(harness.uri("/v1/lectures/t1/index.m3u8"));
             assertEquals(400, nothing.statusCode());
             assertTrue(nothing.body().contains("class: one of [talk, contractor-course]"), nothing.body());
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
@@ -20,25 +20,27 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** A strict player against session playlists, in virtual time: any course of changes, rungs, moves and restarts. */
+/**
+ * Tests session playlists with a strict player in virtual time, in any course of changes, rungs, moves and restarts.
+ */
 class PlayingTest {
-    private static final double T0 = 1_700_000_000_000.0;
-    private static final SessionPlaylist.WindowShape SHAPE = new SessionPlaylist.WindowShape(3, 3, 3);
+    private static final double START_DATE_MS = 1_700_000_000_000.0;
+    private static final SessionPlaylist.WindowShape WINDOW_SHAPE = new SessionPlaylist.WindowShape(3, 3, 3);
 
-    /** Segments of 2 s, the last shorter; with keys and byte ranges where {@code rich}. */
-    private static SourcePlaylist source(int segments, boolean rich) throws HlsException {
+    /** Returns a playlist with segments of 2 s and a last one of 0.7 s, with keys and byte ranges if asked for. */
+    private static SourcePlaylist source(int segments, boolean keysAndByteRanges) throws HlsException {
         StringBuilder text = new StringBuilder(
                 "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-MEDIA-SEQUENCE:7\n" + "#EXT-X-MAP:URI=\"init.mp4\"\n");
         for (int i = 0; i < segments; i++) {
-            if (rich && i % 5 == 2) {
+            if (keysAndByteRanges && i % 5 == 2) {
                 text.append("#EXT-X-KEY:METHOD=AES-128,URI=\"key").append(i).append("\"\n");
             }
-            text.append(rich && i % 5 == 4 ? "#EXT-X-KEY:METHOD=NONE\n" : "")
+            text.append(keysAndByteRanges && i % 5 == 4 ? "#EXT-X-KEY:METHOD=NONE\n" : "")
                     .append("#EXTINF:")
                     .append(i == segments - 1 ? "0.7" : "2")
                     .append(",\n");
             text.append(
-                    rich && i % 3 > 0
+                    keysAndByteRanges && i % 3 > 0
                             ? "#EXT-X-BYTERANGE:100" + (i % 3 == 1 ? "@0" : "") + "\nfile" + i / 3 + ".m4s\n"
                             : i + ".m4s\n");
         }
@@ -46,69 +48,70 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void noCourseBreaksTheStandard(
+    void sessionPlaylistKeepsRfc8216InAnyCourse(
             @ForAll @Size(max = 60) List<@IntRange(max = 99) Integer> course, @ForAll @IntRange(max = 3) int kind)
             throws HlsException {
         SourcePlaylist lecture = source(60, kind % 2 == 1);
         SourcePlaylist piece = source(2 + kind, kind > 1);
-        SessionPlaylist p = new SessionPlaylist(SHAPE, 0, T0);
+        SessionPlaylist playlist = new SessionPlaylist(WINDOW_SHAPE, 0, START_DATE_MS);
         PlaylistRules rules = new PlaylistRules();
-        Map<Integer, Integer> put = new HashMap<>();
-        double now = 0;
+        Map<Integer, Integer> timesOfferedBySegment = new HashMap<>();
+        double nowMs = 0;
         int rung = 2;
         String box = "a";
-        for (int what : course) {
-            now += 100 * (what % 37);
-            if (what % 5 == 0) {
-                rung = what / 5 % 4;
+        for (int step : course) {
+            nowMs += 100 * (step % 37);
+            if (step % 5 == 0) {
+                rung = step / 5 % 4;
             }
-            if (what % 11 == 3) {
-                box = "b" + what + "x" + Math.round(now);
-                p.resume(lecture, now, now + 300);
-                now += 300;
+            if (step % 11 == 3) {
+                box = "b" + step + "x" + Math.round(nowMs);
+                playlist.resume(lecture, nowMs, nowMs + 300);
+                nowMs += 300;
             }
-            if (what % 29 == 7 && p.runCount() > 0) {
-                // killed after what was reserved: the next process knows no more than that
-                p = new SessionPlaylist(
-                        SHAPE,
-                        now,
-                        T0 + now,
+            if (step % 29 == 7 && playlist.runCount() > 0) {
+                // The manager is killed. Its next process only knows the sequence numbers that were reserved before.
+                playlist = new SessionPlaylist(
+                        WINDOW_SHAPE,
+                        nowMs,
+                        START_DATE_MS + nowMs,
                         new SessionPlaylist.RestartState(
-                                p.nextSequence() + 5,
-                                p.discontinuitySequence() + 3,
-                                p.lectureSegmentAt(lecture, now),
-                                p.targetS(),
-                                p.endDateMs() + 500));
-                box = "c" + Math.round(now);
+                                playlist.nextSequence() + 5,
+                                playlist.discontinuitySequence() + 3,
+                                playlist.lectureSegmentAt(lecture, nowMs),
+                                playlist.targetS(),
+                                playlist.endDateMs() + 500));
+                box = "c" + Math.round(nowMs);
             }
             String base = "http://" + box + "/";
-            int r = rung;
-            int replaces = what % 3;
-            String asset = what % 13 == 0 ? "/pieces/x.m3u8" : null;
-            p.extend(lecture, rung, base + rung + "/", now, new StitchedPiece.Stitcher() {
+            int currentRung = rung;
+            int replacedSegments = step % 3;
+            String assetUri = step % 13 == 0 ? "/pieces/x.m3u8" : null;
+            playlist.extend(lecture, rung, base + rung + "/", nowMs, new StitchedPiece.Stitcher() {
                 @Override
                 public StitchedPiece pieceBefore(int segment, double boundaryS, double boundaryMs) {
-                    boolean here = (segment + kind) % 7 == 0 && put.merge(segment, 1, Integer::sum) == 1;
-                    return here
+                    boolean offered =
+                            (segment + kind) % 7 == 0 && timesOfferedBySegment.merge(segment, 1, Integer::sum) == 1;
+                    return offered
                             ? new StitchedPiece(
                                     "c" + segment,
-                                    r,
-                                    base + "p/" + r + "/",
+                                    currentRung,
+                                    base + "p/" + currentRung + "/",
                                     piece,
                                     segment,
-                                    Math.min(segment + replaces, lecture.segmentCount()),
-                                    asset)
+                                    Math.min(segment + replacedSegments, lecture.segmentCount()),
+                                    assetUri)
                             : null;
                 }
 
                 @Override
                 public StitchedPiece relistPiece(StitchedPiece old) {
-                    return what % 2 == 0
+                    return step % 2 == 0
                             ? null
                             : new StitchedPiece(
                                     old.changeId(),
-                                    r,
-                                    base + "p/" + r + "/",
+                                    currentRung,
+                                    base + "p/" + currentRung + "/",
                                     piece,
                                     old.beforeSegment(),
                                     old.resumeSegment(),
@@ -119,58 +122,60 @@
                 public StitchedPiece continuePiece(StitchedPiece old) {
                     return new StitchedPiece(
                             old.changeId(),
-                            r,
-                            base + "p/" + r + "/",
+                            currentRung,
+                            base + "p/" + currentRung + "/",
                             piece,
                             old.beforeSegment(),
                             old.resumeSegment(),
                             old.assetUri());
                 }
             });
-            if (p.runCount() > 0) {
-                String text = p.render();
+            if (playlist.runCount() > 0) {
+                String text = playlist.render();
                 assertEquals(List.of(), rules.take(text), text);
-                assertTrue(rules.segments().size() <= SHAPE.segmentsAhead() + 1 + SHAPE.segmentsBehind());
-                if (what % 4 == 0) {
-                    p.onSegmentServed(
-                            rules.segments().get(what % rules.segments().size()).uri());
+                assertTrue(rules.segments().size() <= WINDOW_SHAPE.segmentsAhead() + 1 + WINDOW_SHAPE.segmentsBehind());
+                if (step % 4 == 0) {
+                    playlist.onSegmentServed(
+                            rules.segments().get(step % rules.segments().size()).uri());
                 }
             }
         }
     }
 
-    /** Plays a lecture whole with a piece before each of some segments; what was played, in its order. */
-    private static List<String> play(int lectureSegments, Set<Integer> before, double fetchPart, int lostAtStep)
-            throws HlsException {
+    /**
+     * Plays a whole lecture with a piece before each of some segments; returns the paths of what was played, in order.
+     */
+    private static List<String> playWholeLecture(
+            int lectureSegments, Set<Integer> piecesBefore, double fetchPart, int lostAtStep) throws HlsException {
         SourcePlaylist lecture = source(lectureSegments, false);
         SourcePlaylist piece = source(3, false);
-        SessionPlaylist p = new SessionPlaylist(SHAPE, 0, T0);
+        SessionPlaylist playlist = new SessionPlaylist(WINDOW_SHAPE, 0, START_DATE_MS);
         PlaylistRules rules = new PlaylistRules();
-        Set<Integer> left = new HashSet<>(before);
+        Set<Integer> piecesLeft = new HashSet<>(piecesBefore);
         List<String> played = new ArrayList<>();
-        long next = 0;
-        double now = 0;
-        double buffered = 0;
-        double fetchedAt = 0;
+        long nextSequence = 0;
+        double nowMs = 0;
+        double bufferedUntilMs = 0;
+        double fetchedAtMs = 0;
         String box = "a";
         for (int step = 0;
                 step < 10_000
                         && !(rules.ended()
-                                && next
+                                && nextSequence
                                         > rules.segments()
                                                 .get(rules.segments().size() - 1)
                                                 .sequence());
                 step++) {
-            now = 500.0 * step;
+            nowMs = 500.0 * step;
             if (step == lostAtStep) {
                 box = "b";
-                p.resume(lecture, now, now);
+                playlist.resume(lecture, nowMs, nowMs);
             }
             String base = "http://" + box + "/";
-            p.extend(lecture, 1, base + "1/", now, new StitchedPiece.Stitcher() {
+            playlist.extend(lecture, 1, base + "1/", nowMs, new StitchedPiece.Stitcher() {
                 @Override
                 public StitchedPiece pieceBefore(int segment, double boundaryS, double boundaryMs) {
-                    return left.remove(segment)
+                    return piecesLeft.remove(segment)
                             ? new StitchedPiece("c" + segment, 1, base + "p/", piece, segment, segment, null)
                             : null;
                 }
@@ -181,35 +186,35 @@
                             old.changeId(), 1, base + "p/", piece, old.beforeSegment(), old.resumeSegment(), null);
                 }
             });
-            String text = p.render();
+            String text = playlist.render();
             assertEquals(List.of(), rules.take(text), text);
-            for (PlaylistRules.Segment s : rules.segments()) {
-                if (!s.uri().startsWith(base)) {
-                    // a box that is gone gives nothing
-                    next = Math.max(next, s.sequence() + 1);
+            for (PlaylistRules.Segment segment : rules.segments()) {
+                if (!segment.uri().startsWith(base)) {
+                    // A lost box delivers nothing.
+                    nextSequence = Math.max(nextSequence, segment.sequence() + 1);
                     continue;
                 }
-                double takes = fetchPart * 1000 * s.seconds();
-                if (s.sequence() >= next && Math.max(fetchedAt, now) + takes <= now + 500) {
-                    fetchedAt = Math.max(fetchedAt, now) + takes;
+                double fetchMs = fetchPart * 1000 * segment.seconds();
+                if (segment.sequence() >= nextSequence && Math.max(fetchedAtMs, nowMs) + fetchMs <= nowMs + 500) {
+                    fetchedAtMs = Math.max(fetchedAtMs, nowMs) + fetchMs;
                     assertTrue(
-                            played.isEmpty() || fetchedAt <= buffered,
-                            "stalled at " + s + " for " + (fetchedAt - buffered));
-                    buffered = Math.max(buffered, fetchedAt) + 1000 * s.seconds();
-                    next = s.sequence() + 1;
-                    played.add(s.uri().substring(8 + box.length()));
-                    p.onSegmentServed(s.uri());
+                            played.isEmpty() || fetchedAtMs <= bufferedUntilMs,
+                            "stalled at segment " + segment + " for ms " + (fetchedAtMs - bufferedUntilMs));
+                    bufferedUntilMs = Math.max(bufferedUntilMs, fetchedAtMs) + 1000 * segment.seconds();
+                    nextSequence = segment.sequence() + 1;
+                    played.add(segment.uri().substring(8 + box.length()));
+                    playlist.onSegmentServed(segment.uri());
                 }
             }
         }
         return played;
     }
 
-    private static List<String> expected(int lectureSegments, Set<Integer> before) {
+    private static List<String> expected(int lectureSegments, Set<Integer> piecesBefore) {
         List<String> result = new ArrayList<>();
         for (int i = 0; i < lectureSegments; i++) {
-            for (int k = 0; k < 3 && before.contains(i); k++) {
-                result.add("p/" + k + ".m4s");
+            for (int pieceSegment = 0; pieceSegment < 3 && piecesBefore.contains(i); pieceSegment++) {
+                result.add("p/" + pieceSegment + ".m4s");
             }
             result.add("1/" + i + ".m4s");
         }
@@ -217,17 +222,20 @@
     }
 
     @Example
-    void everyPieceIsPlayedAtItsPlaceAndNothingStalls() throws HlsException {
-        for (Set<Integer> before :
+    void everyPieceIsPlayedAtItsPlaceWithoutStall() throws HlsException {
+        for (Set<Integer> piecesBefore :
                 List.of(Set.<Integer>of(), Set.of(0), Set.of(3, 4), Set.of(19), Set.of(0, 7, 19), Set.of(25))) {
-            assertEquals(expected(20, before), play(20, before, 0.2, -1));
+            assertEquals(expected(20, piecesBefore), playWholeLecture(20, piecesBefore, 0.2, -1));
         }
     }
 
     @Example
-    void aLossAnywhereRepeatsNothingAndLeavesNothingOut() throws HlsException {
+    void lossOfBoxAtAnyStepNeitherRepeatsNorSkipsSegments() throws HlsException {
         for (int lostAt = 1; lostAt < 60; lostAt++) {
-            assertEquals(expected(12, Set.of(0, 5)), play(12, Set.of(0, 5), 0.2, lostAt), "lost at step " + lostAt);
+            assertEquals(
+                    expected(12, Set.of(0, 5)),
+                    playWholeLecture(12, Set.of(0, 5), 0.2, lostAt),
+                    "lost at step " + lostAt);
         }
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlaylistCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlaylistCheckerTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each thing that the checker of playlists checks is broken once, in a tape that is good otherwise. */
+/** Breaks each rule of the playlist checker once, in a recording that is valid otherwise. */
 class PlaylistCheckerTest {
-    private static final Figures FIGURES = new Figures(
+    private static final Figures PARAMETERS = new Figures(
             List.of(new Figures.OfClass("course", 3, 5000, Effect.PURE, 1, 0)),
             50,
             2000,
@@ -29,21 +29,21 @@
             -1,
             0,
             0);
-    /** The date of the first segment. */
-    private static final long T0 = 1_700_000_000_000L;
+    /** Date of the first segment, in ms since 1970. */
+    private static final long FIRST_SEGMENT_DATE_MS = 1_700_000_000_000L;
 
-    private final List<Entry> tape = new ArrayList<>();
-    private double at;
+    private final List<Entry> recording = new ArrayList<>();
+    private double lastEntryMs;
 
-    private void add(String end, String target, String body) {
-        tape.add(new Entry(at += 10, end, end, 1, 0, Kind.RESPONSE, "GET", target, 200, body, 0));
+    private void addResponse(String end, String target, String body) {
+        recording.add(new Entry(lastEntryMs += 10, end, end, 1, 0, Kind.RESPONSE, "GET", target, 200, body, 0));
     }
 
-    private void told(long inMs, String more) {
-        String change = "{\"id\":\"storm\",\"start\":{\"atMs\":" + (T0 + inMs) + "},\"validUntilMs\":" + (T0 + 60_000)
-                + more + "}";
-        tape.add(new Entry(
-                at += 10,
+    private void announceChange(long startsInMs, String furtherMembers) {
+        String change = "{\"id\":\"storm\",\"start\":{\"atMs\":" + (FIRST_SEGMENT_DATE_MS + startsInMs)
+                + "},\"validUntilMs\":" + (FIRST_SEGMENT_DATE_MS + 60_000) + furtherMembers + "}";
+        recording.add(new Entry(
+                lastEntryMs += 10,
                 "script",
                 "manager:0",
                 0,
@@ -52,7 +52,7 @@
                 "change-told",
                 null,
                 0,
-                "{\"wallMs\":" + T0 + ",\"change\":" + change + "}",
+                "{\"wallMs\":" + FIRST_SEGMENT_DATE_MS + ",\"change\":" + change + "}",
                 0));
     }
 
@@ -60,98 +60,108 @@
         return "http://127.0.0.1:1/s/" + box + "/" + path;
     }
 
-    /** A session that shows segments, each {@code rung/n} of the lecture or {@code p/storm/rung/n} of the piece, a second each. */
-    private void session(String token, String viewer, String box, UnaryOperator<String> wrong, String... paths) {
-        add(
+    /**
+     * Adds a session that is given segments of 1 s. A path is {@code rung/n} for the lecture or {@code p/storm/rung/n}
+     * for the piece; {@code alteration} is applied to the text of the playlist.
+     */
+    private void addSession(
+            String token, String viewer, String box, UnaryOperator<String> alteration, String... paths) {
+        addResponse(
                 "manager:0",
                 "/v1/lectures/t/index.m3u8?class=course&viewer=" + viewer,
                 "#EXTM3U\n/s/" + token + "/media.m3u8\n");
-        StringBuilder out = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:0\n");
-        long pieces = List.of(paths).stream().filter(p -> p.startsWith("p/")).count();
-        boolean before = false;
+        StringBuilder playlist = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:0\n");
+        long pieceSegments =
+                List.of(paths).stream().filter(p -> p.startsWith("p/")).count();
+        boolean previousIsPiece = false;
         for (int i = 0; i < paths.length; i++) {
-            boolean piece = paths[i].startsWith("p/");
-            String date = Instant.ofEpochMilli(T0 + 1000L * i).toString();
-            if (piece != before || i == 0) {
-                out.append(i == 0 ? "" : "#EXT-X-DISCONTINUITY\n")
+            boolean isPiece = paths[i].startsWith("p/");
+            String date =
+                    Instant.ofEpochMilli(FIRST_SEGMENT_DATE_MS + 1000L * i).toString();
+            if (isPiece != previousIsPiece || i == 0) {
+                playlist.append(i == 0 ? "" : "#EXT-X-DISCONTINUITY\n")
                         .append("#EXT-X-PROGRAM-DATE-TIME:")
                         .append(date)
                         .append('\n');
-                if (piece) {
-                    out.append("#EXT-X-DATERANGE:ID=\"storm-")
+                if (isPiece) {
+                    playlist.append("#EXT-X-DATERANGE:ID=\"storm-")
                             .append(i)
                             .append("\",CLASS=\"org.calicovale.change\",START-DATE=\"")
                             .append(date)
                             .append("\",DURATION=")
-                            .append(Math.max(3, pieces))
+                            .append(Math.max(3, pieceSegments))
                             .append('\n');
                 }
-                out.append("#EXT-X-MAP:URI=\"").append(piece).append("\"\n");
+                playlist.append("#EXT-X-MAP:URI=\"").append(isPiece).append("\"\n");
             }
-            before = piece;
-            out.append("#EXTINF:1,\n").append(uri(box, paths[i])).append(".m4s\n");
-            add("box:0", "/s/" + box + "/" + paths[i] + ".m4s", null);
+            previousIsPiece = isPiece;
+            playlist.append("#EXTINF:1,\n").append(uri(box, paths[i])).append(".m4s\n");
+            addResponse("box:0", "/s/" + box + "/" + paths[i] + ".m4s", null);
         }
-        add("manager:0", "/s/" + token + "/media.m3u8", wrong.apply(out.toString()));
+        addResponse("manager:0", "/s/" + token + "/media.m3u8", alteration.apply(playlist.toString()));
     }
 
-    private static final String[] SHOWN = {"2/0", "2/1", "p/storm/2/0", "p/storm/2/1", "p/storm/2/2", "2/2", "2/3"};
-    private static final String[] PLAIN = {
+    private static final String[] PATHS_WITH_PIECE = {
+        "2/0", "2/1", "p/storm/2/0", "p/storm/2/1", "p/storm/2/2", "2/2", "2/3"
+    };
+    private static final String[] PATHS_WITHOUT_PIECE = {
         "2/0", "2/1", "2/2", "2/3", "2/4", "2/5", "2/6", "2/7", "2/8", "2/9", "2/10", "2/11", "2/12", "2/13", "2/14",
         "2/15"
     };
 
-    private void broken(String what) {
-        PlaylistChecker.Findings found = PlaylistChecker.judge(FIGURES, tape);
-        assertTrue(found.faults().stream().anyMatch(b -> b.contains(what)), what + " in " + found.faults());
+    private void assertFault(String expectedFault) {
+        PlaylistChecker.Findings findings = PlaylistChecker.judge(PARAMETERS, recording);
+        assertTrue(
+                findings.faults().stream().anyMatch(b -> b.contains(expectedFault)),
+                expectedFault + " in " + findings.faults());
     }
 
     @BeforeEach
-    void clear() {
-        tape.clear();
+    void clearRecording() {
+        recording.clear();
     }
 
     @Test
-    void aGoodTapeIsGood() {
-        told(1500, "");
-        session("a1", "v1", "b1", x -> x, SHOWN);
-        session("a2", "v2", "b2", x -> x, SHOWN);
-        PlaylistChecker.Findings found = PlaylistChecker.judge(FIGURES, tape);
-        assertEquals(List.of(), found.faults());
-        assertEquals(2, found.changesShown());
-        assertEquals(2, found.sessionCount());
+    void validRecordingHasNoFaults() {
+        announceChange(1500, "");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITH_PIECE);
+        addSession("a2", "v2", "b2", x -> x, PATHS_WITH_PIECE);
+        PlaylistChecker.Findings findings = PlaylistChecker.judge(PARAMETERS, recording);
+        assertEquals(List.of(), findings.faults());
+        assertEquals(2, findings.changesShown());
+        assertEquals(2, findings.sessionCount());
     }
 
     @Test
-    void aPlaylistThatBreaksTheStandard() {
-        session("a1", "v1", "b1", x -> x.replace("TARGETDURATION:1", "TARGETDURATION:0"), PLAIN);
-        broken("EXT-X-TARGETDURATION is due");
+    void playlistThatBreaksRfc8216IsFound() {
+        addSession("a1", "v1", "b1", x -> x.replace("TARGETDURATION:1", "TARGETDURATION:0"), PATHS_WITHOUT_PIECE);
+        assertFault("EXT-X-TARGETDURATION is due");
     }
 
     @Test
-    void aPlaylistThatNobodyWasGiven() {
-        add("manager:0", "/s/ff/media.m3u8", "#EXTM3U\n");
-        broken("given to nobody");
+    void playlistOfUnknownSessionIsFound() {
+        addResponse("manager:0", "/s/ff/media.m3u8", "#EXTM3U\n");
+        assertFault("given to nobody");
     }
 
     @Test
-    void aSegmentUnderTheFloor() {
-        told(1500, "");
-        session("a1", "v1", "b1", x -> x, "2/0", "2/1", "p/storm/0/0", "p/storm/0/1", "p/storm/0/2", "2/2");
-        broken("under the floor");
+    void segmentUnderRungFloorIsFound() {
+        announceChange(1500, "");
+        addSession("a1", "v1", "b1", x -> x, "2/0", "2/1", "p/storm/0/0", "p/storm/0/1", "p/storm/0/2", "2/2");
+        assertFault("under the floor");
     }
 
     @Test
-    void aChangeBeforeItsTime() {
-        told(2500, "");
-        session("a1", "v1", "b1", x -> x, SHOWN);
-        broken("before its time");
+    void changeBeforeItsTimeIsFound() {
+        announceChange(2500, "");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITH_PIECE);
+        assertFault("before its time");
     }
 
     @Test
-    void aChangeBeforeItsPlace() {
-        told(0, "");
-        tape.set(
+    void changeBeforeItsPlaceIsFound() {
+        announceChange(0, "");
+        recording.set(
                 0,
                 new Entry(
                         1,
@@ -163,36 +173,36 @@
                         "change-told",
                         null,
                         0,
-                        "{\"wallMs\":" + T0
+                        "{\"wallMs\":" + FIRST_SEGMENT_DATE_MS
                                 + ",\"change\":{\"id\":\"storm\",\"start\":{\"lectureS\":3},\"validUntilMs\":"
-                                + (T0 + 60_000) + "}}",
+                                + (FIRST_SEGMENT_DATE_MS + 60_000) + "}}",
                         0));
-        session("a1", "v1", "b1", x -> x, SHOWN);
-        broken("before its place");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITH_PIECE);
+        assertFault("before its place");
     }
 
     @Test
-    void aChangeLongAfterItWasDue() {
-        told(0, "");
-        String[] late = new String[30];
+    void changeLongAfterItWasDueIsFound() {
+        announceChange(0, "");
+        String[] pathsWithLatePiece = new String[30];
         for (int i = 0; i < 30; i++) {
-            late[i] = i < 25 ? "2/" + i : i < 28 ? "p/storm/2/" + (i - 25) : "2/" + (i - 3);
+            pathsWithLatePiece[i] = i < 25 ? "2/" + i : i < 28 ? "p/storm/2/" + (i - 25) : "2/" + (i - 3);
         }
-        session("a1", "v1", "b1", x -> x, late);
-        // the window is short: only the last segments are in the last playlist
-        String whole = tape.get(tape.size() - 1).body();
-        add(
+        addSession("a1", "v1", "b1", x -> x, pathsWithLatePiece);
+        // The last playlist has a short window with only the last segments.
+        String wholePlaylist = recording.get(recording.size() - 1).body();
+        addResponse(
                 "manager:0",
                 "/s/a1/media.m3u8",
                 "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:28\n" + "#EXT-X-DISCONTINUITY-SEQUENCE:1\n"
-                        + whole.substring(whole.lastIndexOf("#EXT-X-DISCONTINUITY\n")));
-        broken("ms after it was due");
+                        + wholePlaylist.substring(wholePlaylist.lastIndexOf("#EXT-X-DISCONTINUITY\n")));
+        assertFault("ms after it was due");
     }
 
     @Test
-    void aChangeAfterItsTimeWasOver() {
-        told(1500, ",\"x\":1");
-        tape.set(
+    void changeAfterItsValidityIsFound() {
+        announceChange(1500, ",\"x\":1");
+        recording.set(
                 0,
                 new Entry(
                         1,
@@ -204,43 +214,43 @@
                         "change-told",
                         null,
                         0,
-                        "{\"wallMs\":" + T0 + ",\"change\":{\"id\":\"storm\",\"start\":{\"atMs\":" + T0
-                                + "},\"validUntilMs\":" + (T0 + 1000) + "}}",
+                        "{\"wallMs\":" + FIRST_SEGMENT_DATE_MS + ",\"change\":{\"id\":\"storm\",\"start\":{\"atMs\":"
+                                + FIRST_SEGMENT_DATE_MS + "},\"validUntilMs\":" + (FIRST_SEGMENT_DATE_MS + 1000) + "}}",
                         0));
-        session("a1", "v1", "b1", x -> x, SHOWN);
-        broken("began after its time was over");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITH_PIECE);
+        assertFault("began after its time was over");
     }
 
     @Test
-    void aChangeThatWasDueAndNotShown() {
-        told(1500, "");
-        session("a1", "v1", "b1", x -> x, PLAIN);
-        add(
+    void changeThatWasDueAndNotShownIsFound() {
+        announceChange(1500, "");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITHOUT_PIECE);
+        addResponse(
                 "manager:0",
                 "/s/a1/media.m3u8",
                 "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:15\n"
-                        + "#EXT-X-PROGRAM-DATE-TIME:" + Instant.ofEpochMilli(T0 + 15_000)
+                        + "#EXT-X-PROGRAM-DATE-TIME:" + Instant.ofEpochMilli(FIRST_SEGMENT_DATE_MS + 15_000)
                         + "\n#EXT-X-MAP:URI=\"false\"\n#EXTINF:1,\n"
                         + uri("b1", "2/15") + ".m4s\n");
-        broken("was due and not shown");
-        assertEquals(1, PlaylistChecker.judge(FIGURES, tape).changesMissed());
+        assertFault("was due and not shown");
+        assertEquals(1, PlaylistChecker.judge(PARAMETERS, recording).changesMissed());
     }
 
     @Test
-    void aChangeForOthers() {
-        told(1500, ",\"for\":{\"classes\":[\"talk\"]}");
-        session("a1", "v1", "b1", x -> x, SHOWN);
-        broken("was not told for it");
+    void changeForOtherClassesIsFound() {
+        announceChange(1500, ",\"for\":{\"classes\":[\"talk\"]}");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITH_PIECE);
+        assertFault("was not told for it");
     }
 
     @Test
-    void aPieceThatIsCut() {
-        told(1500, "");
-        session("a1", "v1", "b1", x -> x, "2/5", "2/6", "p/storm/2/0", "p/storm/2/1", "2/7", "2/8");
-        broken("/2/7.m4s after");
-        tape.clear();
-        told(1500, "");
-        session(
+    void incompletePieceIsFound() {
+        announceChange(1500, "");
+        addSession("a1", "v1", "b1", x -> x, "2/5", "2/6", "p/storm/2/0", "p/storm/2/1", "2/7", "2/8");
+        assertFault("/2/7.m4s after");
+        recording.clear();
+        announceChange(1500, "");
+        addSession(
                 "a1",
                 "v1",
                 "b1",
@@ -250,14 +260,14 @@
                 "p/storm/2/0",
                 "p/storm/2/2",
                 "2/2");
-        broken("p/storm/2/2.m4s after");
+        assertFault("p/storm/2/2.m4s after");
     }
 
     @Test
-    void aViewerThatIsShownAChangeTwice() {
-        told(1500, ",\"once\":\"viewer\"");
-        session("a1", "v1", "b1", x -> x, SHOWN);
-        session("a2", "v1", "b2", x -> x, SHOWN);
-        broken("v1 storm was shown twice");
+    void changeShownTwiceToOneViewerIsFound() {
+        announceChange(1500, ",\"once\":\"viewer\"");
+        addSession("a1", "v1", "b1", x -> x, PATHS_WITH_PIECE);
+        addSession("a2", "v1", "b2", x -> x, PATHS_WITH_PIECE);
+        assertFault("v1 storm was shown twice");
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlaylistRulesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlaylistRulesTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each demand of RFC 8216 on a playlist is broken once, in one that is good otherwise. */
+/** Breaks each checked demand of RFC 8216 once, in a playlist that is valid otherwise. */
 class PlaylistRulesTest {
-    private static final String GOOD = """
+    private static final String VALID_PLAYLIST = """
             #EXTM3U
             #EXT-X-VERSION:7
             #EXT-X-TARGETDURATION:2
@@ -28,7 +28,7 @@
             5.m4s
             """;
 
-    private static String after(String text) {
+    private static String nextReload(String text) {
         return text.replace("SEQUENCE:4", "SEQUENCE:5")
                         .replace("""
                 #EXT-X-PROGRAM-DATE-TIME:2026-01-01T00:00:08.000Z
@@ -42,24 +42,24 @@
                 + "#EXTINF:2,\n6.m4s\n";
     }
 
-    private static void broken(String what, String first, String second) {
+    private static void assertFault(String expectedFault, String first, String second) {
         PlaylistRules rules = new PlaylistRules();
         List<String> faults = rules.take(first);
         if (second != null) {
             assertEquals(List.of(), faults);
             faults = rules.take(second);
         }
-        assertTrue(faults.stream().anyMatch(f -> f.contains(what)), what + " in " + faults);
+        assertTrue(faults.stream().anyMatch(f -> f.contains(expectedFault)), expectedFault + " in " + faults);
     }
 
     @Test
-    void aWindowThatMovesOnAndATagThatGrowsAreGood() {
+    void movingWindowAndAddedAttributesAreValid() {
         PlaylistRules rules = new PlaylistRules();
-        assertEquals(List.of(), rules.take(GOOD));
-        assertEquals(List.of(), rules.take(GOOD));
-        assertEquals(List.of(), rules.take(after(GOOD)));
-        assertEquals(List.of(), rules.take(after(GOOD) + "#EXT-X-ENDLIST\n"));
-        assertEquals(List.of(), rules.take(after(GOOD) + "#EXT-X-ENDLIST\n"));
+        assertEquals(List.of(), rules.take(VALID_PLAYLIST));
+        assertEquals(List.of(), rules.take(VALID_PLAYLIST));
+        assertEquals(List.of(), rules.take(nextReload(VALID_PLAYLIST)));
+        assertEquals(List.of(), rules.take(nextReload(VALID_PLAYLIST) + "#EXT-X-ENDLIST\n"));
+        assertEquals(List.of(), rules.take(nextReload(VALID_PLAYLIST) + "#EXT-X-ENDLIST\n"));
         assertEquals(
                 3,
                 rules.segments().get(1).discontinuitySequence()
@@ -68,39 +68,55 @@
     }
 
     @Test
-    void whatOnePlaylistMayNotHave() {
-        broken("malformed", GOOD.replace("#EXTM3U\n", ""), null);
-        broken("EXT-X-TARGETDURATION is due", GOOD.replace("#EXT-X-TARGETDURATION:2\n", ""), null);
-        broken("longer than the target", GOOD.replace("#EXTINF:2,\n5", "#EXTINF:2.5,\n5"), null);
-        broken("has no EXT-X-MAP", GOOD.replace("#EXT-X-MAP:URI=\"init.mp4\"\n", ""), null);
-        broken("goes back", GOOD.replace("00:00:10.000Z\n", "00:00:07.000Z\n"), null);
-        broken("needs ID and START-DATE", GOOD.replace("ID=\"a-5\",", ""), null);
-        broken(
+    void faultsOfSinglePlaylistAreFound() {
+        assertFault("malformed", VALID_PLAYLIST.replace("#EXTM3U\n", ""), null);
+        assertFault("EXT-X-TARGETDURATION is due", VALID_PLAYLIST.replace("#EXT-X-TARGETDURATION:2\n", ""), null);
+        assertFault("longer than the target", VALID_PLAYLIST.replace("#EXTINF:2,\n5", "#EXTINF:2.5,\n5"), null);
+        assertFault("has no EXT-X-MAP", VALID_PLAYLIST.replace("#EXT-X-MAP:URI=\"init.mp4\"\n", ""), null);
+        assertFault("goes back", VALID_PLAYLIST.replace("00:00:10.000Z\n", "00:00:07.000Z\n"), null);
+        assertFault("needs ID and START-DATE", VALID_PLAYLIST.replace("ID=\"a-5\",", ""), null);
+        assertFault(
                 "is not where the segment before ends",
-                GOOD.replace("#EXT-X-DISCONTINUITY\n", "").replace("00:10.000Z\n", "00:11.000Z\n"),
+                VALID_PLAYLIST.replace("#EXT-X-DISCONTINUITY\n", "").replace("00:10.000Z\n", "00:11.000Z\n"),
                 null);
-        broken("needs EXT-X-PROGRAM-DATE-TIME", GOOD.replaceAll("#EXT-X-PROGRAM-DATE-TIME:.*\n", ""), null);
+        assertFault(
+                "needs EXT-X-PROGRAM-DATE-TIME", VALID_PLAYLIST.replaceAll("#EXT-X-PROGRAM-DATE-TIME:.*\n", ""), null);
     }
 
     @Test
-    void whatAReloadMayNotDo() {
-        broken("the target duration was", GOOD, GOOD.replace("TARGETDURATION:2", "TARGETDURATION:3"));
-        broken("the media sequence went back", GOOD, GOOD.replace("MEDIA-SEQUENCE:4", "MEDIA-SEQUENCE:3"));
-        broken("segments up to 6 were given", GOOD, GOOD.substring(0, GOOD.indexOf("#EXT-X-DISCONTINUITY\n")));
-        broken("goes on after its end", GOOD + "#EXT-X-ENDLIST\n", GOOD + "#EXTINF:2,\n6.m4s\n#EXT-X-ENDLIST\n");
-        broken("goes on after its end", GOOD + "#EXT-X-ENDLIST\n", GOOD);
-        broken("segment 5 was", GOOD, after(GOOD).replace("5.m4s", "other.m4s"));
-        broken("segment 5 was", GOOD, after(GOOD).replace("IV=0x01", "IV=0x02"));
-        broken("segment 5 was", GOOD, after(GOOD).replace("other.mp4", "third.mp4"));
-        broken("segment 5 was", GOOD, after(GOOD).replace("#EXT-X-DISCONTINUITY\n", ""));
-        broken(
+    void faultsBetweenReloadsAreFound() {
+        assertFault(
+                "the target duration was",
+                VALID_PLAYLIST,
+                VALID_PLAYLIST.replace("TARGETDURATION:2", "TARGETDURATION:3"));
+        assertFault(
+                "the media sequence went back",
+                VALID_PLAYLIST,
+                VALID_PLAYLIST.replace("MEDIA-SEQUENCE:4", "MEDIA-SEQUENCE:3"));
+        assertFault(
+                "segments up to 6 were given",
+                VALID_PLAYLIST,
+                VALID_PLAYLIST.substring(0, VALID_PLAYLIST.indexOf("#EXT-X-DISCONTINUITY\n")));
+        assertFault(
+                "goes on after its end",
+                VALID_PLAYLIST + "#EXT-X-ENDLIST\n",
+                VALID_PLAYLIST + "#EXTINF:2,\n6.m4s\n#EXT-X-ENDLIST\n");
+        assertFault("goes on after its end", VALID_PLAYLIST + "#EXT-X-ENDLIST\n", VALID_PLAYLIST);
+        assertFault("segment 5 was", VALID_PLAYLIST, nextReload(VALID_PLAYLIST).replace("5.m4s", "other.m4s"));
+        assertFault("segment 5 was", VALID_PLAYLIST, nextReload(VALID_PLAYLIST).replace("IV=0x01", "IV=0x02"));
+        assertFault("segment 5 was", VALID_PLAYLIST, nextReload(VALID_PLAYLIST).replace("other.mp4", "third.mp4"));
+        assertFault("segment 5 was", VALID_PLAYLIST, nextReload(VALID_PLAYLIST).replace("#EXT-X-DISCONTINUITY\n", ""));
+        assertFault(
                 "the discontinuity number",
-                GOOD,
-                after(GOOD).replace("DISCONTINUITY-SEQUENCE:1", "DISCONTINUITY-SEQUENCE:2"));
-        broken("the date of segment 5 was", GOOD, after(GOOD).replace("00:10.000Z\n", "00:10.500Z\n"));
-        broken(
+                VALID_PLAYLIST,
+                nextReload(VALID_PLAYLIST).replace("DISCONTINUITY-SEQUENCE:1", "DISCONTINUITY-SEQUENCE:2"));
+        assertFault(
+                "the date of segment 5 was",
+                VALID_PLAYLIST,
+                nextReload(VALID_PLAYLIST).replace("00:10.000Z\n", "00:10.500Z\n"));
+        assertFault(
                 "EXT-X-DATERANGE a-5 was altered",
-                GOOD,
-                after(GOOD).replace("PLANNED-DURATION=2.000", "PLANNED-DURATION=4.000"));
+                VALID_PLAYLIST,
+                nextReload(VALID_PLAYLIST).replace("PLANNED-DURATION=2.000", "PLANNED-DURATION=4.000"));
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each thing that the checker checks is broken once, in a tape that is good otherwise. */
+/** Breaks each rule of the rule checker once, in a recording that keeps all rules otherwise. */
 class RuleCheckerTest {
-    private static final Figures FIGURES = new Figures(
+    private static final Figures PARAMETERS = new Figures(
             List.of(
                     new Figures.OfClass("course", 3, 5000, Effect.PURE, 1, 0),
                     new Figures.OfClass("paid", 1, 5000, Effect.SIDE_EFFECT, 0, 0),
@@ -32,11 +32,11 @@
             0.5,
             10_000);
 
-    private final List<Entry> tape = new ArrayList<>();
-    private long conns = 100;
+    private final List<Entry> recording = new ArrayList<>();
+    private long lastConnection = 100;
 
-    private void add(
-            double at,
+    private void addEntry(
+            double atMs,
             String end,
             String peer,
             long conn,
@@ -45,73 +45,98 @@
             String target,
             int status,
             String body) {
-        tape.add(
-                new Entry(at, end, peer, conn, kind == Kind.MALFORMED ? -1 : 0, kind, method, target, status, body, 0));
+        recording.add(new Entry(
+                atMs, end, peer, conn, kind == Kind.MALFORMED ? -1 : 0, kind, method, target, status, body, 0));
     }
 
-    private void mark(double at, String what, String concerned, String detail) {
-        add(at, "script", concerned, 0, Kind.MARK, what, null, 0, detail);
+    private void addMark(double atMs, String kind, String concerned, String detail) {
+        addEntry(atMs, "script", concerned, 0, Kind.MARK, kind, null, 0, detail);
     }
 
-    private void exchange(
+    private void addExchange(
             String end,
             String peer,
-            double asked,
-            double answered,
+            double askedMs,
+            double answeredMs,
             String method,
             String target,
             String body,
             int status,
             String answer,
             String session) {
-        long conn = ++conns;
-        add(asked, end, peer, conn, Kind.REQUEST, method, target, 0, body);
-        if (answered >= 0) {
-            add(answered, end, peer, conn, Kind.HEAD, method, target, status, session);
-            add(answered, end, peer, conn, Kind.RESPONSE, method, target, status, answer);
+        long conn = ++lastConnection;
+        addEntry(askedMs, end, peer, conn, Kind.REQUEST, method, target, 0, body);
+        if (answeredMs >= 0) {
+            addEntry(answeredMs, end, peer, conn, Kind.HEAD, method, target, status, session);
+            addEntry(answeredMs, end, peer, conn, Kind.RESPONSE, method, target, status, answer);
         }
     }
 
-    /** A viewer's request, seen at both ends; {@code answered} below 0: never. */
-    private void ask(double at, double answered, String viewer, String k, String session, String token, int status) {
-        String target = "/v1/lectures/t/index.m3u8?class=" + k + "&viewer=" + viewer + "&try=1";
+    /** Adds a viewer's request as recorded at both ends; it has no answer when {@code answeredMs} is below 0. */
+    private void addLectureRequest(
+            double atMs,
+            double answeredMs,
+            String viewer,
+            String sessionClass,
+            String session,
+            String token,
+            int status) {
+        String target = "/v1/lectures/t/index.m3u8?class=" + sessionClass + "&viewer=" + viewer + "&try=1";
         String playlist = "#EXTM3U\n/s/" + token + "/media.m3u8\n";
-        exchange(
+        addExchange(
                 "viewers",
                 "manager:0",
-                at,
-                answered < 0 ? -1 : answered + 1,
+                atMs,
+                answeredMs < 0 ? -1 : answeredMs + 1,
                 "GET",
                 target,
                 "",
                 status,
                 playlist,
                 session);
-        exchange("manager:0", "manager:0", at + 1, answered, "GET", target, "", status, playlist, session);
+        addExchange("manager:0", "manager:0", atMs + 1, answeredMs, "GET", target, "", status, playlist, session);
     }
 
-    private static String setUpBody(String session, int attempt, String k, int rung) {
+    private static String setUpBody(String session, int attempt, String sessionClass, int rung) {
         return "{\"session\":\"" + session + "\",\"attempt\":" + attempt + ",\"key\":\"" + session + "." + attempt
-                + "\",\"class\":\"" + k + "\",\"title\":\"t\",\"manager\":\"0.x\",\"rung\":" + rung + "}";
-    }
-
-    private void setUp(double at, double over, int box, String session, int attempt, String k, int rung, int status) {
-        String body = setUpBody(session, attempt, k, rung);
+                + "\",\"class\":\"" + sessionClass + "\",\"title\":\"t\",\"manager\":\"0.x\",\"rung\":" + rung + "}";
+    }
+
+    private void addSetUp(
+            double atMs,
+            double answeredMs,
+            int box,
+            String session,
+            int attempt,
+            String sessionClass,
+            int rung,
+            int status) {
+        String body = setUpBody(session, attempt, sessionClass, rung);
         String answer = "{\"base\":\"/s/token-" + session + "-" + attempt + "/\"}";
-        exchange("manager:0", "box:" + box, at, over, "POST", "/v1/sessions", body, status, answer, null);
-        exchange("box:" + box, "box:" + box, at + 1, over - 1, "POST", "/v1/sessions", body, status, answer, null);
+        addExchange("manager:0", "box:" + box, atMs, answeredMs, "POST", "/v1/sessions", body, status, answer, null);
+        addExchange(
+                "box:" + box,
+                "box:" + box,
+                atMs + 1,
+                answeredMs - 1,
+                "POST",
+                "/v1/sessions",
+                body,
+                status,
+                answer,
+                null);
     }
 
-    private void message(double at, int box, String method, String key, String body) {
-        exchange("box:" + box, "box:" + box, at, at + 1, method, "/v1/sessions/" + key, body, 204, null, null);
+    private void addSessionMessage(double atMs, int box, String method, String key, String body) {
+        addExchange("box:" + box, "box:" + box, atMs, atMs + 1, method, "/v1/sessions/" + key, body, 204, null, null);
     }
 
-    private void segment(double at, int box, String token, int rung) {
-        exchange(
+    private void addSegment(double atMs, int box, String token, int rung) {
+        addExchange(
                 "box:" + box,
                 "box:" + box,
-                at,
-                at + 5,
+                atMs,
+                atMs + 5,
                 "GET",
                 "/s/" + token + "/" + rung + "/0.m4s",
                 "",
@@ -120,23 +145,23 @@
                 null);
     }
 
-    private void list(double at, String type, String boxes) {
-        add(at, "manager:0", "directory", 7, Kind.EVENT, type, "/v1/boxes", 200, "{\"boxes\":[" + boxes + "]}");
+    private void addBoxList(double atMs, String type, String boxes) {
+        addEntry(atMs, "manager:0", "directory", 7, Kind.EVENT, type, "/v1/boxes", 200, "{\"boxes\":[" + boxes + "]}");
     }
 
-    private static String listed(int box, String state) {
+    private static String boxJson(int box, String state) {
         return "{\"id\":" + box + ",\"state\":\"" + state + "\"}";
     }
 
-    /** One session of each kind that keeps all rules. */
-    private void good() {
-        mark(0, "manager-start", "manager:0", null);
-        list(1, "full", listed(1, "ready") + "," + listed(2, "ready"));
-        ask(100, 150, "v1", "course", "m0-x-1", "S1", 200);
-        setUp(110, 140, 1, "m0-x-1", 0, "course", 2, 201);
-        message(145, 1, "PUT", "m0-x-1.0", "{\"confirmed\":true}");
-        segment(200, 1, "token-m0-x-1-0", 2);
-        exchange(
+    /** Adds a box list and one played session that keep all rules. */
+    private void addSessionsThatKeepAllRules() {
+        addMark(0, "manager-start", "manager:0", null);
+        addBoxList(1, "full", boxJson(1, "ready") + "," + boxJson(2, "ready"));
+        addLectureRequest(100, 150, "v1", "course", "m0-x-1", "S1", 200);
+        addSetUp(110, 140, 1, "m0-x-1", 0, "course", 2, 201);
+        addSessionMessage(145, 1, "PUT", "m0-x-1.0", "{\"confirmed\":true}");
+        addSegment(200, 1, "token-m0-x-1-0", 2);
+        addExchange(
                 "viewers",
                 "manager",
                 180,
@@ -150,187 +175,187 @@
     }
 
     private Verdict judge() {
-        tape.sort(Comparator.comparingDouble(Entry::atMs));
-        return RuleChecker.judge(FIGURES, tape);
+        recording.sort(Comparator.comparingDouble(Entry::atMs));
+        return RuleChecker.judge(PARAMETERS, recording);
     }
 
-    private void broken(String rule) {
-        Verdict v = judge();
+    private void assertOnlyViolated(String rule) {
+        Verdict verdict = judge();
         for (String other : Verdict.RULES) {
-            assertEquals(other.equals(rule), v.violationCount(other) > 0, other + ": " + v.violations());
+            assertEquals(other.equals(rule), verdict.violationCount(other) > 0, other + ": " + verdict.violations());
         }
-        assertTrue(v.checkCount(rule) > 0 || rule.equals("no-session-lost"));
+        assertTrue(verdict.checkCount(rule) > 0 || rule.equals("no-session-lost"));
     }
 
     @Test
-    void aGoodTapeBreaksNothing() {
-        good();
-        Verdict v = judge();
-        assertTrue(v.allRulesKept(), v.violations().toString());
-        assertEquals(1, v.requestsByOutcome().get("taken"));
-        assertEquals(1, v.requestsByOutcome().get("played"));
-        assertEquals(3, v.worthInTime());
-        assertEquals(1, v.checkCount("no-setup-twice"));
-        assertEquals(2, v.checkCount("terms-kept"));
+    void recordingThatKeepsAllRulesHasNoViolations() {
+        addSessionsThatKeepAllRules();
+        Verdict verdict = judge();
+        assertTrue(verdict.allRulesKept(), verdict.violations().toString());
+        assertEquals(1, verdict.requestsByOutcome().get("taken"));
+        assertEquals(1, verdict.requestsByOutcome().get("played"));
+        assertEquals(3, verdict.worthInTime());
+        assertEquals(1, verdict.checkCount("no-setup-twice"));
+        assertEquals(2, verdict.checkCount("terms-kept"));
     }
 
     @Test
-    void aRequestWithoutAnAnswerIsFound() {
-        good();
-        ask(300, -1, "v2", "course", null, "S2", 0);
-        broken("no-session-lost");
+    void requestWithoutAnswerIsViolation() {
+        addSessionsThatKeepAllRules();
+        addLectureRequest(300, -1, "v2", "course", null, "S2", 0);
+        assertOnlyViolated("no-session-lost");
     }
 
     @Test
-    void anAnswerAfterTheViewersTimeIsFound() {
-        good();
-        ask(300, 5400, "v2", "course", null, "S2", 503);
-        broken("no-session-lost");
+    void answerAfterDeadlineIsViolation() {
+        addSessionsThatKeepAllRules();
+        addLectureRequest(300, 5400, "v2", "course", null, "S2", 503);
+        assertOnlyViolated("no-session-lost");
     }
 
     @Test
-    void aViewerThatLeavesEarlyOrAManagerThatStoodStillExcuses() {
-        good();
-        ask(300, -1, "v2", "course", null, "S2", 0);
-        add(500, "manager:0", "manager:0", conns, Kind.CLOSED, null, null, 0, null);
-        mark(9000, "manager-stall", "manager:0", "6000");
-        ask(9500, 14_900, "v3", "course", null, "S3", 503);
+    void missingAnswerIsExcusedByEarlyDepartureOrStalledManager() {
+        addSessionsThatKeepAllRules();
+        addLectureRequest(300, -1, "v2", "course", null, "S2", 0);
+        addEntry(500, "manager:0", "manager:0", lastConnection, Kind.CLOSED, null, null, 0, null);
+        addMark(9000, "manager-stall", "manager:0", "6000");
+        addLectureRequest(9500, 14_900, "v3", "course", null, "S3", 503);
         assertTrue(judge().allRulesKept());
     }
 
     @Test
-    void aViewerThatWaitedToTheEndOfItsTimeDoesNotExcuse() {
-        good();
-        ask(300, -1, "v2", "course", null, "S2", 0);
-        add(5300, "manager:0", "manager:0", conns, Kind.CLOSED, null, null, 0, null);
-        broken("no-session-lost");
+    void missingAnswerIsNotExcusedByViewerThatWaitedToDeadline() {
+        addSessionsThatKeepAllRules();
+        addLectureRequest(300, -1, "v2", "course", null, "S2", 0);
+        addEntry(5300, "manager:0", "manager:0", lastConnection, Kind.CLOSED, null, null, 0, null);
+        assertOnlyViolated("no-session-lost");
     }
 
     @Test
-    void aSecondAnswerIsFound() {
-        good();
-        add(400, "viewers", "manager:0", 101, Kind.MALFORMED, null, null, 200, "a response without a request");
-        broken("no-session-lost");
+    void secondAnswerIsViolation() {
+        addSessionsThatKeepAllRules();
+        addEntry(400, "viewers", "manager:0", 101, Kind.MALFORMED, null, null, 200, "a response without a request");
+        assertOnlyViolated("no-session-lost");
         assertEquals(1, judge().requestsByOutcome().get("answeredTwice"));
     }
 
     @Test
-    void twoAttemptsOutAtOnceAreFound() {
-        good();
-        setUp(1000, 1300, 1, "m0-x-2", 0, "course", 2, 500);
-        setUp(1200, 1400, 2, "m0-x-2", 1, "course", 2, 201);
-        broken("no-setup-twice");
+    void concurrentAttemptsOfOneSessionAreViolation() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1300, 1, "m0-x-2", 0, "course", 2, 500);
+        addSetUp(1200, 1400, 2, "m0-x-2", 1, "course", 2, 201);
+        assertOnlyViolated("no-setup-twice");
     }
 
     @Test
-    void oneAttemptAfterAnotherIsWell() {
-        good();
-        setUp(1000, 1300, 1, "m0-x-2", 0, "course", 2, 500);
-        setUp(1301, 1400, 2, "m0-x-2", 1, "course", 2, 201);
+    void successiveAttemptsKeepTheRules() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1300, 1, "m0-x-2", 0, "course", 2, 500);
+        addSetUp(1301, 1400, 2, "m0-x-2", 1, "course", 2, 201);
         assertTrue(judge().allRulesKept(), judge().violations().toString());
     }
 
     @Test
-    void anAttemptThatWasCalledOffAtTheManagersEndIsOver() {
-        good();
-        setUp(1000, -1, 1, "m0-x-2", 0, "course", 2, 0);
-        add(1250, "manager:0", "box:1", conns - 1, Kind.CLOSED, null, null, 0, null);
-        setUp(1251, 1400, 2, "m0-x-2", 1, "course", 2, 201);
+    void attemptIsOverWhenManagerClosesItsConnection() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, -1, 1, "m0-x-2", 0, "course", 2, 0);
+        addEntry(1250, "manager:0", "box:1", lastConnection - 1, Kind.CLOSED, null, null, 0, null);
+        addSetUp(1251, 1400, 2, "m0-x-2", 1, "course", 2, 201);
         assertTrue(judge().allRulesKept(), judge().violations().toString());
     }
 
     @Test
-    void theSameAttemptSentTwiceIsFound() {
-        good();
-        setUp(1000, 1100, 1, "m0-x-2", 0, "course", 2, 500);
-        setUp(1200, 1300, 1, "m0-x-2", 0, "course", 2, 500);
-        broken("no-setup-twice");
+    void sameAttemptSentTwiceIsViolation() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1100, 1, "m0-x-2", 0, "course", 2, 500);
+        addSetUp(1200, 1300, 1, "m0-x-2", 0, "course", 2, 500);
+        assertOnlyViolated("no-setup-twice");
     }
 
     @Test
-    void aRepeatOfWhatMayHaveRunIsFoundWhereItIsPaidFor() {
-        good();
-        setUp(1000, 1100, 1, "m0-x-2", 0, "paid", 2, 500);
-        setUp(1200, 1300, 2, "m0-x-2", 1, "paid", 2, 201);
-        broken("no-setup-twice");
+    void repeatedSetUpWithSideEffectIsViolation() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1100, 1, "m0-x-2", 0, "paid", 2, 500);
+        addSetUp(1200, 1300, 2, "m0-x-2", 1, "paid", 2, 201);
+        assertOnlyViolated("no-setup-twice");
     }
 
     @Test
-    void aRefusalOfWhatMayHaveRunIsFoundWhereItIsPaidFor() {
-        good();
-        setUp(1000, 1100, 1, "m0-x-2", 0, "paid", 2, 429);
-        ask(990, 1200, "v2", "paid", "m0-x-2", "S2", 503);
+    void refusalAfterSetUpWithSideEffectMayHaveRunIsViolation() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1100, 1, "m0-x-2", 0, "paid", 2, 429);
+        addLectureRequest(990, 1200, "v2", "paid", "m0-x-2", "S2", 503);
         assertTrue(judge().allRulesKept(), judge().violations().toString());
-        setUp(2000, 2100, 1, "m0-x-3", 0, "paid", 2, 500);
-        ask(1990, 2200, "v3", "paid", "m0-x-3", "S3", 503);
-        broken("no-setup-twice");
+        addSetUp(2000, 2100, 1, "m0-x-3", 0, "paid", 2, 500);
+        addLectureRequest(1990, 2200, "v3", "paid", "m0-x-3", "S3", 503);
+        assertOnlyViolated("no-setup-twice");
     }
 
     @Test
-    void aGhostThatPlaysIsFound() {
-        good();
-        setUp(1000, 1100, 1, "m0-x-2", 0, "course", 2, 201);
-        segment(1500, 1, "token-m0-x-2-0", 2);
-        broken("no-setup-twice");
+    void segmentOfUnconfirmedSetUpIsViolation() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1100, 1, "m0-x-2", 0, "course", 2, 201);
+        addSegment(1500, 1, "token-m0-x-2-0", 2);
+        assertOnlyViolated("no-setup-twice");
     }
 
     @Test
-    void twoThatPlayAtOnceAreFoundAndOneAfterTheOtherIsWell() {
-        good();
-        setUp(1000, 1100, 1, "m0-x-2", 0, "course", 2, 201);
-        message(1110, 1, "PUT", "m0-x-2.0", "{\"confirmed\":true}");
-        setUp(1200, 1300, 2, "m0-x-2", 1, "course", 2, 201);
-        message(1250, 1, "DELETE", "m0-x-2.0", "");
-        message(1310, 2, "PUT", "m0-x-2.1", "{\"confirmed\":true}");
+    void concurrentPlaybackOfOneSessionIsViolationAndSuccessivePlaybackIsNot() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1100, 1, "m0-x-2", 0, "course", 2, 201);
+        addSessionMessage(1110, 1, "PUT", "m0-x-2.0", "{\"confirmed\":true}");
+        addSetUp(1200, 1300, 2, "m0-x-2", 1, "course", 2, 201);
+        addSessionMessage(1250, 1, "DELETE", "m0-x-2.0", "");
+        addSessionMessage(1310, 2, "PUT", "m0-x-2.1", "{\"confirmed\":true}");
         assertTrue(judge().allRulesKept(), judge().violations().toString());
-        tape.removeIf(e -> "DELETE".equals(e.method()));
-        broken("no-setup-twice");
+        recording.removeIf(e -> "DELETE".equals(e.method()));
+        assertOnlyViolated("no-setup-twice");
     }
 
     @Test
-    void aSetUpAtADrainedBoxIsFound() {
-        good();
-        list(1000, "change", listed(1, "draining"));
-        setUp(2900, 2950, 1, "m0-x-2", 0, "course", 2, 201);
+    void setUpAtDrainingBoxAfterGraceIsViolation() {
+        addSessionsThatKeepAllRules();
+        addBoxList(1000, "change", boxJson(1, "draining"));
+        addSetUp(2900, 2950, 1, "m0-x-2", 0, "course", 2, 201);
         assertTrue(judge().allRulesKept());
-        setUp(3100, 3150, 1, "m0-x-3", 0, "course", 2, 201);
-        broken("drains-kept");
+        addSetUp(3100, 3150, 1, "m0-x-3", 0, "course", 2, 201);
+        assertOnlyViolated("drains-kept");
     }
 
     @Test
-    void aBoxThatAFullListLacksIsGoneAndOneThatComesBackIsNot() {
-        good();
-        list(1000, "full", listed(2, "ready"));
-        setUp(3100, 3150, 1, "m0-x-2", 0, "course", 2, 201);
-        broken("drains-kept");
-        list(3050, "change", listed(1, "ready"));
+    void boxMissingFromFullListIsDrainedUntilItIsListedAgain() {
+        addSessionsThatKeepAllRules();
+        addBoxList(1000, "full", boxJson(2, "ready"));
+        addSetUp(3100, 3150, 1, "m0-x-2", 0, "course", 2, 201);
+        assertOnlyViolated("drains-kept");
+        addBoxList(3050, "change", boxJson(1, "ready"));
         assertTrue(judge().allRulesKept());
     }
 
     @Test
-    void aColdBoxThatIsPushedIsFound() {
-        good();
-        mark(1000, "box-start", "box:2", null);
-        // 20 streams over 10 s, half of it at first, times 2: two in a second, and one of slack
+    void setUpsAboveColdPaceAreViolation() {
+        addSessionsThatKeepAllRules();
+        addMark(1000, "box-start", "box:2", null);
+        // 20 streams over 10 s, half of that right after the start, times 2: two in a second, and one more as slack.
         for (int i = 0; i < 3; i++) {
-            setUp(2000 + 100 * i, 2050 + 100 * i, 2, "m0-x-" + (10 + i), 0, "course", 2, 201);
+            addSetUp(2000 + 100 * i, 2050 + 100 * i, 2, "m0-x-" + (10 + i), 0, "course", 2, 201);
         }
         assertTrue(judge().allRulesKept(), judge().violations().toString());
-        setUp(2400, 2450, 2, "m0-x-20", 0, "course", 2, 201);
-        broken("cold-paced");
+        addSetUp(2400, 2450, 2, "m0-x-20", 0, "course", 2, 201);
+        assertOnlyViolated("cold-paced");
     }
 
     @Test
-    void aSetUpUnderTheFloorIsFound() {
-        good();
-        setUp(1000, 1100, 1, "m0-x-2", 0, "course", 0, 201);
-        broken("terms-kept");
+    void setUpUnderRungFloorIsViolation() {
+        addSessionsThatKeepAllRules();
+        addSetUp(1000, 1100, 1, "m0-x-2", 0, "course", 0, 201);
+        assertOnlyViolated("terms-kept");
     }
 
     @Test
-    void aPlaylistUnderTheFloorIsFound() {
-        good();
-        exchange(
+    void playlistUnderRungFloorIsViolation() {
+        addSessionsThatKeepAllRules();
+        addExchange(
                 "viewers",
                 "manager",
                 980,
@@ -341,39 +366,39 @@
                 200,
                 "#EXTM3U\nhttp://b/s/k/0/1.m4s\n",
                 null);
-        broken("terms-kept");
+        assertOnlyViolated("terms-kept");
     }
 
     @Test
-    void aChangeUnderTheFloorIsFound() {
-        good();
-        message(1000, 1, "PUT", "m0-x-1.0", "{\"rung\":0,\"change\":1}");
-        broken("terms-kept");
+    void rungChangeUnderFloorIsViolation() {
+        addSessionsThatKeepAllRules();
+        addSessionMessage(1000, 1, "PUT", "m0-x-1.0", "{\"rung\":0,\"change\":1}");
+        assertOnlyViolated("terms-kept");
     }
 
     @Test
-    void aSeatTooManyIsFound() {
-        good();
+    void setUpBeyondSeatsIsViolation() {
+        addSessionsThatKeepAllRules();
         for (int i = 0; i < 2; i++) {
-            setUp(1000 + i, 1100 + i, 1, "m0-x-" + (10 + i), 0, "seated", 2, 201);
-            message(1110 + i, 1, "PUT", "m0-x-" + (10 + i) + ".0", "{\"confirmed\":true}");
+            addSetUp(1000 + i, 1100 + i, 1, "m0-x-" + (10 + i), 0, "seated", 2, 201);
+            addSessionMessage(1110 + i, 1, "PUT", "m0-x-" + (10 + i) + ".0", "{\"confirmed\":true}");
         }
-        setUp(900, 950, 1, "m0-x-9", 0, "seated", 2, 429);
+        addSetUp(900, 950, 1, "m0-x-9", 0, "seated", 2, 429);
         assertTrue(judge().allRulesKept(), judge().violations().toString());
-        setUp(1500, 1600, 2, "m0-x-30", 0, "seated", 2, 201);
-        broken("terms-kept");
+        addSetUp(1500, 1600, 2, "m0-x-30", 0, "seated", 2, 201);
+        assertOnlyViolated("terms-kept");
     }
 
     @Test
-    void furtherAttemptsBeyondTheBudgetAreFound() {
-        good();
-        // one is free, and a half for each request taken within the window: m0-x-1 to m0-x-3
-        setUp(1000, 1010, 1, "m0-x-2", 0, "course", 2, 500);
-        setUp(1020, 1030, 2, "m0-x-2", 1, "course", 2, 500);
-        setUp(1100, 1110, 1, "m0-x-3", 0, "course", 2, 500);
-        setUp(1120, 1130, 2, "m0-x-3", 1, "course", 2, 500);
+    void furtherAttemptsBeyondBudgetAreViolation() {
+        addSessionsThatKeepAllRules();
+        // One further attempt is free, and half of one for each request taken within the window: m0-x-1 to m0-x-3.
+        addSetUp(1000, 1010, 1, "m0-x-2", 0, "course", 2, 500);
+        addSetUp(1020, 1030, 2, "m0-x-2", 1, "course", 2, 500);
+        addSetUp(1100, 1110, 1, "m0-x-3", 0, "course", 2, 500);
+        addSetUp(1120, 1130, 2, "m0-x-3", 1, "course", 2, 500);
         assertTrue(judge().allRulesKept(), judge().violations().toString());
-        setUp(1140, 1150, 1, "m0-x-3", 2, "course", 2, 500);
-        broken("attempts-rationed");
+        addSetUp(1140, 1150, 1, "m0-x-3", 2, "course", 2, 500);
+        assertOnlyViolated("attempts-rationed");
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Programme changes through real sockets: told by an operator, shown to a player. */
+/** Tests programme changes through real sockets, from an operator's announcement to a player's playlist. */
 @Timeout(120)
 class StitchTest {
     private static final String OPERATORS = "{\"host\": \"127.0.0.1\", \"port\": 0}";
@@ -35,34 +35,35 @@
     @TempDir
     private Path state;
 
-    private static String change(String id, int lowestRung) {
+    private static String changeAtOneSecond(String id, int lowestRung) {
         return "{\"schema\":\"calicovale/change/1\",\"id\":\"" + id
                 + "\",\"piece\":{\"title\":\"storm\",\"renditions\":[{\"rung\":" + lowestRung
                 + ",\"rateKb\":5,\"durationsS\":[0.5,0.5,0.5]}]},\"start\":{\"lectureS\":1},\"validUntilMs\":9e12}";
     }
 
-    private static HttpResponse<String> tell(Stage stage, String method, String path, String body) throws Exception {
-        InetSocketAddress at = stage.run.managers().get(0).operatorsAddress();
-        return stage.client.send(
-                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + path))
+    private static HttpResponse<String> sendToOperatorsPort(
+            RehearsalHarness harness, String method, String path, String body) throws Exception {
+        InetSocketAddress address = harness.rehearsal.managers().get(0).operatorsAddress();
+        return harness.client.send(
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + path))
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
-    void aChangeIsShownAtItsPlaceAndTheLectureGoesOn() throws Exception {
-        try (Stage stage = stage()) {
-            told(stage, 0, change("storm-1", 1));
-            String media = Stage.media(stage.ask("contractor-course", "v1"));
+    void changeIsShownAtItsPlaceAndLectureContinues() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
+            announce(harness, 0, changeAtOneSecond("storm-1", 1));
+            String media = RehearsalHarness.mediaPath(harness.requestLecture("contractor-course", "v1"));
             String[] shown = {""};
-            Stage.await("the piece is shown and the lecture goes on", () -> {
+            RehearsalHarness.await("the piece is listed and the lecture continues", () -> {
                 try {
-                    shown[0] = stage.get(stage.at(media)).body();
+                    shown[0] = harness.get(harness.uri(media)).body();
                 } catch (java.io.IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
-                List<String> all = Stage.segments(shown[0]);
+                List<String> all = RehearsalHarness.segmentUris(shown[0]);
                 return all.stream().anyMatch(s -> s.contains("/p/storm/"))
                         && !all.get(all.size() - 1).contains("/p/storm/");
             });
@@ -73,7 +74,7 @@
             }
             int to = from;
             while (entries.get(to).uri().contains("/p/storm/")) {
-                assertEquals(200, stage.get(URI.create(entries.get(to).uri())).statusCode());
+                assertEquals(200, harness.get(URI.create(entries.get(to).uri())).statusCode());
                 to++;
             }
             assertEquals(3, to - from, shown[0]);
@@ -81,80 +82,89 @@
                     && entries.get(from).has("EXT-X-MAP"));
             assertTrue(entries.get(to).has("EXT-X-DISCONTINUITY")
                     && entries.get(to).has("EXT-X-MAP"));
-            assertEquals(1, stage.counter("changes-shown"));
-            // while it played the box was told what it takes, and behind it the rung in force again
-            List<Integer> told = stage.run.tape().entries().stream()
+            assertEquals(1, harness.counter("changes-shown"));
+            // While the piece played the box was told the piece's rate, and after it the rung in force again.
+            List<Integer> told = harness.rehearsal.tape().entries().stream()
                     .filter(e -> e.end().startsWith("manager:")
                             && e.kind() == Entry.Kind.REQUEST
                             && "PUT".equals(e.method())
                             && e.body().contains("\"rung\""))
                     .map(e -> Integer.parseInt(e.body().replaceAll(".*\"rung\":(\\d+).*", "$1")))
                     .toList();
-            assertEquals(2, stage.counter("piece-rates-told"), "told " + told);
-            assertTrue(told.contains(1) && told.lastIndexOf(1) < told.size() - 1, "told " + told);
-            stage.end();
+            assertEquals(2, harness.counter("piece-rates-told"), "rungs told: " + told);
+            assertTrue(told.contains(1) && told.lastIndexOf(1) < told.size() - 1, "rungs told: " + told);
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aCourseIsNotShownAPieceUnderItsFloor() throws Exception {
-        try (Stage stage = stage()) {
-            // only the bottom rendition fits its link, and that is under its floor
-            told(
-                    stage,
+    void courseIsNotShownPieceUnderItsFloor() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
+            // Only the lowest rendition fits the link, and that is under the floor of the course.
+            announce(
+                    harness,
                     0,
-                    change("storm-1", 0)
+                    changeAtOneSecond("storm-1", 0)
                             .replace(
                                     "\"durationsS\":[0.5,0.5,0.5]}]}",
                                     "\"durationsS\":[0.5,0.5,0.5]},{\"rung\":1,\"rateKb\":900,\"durationsS\":[0.5,0.5,0.5]}]}"));
-            String media = Stage.media(stage.ask("contractor-course", "v1"));
-            Stage.await("the change waits", () -> {
+            String media = RehearsalHarness.mediaPath(harness.requestLecture("contractor-course", "v1"));
+            RehearsalHarness.await("the change is counted as without a rendition", () -> {
                 try {
-                    assertTrue(!stage.get(stage.at(media)).body().contains("/p/storm/"));
+                    assertTrue(!harness.get(harness.uri(media)).body().contains("/p/storm/"));
                 } catch (java.io.IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
-                return stage.counter("changes-without-rendition") > 0;
+                return harness.counter("changes-without-rendition") > 0;
             });
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void whatWasToldIsThereAfterAKillAndWhatWasWithdrawnIsNot() throws Exception {
-        try (Stage stage = stage()) {
+    void announcedChangeSurvivesKillAndWithdrawnOneStaysWithdrawn() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
             for (String id : List.of("a", "b")) {
                 assertEquals(
-                        201, tell(stage, "POST", "/v1/changes", change(id, 1)).statusCode());
+                        201,
+                        sendToOperatorsPort(harness, "POST", "/v1/changes", changeAtOneSecond(id, 1))
+                                .statusCode());
             }
-            HttpResponse<String> bad =
-                    tell(stage, "POST", "/v1/changes", change("c", 1).replace("lectureS", "lecture"));
+            HttpResponse<String> bad = sendToOperatorsPort(
+                    harness, "POST", "/v1/changes", changeAtOneSecond("c", 1).replace("lectureS", "lecture"));
             assertEquals(422, bad.statusCode());
             assertTrue(bad.body().contains("/start"), bad.body());
-            assertEquals(204, tell(stage, "DELETE", "/v1/changes/a", "").statusCode());
-            assertEquals(404, tell(stage, "DELETE", "/v1/changes/a", "").statusCode());
-            var killed = stage.run.managers().get(0);
-            stage.run.happen(
+            assertEquals(
+                    204,
+                    sendToOperatorsPort(harness, "DELETE", "/v1/changes/a", "").statusCode());
+            assertEquals(
+                    404,
+                    sendToOperatorsPort(harness, "DELETE", "/v1/changes/a", "").statusCode());
+            var killed = harness.rehearsal.managers().get(0);
+            harness.rehearsal.happen(
                     new calicovale.rehearsal.day.Day.Fault("manager-kill", 0, 0.05, List.of(), 0, 0, 0, false));
-            Stage.await("a new process", () -> stage.run.managers().get(0) != killed);
-            String listed = tell(stage, "GET", "/v1/changes", "").body();
+            RehearsalHarness.await(
+                    "the manager's new process",
+                    () -> harness.rehearsal.managers().get(0) != killed);
+            String listed =
+                    sendToOperatorsPort(harness, "GET", "/v1/changes", "").body();
             assertTrue(
                     listed.contains("\"id\":\"b\"")
                             && !listed.contains("\"id\":\"a\"")
                             && !listed.contains("\"id\":\"c\""),
                     listed);
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
-    // --- Hard cases ---
+    // --- Failures and restarts ---
 
-    private Stage stage(String... more) throws Exception {
-        return stage(state, more);
+    private RehearsalHarness startHarness(String... furtherSettings) throws Exception {
+        return startHarness(state, furtherSettings);
     }
 
-    private static Stage stage(Path state, String... more) throws Exception {
-        List<String> all = new ArrayList<>(List.of(
+    private static RehearsalHarness startHarness(Path state, String... furtherSettings) throws Exception {
+        List<String> settings = new ArrayList<>(List.of(
                 "/service/operators",
                 OPERATORS,
                 "/service/changesFolder",
@@ -165,12 +175,12 @@
                 "{\"storm\": 3}",
                 "/boxes/segments",
                 "200"));
-        all.addAll(List.of(more));
-        return new Stage(state, all.toArray(new String[0]));
+        settings.addAll(List.of(furtherSettings));
+        return new RehearsalHarness(state, settings.toArray(new String[0]));
     }
 
-    /** A change that is due now, with the ladder's own rates. */
-    private static String now(String id, String more) {
+    /** Returns a change document that is due now, with the rates of the ladder. */
+    private static String changeDueNow(String id, String furtherMembers) {
         StringBuilder renditions = new StringBuilder();
         for (int rung = 0; rung < 4; rung++) {
             renditions
@@ -183,188 +193,211 @@
         }
         return "{\"schema\":\"calicovale/change/1\",\"id\":\"" + id
                 + "\",\"piece\":{\"title\":\"storm\",\"renditions\":[" + renditions
-                + "]},\"start\":{\"atMs\":1},\"validUntilMs\":9000000000000" + more + "}";
+                + "]},\"start\":{\"atMs\":1},\"validUntilMs\":9000000000000" + furtherMembers + "}";
     }
 
-    private static void told(Stage stage, int manager, String document) throws Exception {
-        stage.tell(new Day.Telling(
+    private static void announce(RehearsalHarness harness, int manager, String document) throws Exception {
+        harness.announce(new Day.Telling(
                 0, List.of(manager), (ObjectNode) Documents.MAPPER.readTree(document), Double.NaN, null));
     }
 
-    /** Reloads as a player would until a playlist fits; gives it. */
-    private static String until(Stage stage, URI media, String what, Predicate<String> fits) {
+    /** Reloads a media playlist as a player does until it matches, and returns it. */
+    private static String reloadUntil(
+            RehearsalHarness harness, URI media, String description, Predicate<String> matches) {
         String[] shown = {""};
-        Stage.await(what, () -> {
-            HttpResponse<String> answer = stage.getQuietly(media);
+        RehearsalHarness.await(description, () -> {
+            HttpResponse<String> answer = harness.getWithRetry(media);
             shown[0] = answer.statusCode() == 200 ? answer.body() : shown[0];
-            return answer.statusCode() == 200 && fits.test(shown[0]);
+            return answer.statusCode() == 200 && matches.test(shown[0]);
         });
         return shown[0];
     }
 
-    private static boolean storm(String playlist) {
+    private static boolean hasPiece(String playlist) {
         return playlist.contains("/p/storm/");
     }
 
-    private static int segment(String uri) {
+    private static int segmentNumber(String uri) {
         return Integer.parseInt(uri.substring(uri.lastIndexOf('/') + 1, uri.lastIndexOf('.')));
     }
 
-    /** The piece is listed whole and the lecture goes on behind it. */
-    private static boolean behind(String playlist) {
-        List<String> all = Stage.segments(playlist);
-        return storm(playlist) && !all.get(all.size() - 1).contains("/p/storm/");
+    /** Returns whether a playlist lists the piece and ends with a segment of the lecture. */
+    private static boolean isLectureAfterPiece(String playlist) {
+        List<String> all = RehearsalHarness.segmentUris(playlist);
+        return hasPiece(playlist) && !all.get(all.size() - 1).contains("/p/storm/");
     }
 
     @Test
-    void aManagerKilledWithTheChangeGivenGoesOnAboveItAndShowsItNoMore() throws Exception {
-        try (Stage stage = stage("/service/times/aliveMs", "100", "/boxes/idleMs", "60000")) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            until(
-                    stage,
+    void killedManagerContinuesAboveGivenSegmentsAndDoesNotRepeatChange() throws Exception {
+        try (RehearsalHarness harness = startHarness("/service/times/aliveMs", "100", "/boxes/idleMs", "60000")) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            reloadUntil(
+                    harness,
                     media,
-                    "the lecture is under way",
-                    p -> segment(Stage.segments(p).get(0)) > 4);
-            told(stage, 0, now("storm-1", ""));
-            String last = until(stage, media, "the piece is listed", StitchTest::storm);
+                    "the lecture's first segments have left the window",
+                    p -> segmentNumber(RehearsalHarness.segmentUris(p).get(0)) > 4);
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            String last = reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
             long given = Playlist.parse(last).number("EXT-X-MEDIA-SEQUENCE", -1)
-                    + Stage.segments(last).size();
-            stage.kill(0);
+                    + RehearsalHarness.segmentUris(last).size();
+            harness.killManager(0);
             String[] first = {null};
-            until(stage, media, "the lecture goes on", p -> {
-                assertTrue(!storm(p), p);
+            reloadUntil(harness, media, "the lecture continues", p -> {
+                assertTrue(!hasPiece(p), p);
                 first[0] = first[0] == null ? p : first[0];
-                return Stage.segments(p).size() > 6;
+                return RehearsalHarness.segmentUris(p).size() > 6;
             });
             assertTrue(Playlist.parse(first[0]).number("EXT-X-MEDIA-SEQUENCE", -1) >= given, first[0]);
-            int place = segment(Stage.segments(first[0]).get(0));
+            int place = segmentNumber(RehearsalHarness.segmentUris(first[0]).get(0));
             assertTrue(
-                    place >= segment(Stage.segments(last).get(0)),
-                    "the lecture does not begin again: " + first[0] + " after " + last);
-            assertEquals(1, stage.counter("sessions-back"));
-            assertEquals(1, stage.end().playlists().changesShown());
+                    place >= segmentNumber(RehearsalHarness.segmentUris(last).get(0)),
+                    "the lecture began again: " + first[0] + " after " + last);
+            assertEquals(1, harness.counter("sessions-back"));
+            assertEquals(1, harness.finishAndAssertRulesKept().playlists().changesShown());
         }
     }
 
     @Test
-    void aManagerKilledWhileTheShowingGoesToTheDiskHasNotGivenIt() throws Exception {
-        try (Stage stage = stage("/service/times/stitchWaitMs", "100")) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            until(stage, media, "the lecture plays", p -> Stage.segments(p).size() > 3);
-            stage.run.happen(new Day.Fault("disk-stall", 0, 0, List.of(), 0, 0, 20_000, false));
-            told(stage, 0, now("storm-1", ""));
-            Stage.await("a boundary is passed without the disk", () -> {
-                assertTrue(!storm(stage.getQuietly(media).body()));
-                return stage.counter("changes-waits-over") > 0;
+    void changeIsListedOnlyOnceItsShowingIsOnDisk() throws Exception {
+        try (RehearsalHarness harness = startHarness("/service/times/stitchWaitMs", "100")) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            reloadUntil(
+                    harness,
+                    media,
+                    "the lecture plays",
+                    p -> RehearsalHarness.segmentUris(p).size() > 3);
+            harness.rehearsal.happen(new Day.Fault("disk-stall", 0, 0, List.of(), 0, 0, 20_000, false));
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            RehearsalHarness.await("a segment boundary passes while the disk stalls", () -> {
+                assertTrue(!hasPiece(harness.getWithRetry(media).body()));
+                return harness.counter("changes-waits-over") > 0;
             });
-            stage.kill(0);
-            until(stage, media, "the piece is listed by the next process", StitchTest::storm);
-            until(stage, media, "the lecture goes on", p -> behind(p));
-            stage.end();
+            harness.killManager(0);
+            reloadUntil(harness, media, "the next process lists the piece", StitchTest::hasPiece);
+            reloadUntil(harness, media, "the lecture continues", p -> isLectureAfterPiece(p));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aFullDiskIsToldOfAndTheChangeIsShownAllTheSame() throws Exception {
-        try (Stage stage = stage()) {
-            stage.run.happen(new Day.Fault("disk-full", 0, 0, List.of(), 0, 0, 0, false));
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            told(stage, 0, now("storm-1", ""));
-            until(stage, media, "the piece is played out", p -> behind(p));
-            assertTrue(stage.counter("sessions-log-failed") > 0);
-            stage.end();
+    void fullDiskIsCountedAndChangeIsStillShown() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
+            harness.rehearsal.happen(new Day.Fault("disk-full", 0, 0, List.of(), 0, 0, 0, false));
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            reloadUntil(harness, media, "the piece is played out", p -> isLectureAfterPiece(p));
+            assertTrue(harness.counter("sessions-log-failed") > 0);
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aPieceThatTheBoxLacksIsSetUpAtAHolder() throws Exception {
-        try (Stage stage = stage("/boxes/piecesOn", "[1]")) {
+    void pieceMissingAtBoxIsSetUpAtHolder() throws Exception {
+        try (RehearsalHarness harness = startHarness("/boxes/piecesOn", "[1]")) {
             List<URI> all = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                all.add(stage.at(Stage.media(stage.askUntilItPlays("contractor-course", "v" + i))));
+                all.add(harness.uri(
+                        RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("contractor-course", "v" + i))));
             }
-            told(stage, 0, now("storm-1", ""));
+            announce(harness, 0, changeDueNow("storm-1", ""));
             Set<URI> whole = new HashSet<>();
-            Stage.await("all are shown the whole piece", () -> {
+            RehearsalHarness.await("all sessions list the whole piece", () -> {
                 for (URI media : all) {
-                    HttpResponse<String> answer = stage.getQuietly(media);
-                    List<String> piece = answer.statusCode() == 200 ? stage.ofPiece(answer.body()) : List.of();
+                    HttpResponse<String> answer = harness.getWithRetry(media);
+                    List<String> piece = answer.statusCode() == 200 ? harness.pieceSegments(answer.body()) : List.of();
                     if (piece.size() == 3 && whole.add(media)) {
                         for (String segment : piece) {
-                            assertEquals(1, stage.boxOf(segment), segment);
+                            assertEquals(1, harness.boxOf(segment), segment);
                             assertEquals(
-                                    200, stage.getQuietly(URI.create(segment)).statusCode(), segment);
+                                    200,
+                                    harness.getWithRetry(URI.create(segment)).statusCode(),
+                                    segment);
                         }
                     }
                 }
                 return whole.size() == all.size();
             });
-            assertTrue(stage.counter("piece-set-ups") > 0, "no session was at another box");
-            assertEquals(6, stage.end().playlists().changesShown());
+            assertTrue(harness.counter("piece-set-ups") > 0, "no session plays at a box without the piece");
+            assertEquals(6, harness.finishAndAssertRulesKept().playlists().changesShown());
         }
     }
 
-    private void diesWhen(String what, Predicate<String> listed) throws Exception {
-        try (Stage stage = stage(state.resolve(what.replace(' ', '-')))) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            until(stage, media, "the lecture plays", p -> Stage.segments(p).size() > 5);
-            told(stage, 0, now("storm-1", ""));
-            String shown = until(stage, media, what, listed);
-            int box = stage.boxOf(Stage.segments(shown).get(0));
-            stage.run.happen(Stage.fault("crash", 0, 0.0, box));
-            // nothing of the piece was fetched: what the clock says was not played comes from the other box, in its
-            // order
+    private void assertPieceSurvivesCrashWhen(String description, Predicate<String> matches) throws Exception {
+        try (RehearsalHarness harness = startHarness(state.resolve(description.replace(' ', '-')))) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            reloadUntil(
+                    harness,
+                    media,
+                    "the lecture plays",
+                    p -> RehearsalHarness.segmentUris(p).size() > 5);
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            String shown = reloadUntil(harness, media, description, matches);
+            int box = harness.boxOf(RehearsalHarness.segmentUris(shown).get(0));
+            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0.0, box));
+            // No segment of the piece was fetched. Those that were not played yet by the clock come from the other box,
+            // in
+            // order.
             Set<String> pieces = new HashSet<>();
-            until(stage, media, "the lecture goes on at another box, behind the piece", p -> {
-                List<String> there = Stage.segments(p).stream()
-                        .filter(x -> stage.boxOf(x) != box)
+            reloadUntil(harness, media, "the lecture continues at another box after the piece", p -> {
+                List<String> there = RehearsalHarness.segmentUris(p).stream()
+                        .filter(x -> harness.boxOf(x) != box)
                         .toList();
                 there.stream()
                         .filter(x -> x.contains("/p/storm/"))
                         .forEach(x -> pieces.add(x.substring(x.lastIndexOf('/'))));
                 return there.size() > 3 && !there.get(there.size() - 1).contains("/p/storm/");
             });
-            assertTrue(pieces.contains("/2.m4s"), "its last segment was not played when the box died: " + pieces);
-            stage.end();
+            assertTrue(
+                    pieces.contains("/2.m4s"),
+                    "another box does not list the piece's last segment, which was not played at the crash: " + pieces);
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aBoxThatDiesWithinAPieceOrAtItsEdgesDoesNotTakeItAlong() throws Exception {
-        diesWhen("its first segment is listed", StitchTest::storm);
-        diesWhen("it is listed whole, and the lecture not yet", p -> pieces(p) == 3 && !behind(p));
-        diesWhen("the lecture's next segment is listed", StitchTest::behind);
+    void pieceSurvivesCrashOfBoxWithinItOrAtItsEdges() throws Exception {
+        assertPieceSurvivesCrashWhen("the first segment of the piece is listed", StitchTest::hasPiece);
+        assertPieceSurvivesCrashWhen(
+                "the whole piece is listed, and no lecture after it",
+                p -> countPieceSegments(p) == 3 && !isLectureAfterPiece(p));
+        assertPieceSurvivesCrashWhen("the next lecture segment is listed", StitchTest::isLectureAfterPiece);
     }
 
-    private static long pieces(String playlist) {
-        return Stage.segments(playlist).stream()
+    private static long countPieceSegments(String playlist) {
+        return RehearsalHarness.segmentUris(playlist).stream()
                 .filter(s -> s.contains("/p/storm/"))
                 .count();
     }
 
     @Test
-    void aRungThatFallsWithinAPieceAndRisesAtItsEndIsFollowed() throws Exception {
-        try (Stage stage = stage()) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            String id = stage.getQuietly(media)
+    void pieceAndLectureFollowRungChanges() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            String id = harness.getWithRetry(media)
                     .headers()
                     .firstValue("Calicovale-Session")
                     .orElseThrow();
-            var manager = stage.run.managers().get(0);
-            rung(manager, id, 3);
-            told(stage, 0, now("storm-1", ""));
-            until(stage, media, "its first segment is listed", p -> p.contains("/p/storm/3/0.m4s"));
-            rung(manager, id, 1);
-            until(stage, media, "it goes on at another rendition", p -> p.contains("/p/storm/1/2.m4s"));
-            rung(manager, id, 2);
-            String after = until(stage, media, "the lecture goes on at the rung then in force", StitchTest::behind);
+            var manager = harness.rehearsal.managers().get(0);
+            setRung(manager, id, 3);
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            reloadUntil(
+                    harness, media, "the first segment of the piece is listed", p -> p.contains("/p/storm/3/0.m4s"));
+            setRung(manager, id, 1);
+            reloadUntil(
+                    harness, media, "the piece continues at another rendition", p -> p.contains("/p/storm/1/2.m4s"));
+            setRung(manager, id, 2);
+            String after = reloadUntil(
+                    harness, media, "the lecture continues at the rung in force", StitchTest::isLectureAfterPiece);
             assertTrue(
-                    Stage.segments(after).get(Stage.segments(after).size() - 1).matches(".*/2/\\d+\\.m4s"), after);
-            stage.end();
+                    RehearsalHarness.segmentUris(after)
+                            .get(RehearsalHarness.segmentUris(after).size() - 1)
+                            .matches(".*/2/\\d+\\.m4s"),
+                    after);
+            harness.finishAndAssertRulesKept();
         }
     }
 
-    private static void rung(calicovale.front.FrontProcess manager, String id, int rung) {
+    private static void setRung(calicovale.front.FrontProcess manager, String id, int rung) {
         manager.loop().call(() -> {
             manager.manager().setRung(id, rung);
             return true;
@@ -372,38 +405,40 @@
     }
 
     @Test
-    void aHolderThatDiesWithinAPieceLeavesTheLectureGoingOn() throws Exception {
-        try (Stage stage = stage("/boxes/piecesOn", "[1]")) {
+    void lectureContinuesWhenHolderCrashesWithinPiece() throws Exception {
+        try (RehearsalHarness harness = startHarness("/boxes/piecesOn", "[1]")) {
             Map<URI, String> all = new HashMap<>();
             for (int i = 0; i < 6; i++) {
-                all.put(stage.at(Stage.media(stage.askUntilItPlays("talk", "v" + i))), "");
+                all.put(
+                        harness.uri(RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("talk", "v" + i))),
+                        "");
             }
-            told(stage, 0, now("storm-1", ""));
+            announce(harness, 0, changeDueNow("storm-1", ""));
             URI[] beside = new URI[1];
-            Stage.await("a session of another box has the begin of its piece from the holder", () -> {
-                all.replaceAll((media, before) -> stage.getQuietly(media).body());
+            RehearsalHarness.await("a session at another box lists the first segment of the holder's piece", () -> {
+                all.replaceAll((media, before) -> harness.getWithRetry(media).body());
                 all.forEach((media, p) -> beside[0] = p.startsWith("#EXTM3U")
-                                && stage.ofPiece(p).size() == 1
-                                && stage.boxOf(Stage.segments(p).get(0)) != 1
+                                && harness.pieceSegments(p).size() == 1
+                                && harness.boxOf(RehearsalHarness.segmentUris(p).get(0)) != 1
                         ? media
                         : beside[0]);
                 return beside[0] != null;
             });
-            stage.run.happen(Stage.fault("crash", 0, 0.0, 1));
-            Stage.await("its piece is lost", () -> stage.counter("pieces-lost") > 0);
-            // its own box is well: the lecture goes on there, and the rest of the piece is not listed
-            until(stage, beside[0], "the lecture goes on", p -> {
-                assertTrue(stage.ofPiece(p).size() < 3, p);
-                return stage.ofPiece(p).isEmpty()
-                        && Stage.segments(p).size() == 7
-                        && stage.boxOf(Stage.segments(p).get(6)) != 1;
+            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0.0, 1));
+            RehearsalHarness.await("the manager counts the lost piece", () -> harness.counter("pieces-lost") > 0);
+            // The session's own box still runs: the lecture continues there, and the rest of the piece is not listed.
+            reloadUntil(harness, beside[0], "the lecture continues", p -> {
+                assertTrue(harness.pieceSegments(p).size() < 3, p);
+                return harness.pieceSegments(p).isEmpty()
+                        && RehearsalHarness.segmentUris(p).size() == 7
+                        && harness.boxOf(RehearsalHarness.segmentUris(p).get(6)) != 1;
             });
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
-    /** A lecture of six segments, the last a short one, and the piece, at every rung. */
-    private Path content() throws Exception {
+    /** Writes a lecture of six segments with a shorter last one, and the piece, at every rung; returns the folder. */
+    private Path writeContent() throws Exception {
         Path content = state.resolve("content");
         for (String title : List.of("t1", "storm")) {
             int count = title.equals("t1") ? 6 : 3;
@@ -426,15 +461,15 @@
     }
 
     @Test
-    void aChangeAtTimeZeroLeadsAndOneAfterTheEndOfALectureIsNotShown() throws Exception {
-        try (Stage stage = stage("/boxes/content", "\"" + content() + "\"")) {
-            told(stage, 0, now("first", "").replace("\"atMs\":1", "\"lectureS\":0"));
-            // within the last segment, which is shorter: there is no boundary any more
-            told(stage, 0, now("last", "").replace("\"atMs\":1", "\"lectureS\":2.6"));
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
+    void changeAtLectureStartLeadsAndOneAfterLastBoundaryIsNotShown() throws Exception {
+        try (RehearsalHarness harness = startHarness("/boxes/content", "\"" + writeContent() + "\"")) {
+            announce(harness, 0, changeDueNow("first", "").replace("\"atMs\":1", "\"lectureS\":0"));
+            // Within the last segment, which is shorter, so that no segment boundary follows.
+            announce(harness, 0, changeDueNow("last", "").replace("\"atMs\":1", "\"lectureS\":2.6"));
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
             List<String> seen = new ArrayList<>();
-            String whole = until(stage, media, "the lecture ends", p -> {
-                Stage.segments(p).stream()
+            String whole = reloadUntil(harness, media, "the lecture ends", p -> {
+                RehearsalHarness.segmentUris(p).stream()
                         .map(x -> x.replaceFirst(".*/s/[^/]+/(p/storm/)?\\d+/", "$1"))
                         .filter(x -> !seen.contains(x))
                         .forEach(seen::add);
@@ -453,156 +488,179 @@
                             "5.m4s"),
                     seen);
             assertTrue(whole.contains("#EXTINF:0.2,"), whole);
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aSessionThatMovesWithinAPieceHasItWhole() throws Exception {
-        // With segments of 0.5 s a slow first reload lets the piece's first segments leave the window before the move.
-        try (Stage stage = stage("/boxes/segmentS", "2")) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            told(stage, 0, now("storm-1", ""));
-            until(stage, media, "the piece is listed", StitchTest::storm);
-            String id = stage.getQuietly(media)
+    void sessionMovedWithinPieceListsItWhole() throws Exception {
+        // With segments of 0.5 s and a slow first reload, the piece's first segments would leave the window before the
+        // move.
+        try (RehearsalHarness harness = startHarness("/boxes/segmentS", "2")) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
+            String id = harness.getWithRetry(media)
                     .headers()
                     .firstValue("Calicovale-Session")
                     .orElseThrow();
-            var manager = stage.run.managers().get(0);
+            var manager = harness.rehearsal.managers().get(0);
             manager.loop().call(() -> {
                 manager.manager().moveSession(id);
                 return true;
             });
             Set<String> seen = new HashSet<>();
-            until(stage, media, "all of it was listed, and the lecture behind it", p -> {
-                stage.ofPiece(p).forEach(uri -> seen.add(uri.substring(uri.lastIndexOf('/'))));
-                return seen.size() == 3 && behind(p);
+            reloadUntil(harness, media, "the whole piece was listed, and the lecture after it", p -> {
+                harness.pieceSegments(p).forEach(uri -> seen.add(uri.substring(uri.lastIndexOf('/'))));
+                return seen.size() == 3 && isLectureAfterPiece(p);
             });
-            assertEquals(1, stage.counter("moves"));
-            stage.end();
+            assertEquals(1, harness.counter("moves"));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void twoManagersToldApartShowItOnceToAViewerThatComesAgain() throws Exception {
-        try (Stage stage =
-                stage("/managers", "{\"count\": 2}", "/service/viewerKey", "\"00112233445566778899aabbccddeeff\"")) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            String once = now("storm-1", ",\"once\":\"viewer\"");
-            told(stage, 0, once);
-            until(stage, media, "the piece is listed", StitchTest::storm);
-            String cookie = stage.getQuietly(media)
+    void returningViewerIsShownChangeOnceAcrossTwoManagers() throws Exception {
+        try (RehearsalHarness harness = startHarness(
+                "/managers", "{\"count\": 2}", "/service/viewerKey", "\"00112233445566778899aabbccddeeff\"")) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            String once = changeDueNow("storm-1", ",\"once\":\"viewer\"");
+            announce(harness, 0, once);
+            reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
+            String cookie = harness.getWithRetry(media)
                     .headers()
                     .firstValue("Set-Cookie")
                     .orElseThrow()
                     .split(";")[0];
-            // the other manager hears of it only when the viewer is there
-            URI again = stage.at(1, Stage.media(stage.askAt(1, "talk", "v1", "Cookie", cookie)));
-            URI forged = stage.at(1, Stage.media(stage.askAt(1, "talk", "v2", "Cookie", cookie)));
-            told(stage, 1, once);
-            until(stage, forged, "another's cookie is none", StitchTest::storm);
-            String shown = until(
-                    stage, again, "the lecture plays on", p -> Stage.segments(p).size() > 6);
-            assertTrue(!storm(shown), shown);
-            assertEquals(1, stage.counter("cookies-refused"));
-            stage.end();
+            // The other manager is told of the change only after the viewer came to it.
+            URI again = harness.uri(
+                    1, RehearsalHarness.mediaPath(harness.requestLectureAt(1, "talk", "v1", "Cookie", cookie)));
+            URI forged = harness.uri(
+                    1, RehearsalHarness.mediaPath(harness.requestLectureAt(1, "talk", "v2", "Cookie", cookie)));
+            announce(harness, 1, once);
+            reloadUntil(
+                    harness, forged, "a viewer with the cookie of another is shown the change", StitchTest::hasPiece);
+            String shown = reloadUntil(
+                    harness,
+                    again,
+                    "the lecture is played without the piece",
+                    p -> RehearsalHarness.segmentUris(p).size() > 6);
+            assertTrue(!hasPiece(shown), shown);
+            assertEquals(1, harness.counter("cookies-refused"));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aPlayerThatAsksForInterstitialsGetsTheSecondPublishedWay() throws Exception {
-        try (Stage stage = stage("/service/interstitials", "\"asked\"")) {
-            URI media = stage.at(Stage.media(stage.askAt(0, "talk&interstitials=1", "v1", "Accept", "*/*")));
-            URI plain = stage.at(Stage.media(stage.ask("talk", "v2")));
-            told(stage, 0, now("storm-1", ""));
-            String shown = until(stage, media, "the mark is listed", p -> p.contains("com.apple.hls.interstitial"));
-            assertTrue(!storm(shown), shown);
+    void playerThatAsksForInterstitialsGetsInterstitialRange() throws Exception {
+        try (RehearsalHarness harness = startHarness("/service/interstitials", "\"asked\"")) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(
+                    harness.requestLectureAt(0, "talk&interstitials=1", "v1", "Accept", "*/*")));
+            URI plain = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v2")));
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            String shown = reloadUntil(
+                    harness, media, "the interstitial range is listed", p -> p.contains("com.apple.hls.interstitial"));
+            assertTrue(!hasPiece(shown), shown);
             String asset = shown.substring(shown.indexOf("X-ASSET-URI=\"") + 13);
-            Playlist piece = Playlist.parse(
-                    stage.get(stage.at(asset.substring(0, asset.indexOf('"')))).body());
+            Playlist piece = Playlist.parse(harness.get(harness.uri(asset.substring(0, asset.indexOf('"'))))
+                    .body());
             assertEquals(3, piece.entries().size());
             assertTrue(piece.isEnded());
             assertEquals(
-                    200, stage.get(URI.create(piece.entries().get(2).uri())).statusCode());
-            until(stage, plain, "others have it stitched", StitchTest::storm);
-            stage.end();
+                    200, harness.get(URI.create(piece.entries().get(2).uri())).statusCode());
+            reloadUntil(harness, plain, "a player that does not ask has the piece stitched", StitchTest::hasPiece);
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void onlyWhatAListedKeySignedIsTaken() throws Exception {
+    void onlyChangesSignedByListedKeyAreAccepted() throws Exception {
         Ed25519.TextKeyPair pair = Ed25519.TextKeyPair.generate();
-        try (Stage stage = stage("/service/changeKeys", "{\"ops\": \"" + pair.publicKey() + "\"}")) {
-            String document = now("storm-1", "");
-            HttpResponse<String> unsigned = tell(stage, "POST", "/v1/changes", document);
+        try (RehearsalHarness harness =
+                startHarness("/service/changeKeys", "{\"ops\": \"" + pair.publicKey() + "\"}")) {
+            String document = changeDueNow("storm-1", "");
+            HttpResponse<String> unsigned = sendToOperatorsPort(harness, "POST", "/v1/changes", document);
             assertEquals(422, unsigned.statusCode());
             assertTrue(unsigned.body().contains("/signature: a signature by one of [ops]"), unsigned.body());
             String signed = ChangeKeys.sign(document, "ops", pair.privateKey());
-            HttpResponse<String> altered = tell(stage, "POST", "/v1/changes", signed.replace("storm-1", "storm-2"));
+            HttpResponse<String> altered =
+                    sendToOperatorsPort(harness, "POST", "/v1/changes", signed.replace("storm-1", "storm-2"));
             assertTrue(altered.body().contains("/signature/value"), altered.body());
             String foreign = ChangeKeys.sign(document, "other", pair.privateKey());
-            assertTrue(tell(stage, "POST", "/v1/changes", foreign).body().contains("/signature/key"));
-            assertEquals("[]", tell(stage, "GET", "/v1/changes", "").body());
-            HttpResponse<String> taken = tell(stage, "POST", "/v1/changes", signed);
+            assertTrue(sendToOperatorsPort(harness, "POST", "/v1/changes", foreign)
+                    .body()
+                    .contains("/signature/key"));
+            assertEquals(
+                    "[]", sendToOperatorsPort(harness, "GET", "/v1/changes", "").body());
+            HttpResponse<String> taken = sendToOperatorsPort(harness, "POST", "/v1/changes", signed);
             assertEquals(201, taken.statusCode(), taken.body());
             assertTrue(taken.body().contains("\"validUntilMs\":9000000000000"), taken.body());
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aWatchedFolderTellsWhatComesAndWithdrawsWhatGoes() throws Exception {
+    void watchedFolderAnnouncesNewFilesAndWithdrawsDeletedOnes() throws Exception {
         Path watched = Files.createDirectories(state.resolve("watched"));
-        Files.writeString(watched.resolve("a.json"), now("a", ""));
-        try (Stage stage = stage("/service/changesWatch", "\"" + watched + "\"", "/service/times/watchMs", "20")) {
-            Stage.await("it is told", () -> stage.counter("changes-told") == 1);
+        Files.writeString(watched.resolve("a.json"), changeDueNow("a", ""));
+        try (RehearsalHarness harness =
+                startHarness("/service/changesWatch", "\"" + watched + "\"", "/service/times/watchMs", "20")) {
+            RehearsalHarness.await("the file's change is announced", () -> harness.counter("changes-told") == 1);
             Files.writeString(watched.resolve("b.json"), "{\"id\":");
-            Stage.await("a bad one is refused", () -> stage.counter("changes-refused") > 0);
-            Files.writeString(watched.resolve("b.json"), now("b", ""));
-            Stage.await("when it is whole it is told", () -> stage.counter("changes-told") == 2);
-            stage.kill(0);
+            RehearsalHarness.await("a malformed file is refused", () -> harness.counter("changes-refused") > 0);
+            Files.writeString(watched.resolve("b.json"), changeDueNow("b", ""));
+            RehearsalHarness.await(
+                    "the completed file's change is announced", () -> harness.counter("changes-told") == 2);
+            harness.killManager(0);
             Files.delete(watched.resolve("a.json"));
-            Stage.await("gone over a restart, it is withdrawn", () -> stage.counter("changes-withdrawn") == 1);
-            String listed = tell(stage, "GET", "/v1/changes", "").body();
+            RehearsalHarness.await(
+                    "the change of a file that was deleted during a restart is withdrawn",
+                    () -> harness.counter("changes-withdrawn") == 1);
+            String listed =
+                    sendToOperatorsPort(harness, "GET", "/v1/changes", "").body();
             assertTrue(listed.contains("\"id\":\"b\"") && !listed.contains("\"id\":\"a\""), listed);
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void withdrawnWhileItPlaysItIsPlayedOutAndBeginsForNobodyElse() throws Exception {
-        try (Stage stage = stage()) {
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            told(stage, 0, now("storm-1", ""));
-            until(stage, media, "the piece is listed", StitchTest::storm);
-            stage.tell(new Day.Telling(0, List.of(0), null, Double.NaN, "storm-1"));
-            String shown = until(stage, media, "it is played out", p -> behind(p));
-            assertEquals(3, stage.ofPiece(shown).size(), shown);
-            URI other = stage.at(Stage.media(stage.askUntilItPlays("talk", "v2")));
-            assertTrue(!storm(
-                    until(stage, other, "another plays", p -> Stage.segments(p).size() > 5)));
-            stage.end();
+    void withdrawnChangeIsPlayedOutAndStartsForNoOtherViewer() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            announce(harness, 0, changeDueNow("storm-1", ""));
+            reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
+            harness.announce(new Day.Telling(0, List.of(0), null, Double.NaN, "storm-1"));
+            String shown = reloadUntil(harness, media, "the piece is played out", p -> isLectureAfterPiece(p));
+            assertEquals(3, harness.pieceSegments(shown).size(), shown);
+            URI other = harness.uri(RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("talk", "v2")));
+            assertTrue(!hasPiece(reloadUntil(
+                    harness,
+                    other,
+                    "another viewer's lecture plays",
+                    p -> RehearsalHarness.segmentUris(p).size() > 5)));
+            harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
-    void aReplacedStretchOfTheLectureIsLeftOut() throws Exception {
-        try (Stage stage = stage()) {
-            String document =
-                    now("storm-1", ",\"mode\":\"replace\",\"replaceS\":1.5").replace("\"atMs\":1", "\"lectureS\":1");
+    void replacedPartOfLectureIsLeftOut() throws Exception {
+        try (RehearsalHarness harness = startHarness()) {
+            String document = changeDueNow("storm-1", ",\"mode\":\"replace\",\"replaceS\":1.5")
+                    .replace("\"atMs\":1", "\"lectureS\":1");
             assertEquals(
                     422,
-                    tell(stage, "POST", "/v1/changes", document.replace(",\"replaceS\":1.5", ""))
+                    sendToOperatorsPort(harness, "POST", "/v1/changes", document.replace(",\"replaceS\":1.5", ""))
                             .statusCode());
-            told(stage, 0, document);
-            URI media = stage.at(Stage.media(stage.ask("talk", "v1")));
-            List<String> all = Stage.segments(until(stage, media, "it is replaced", p -> behind(p)));
+            announce(harness, 0, document);
+            URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
+            List<String> all = RehearsalHarness.segmentUris(
+                    reloadUntil(harness, media, "the part is replaced", p -> isLectureAfterPiece(p)));
             int from = all.indexOf(all.stream()
                     .filter(s -> s.contains("/p/storm/"))
                     .findFirst()
                     .orElseThrow());
             assertTrue(all.get(from - 1).endsWith("/1.m4s") && all.get(from + 3).endsWith("/5.m4s"), all.toString());
-            stage.end();
+            harness.finishAndAssertRulesKept();
         }
     }
 }
