--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
@@ -303,7 +303,7 @@
         Map<String, List<Attempt>> bySession = new LinkedHashMap<>();
         attemptsByKey.values().stream()
                 .filter(attempt -> attempt.requestAtBox != null)
-                .sorted((attempt, b) -> Double.compare(attempt.requestAtBox.atMs(), b.requestAtBox.atMs()))
+                .sorted((first, second) -> Double.compare(first.requestAtBox.atMs(), second.requestAtBox.atMs()))
                 .forEach(attempt -> bySession
                         .computeIfAbsent(attempt.session, s -> new ArrayList<>())
                         .add(attempt));
@@ -577,9 +577,9 @@
 
     /** Checks that no more sessions of a class than it has seats are set up or play one title at one manager. */
     private void checkSeats() {
-        record Change(double at, int by, String key) {}
-        Map<String, List<Change>> changes = new HashMap<>();
-        Map<String, Integer> seatsByClassAndTitle = new HashMap<>();
+        record SeatChange(double atMs, int seatDelta, String key) {}
+        Map<String, List<SeatChange>> changesBySeatKey = new HashMap<>();
+        Map<String, Integer> seatLimits = new HashMap<>();
         for (Attempt attempt : attemptsByKey.values()) {
             Figures.OfClass sessionClass =
                     parameters.of(attempt.body.path("class").asText());
@@ -590,26 +590,26 @@
             double releasedMs = played ? attempt.playbackEndMs : attempt.setUpEndMs;
             String seatKey = attempt.body.path("manager").asText() + " " + sessionClass.name() + " "
                     + attempt.body.path("title").asText();
-            seatsByClassAndTitle.put(seatKey, sessionClass.seats());
-            List<Change> seatChanges = changes.computeIfAbsent(seatKey, s -> new ArrayList<>());
-            seatChanges.add(new Change(attempt.requestAtBox.atMs(), 1, attempt.key));
-            seatChanges.add(new Change(releasedMs, -1, attempt.key));
+            seatLimits.put(seatKey, sessionClass.seats());
+            List<SeatChange> seatChanges = changesBySeatKey.computeIfAbsent(seatKey, s -> new ArrayList<>());
+            seatChanges.add(new SeatChange(attempt.requestAtBox.atMs(), 1, attempt.key));
+            seatChanges.add(new SeatChange(releasedMs, -1, attempt.key));
         }
-        changes.forEach((seatKey, seatChanges) -> {
+        changesBySeatKey.forEach((seatKey, seatChanges) -> {
             // Of changes at the same time, releases come first.
-            seatChanges.sort((attempt, b) -> attempt.at() != b.at()
-                    ? Double.compare(attempt.at(), b.at())
-                    : Integer.compare(attempt.by(), b.by()));
+            seatChanges.sort((first, second) -> first.atMs() != second.atMs()
+                    ? Double.compare(first.atMs(), second.atMs())
+                    : Integer.compare(first.seatDelta(), second.seatDelta()));
             int held = 0;
-            for (Change c : seatChanges) {
-                held += c.by();
-                if (c.by() > 0) {
+            for (SeatChange change : seatChanges) {
+                held += change.seatDelta();
+                if (change.seatDelta() > 0) {
                     verdict.recordCheck(TERMS_KEPT);
-                    if (held > seatsByClassAndTitle.get(seatKey)) {
+                    if (held > seatLimits.get(seatKey)) {
                         verdict.recordViolation(
                                 TERMS_KEPT,
-                                c.at(),
-                                c.key() + " holds seat number " + held + " of " + seatsByClassAndTitle.get(seatKey)
+                                change.atMs(),
+                                change.key() + " holds seat number " + held + " of " + seatLimits.get(seatKey)
                                         + " seats");
                     }
                 }
