--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -313,8 +313,7 @@
                 .filter(x -> session.ranges.values().stream().noneMatch(range -> isWithin(range, x)))
                 .forEach(x -> places.add(boxAndSetUpOf(x)));
         // Lecture segments of several boxes or set-ups show that a box was lost. A gap in the sequence numbers shows
-        // that the
-        // manager was, because the next process numbers on above all that may have been given.
+        // that the manager was, because its next process numbers on above all that may have been given.
         boolean boxOrManagerLost = places.size() > 1
                 || session.segments.firstKey() > 0
                 || session.segments.lastKey() - session.segments.firstKey() >= session.segments.size();
@@ -408,8 +407,7 @@
                     session.token + ": change " + change.id() + " began "
                             + (start.get("atMs").asDouble() - range.startMs()) + " ms before its time");
         }
-        // Behind a piece the lecture goes on at the place of the change, or later when the change replaces a part of
-        // it.
+        // Behind a piece the lecture goes on at the place of the change, or later when the change replaces a part.
         Segment nextLectureSegment = session.segments.values().stream()
                 .filter(x -> x.dateMs() > range.startMs() + 3
                         && session.ranges.values().stream().noneMatch(other -> isWithin(other, x)))
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -145,24 +145,24 @@
             }
             CompletableFuture<HttpResponse<String>> answer = harness.requestLectureAsync("talk", "v1");
             Entry first = harness.awaitEntry("the first set-up", e -> isAtBox(e) && isSetUp(e));
-            int hung = Integer.parseInt(first.end().substring(4));
+            int hungBox = Integer.parseInt(first.end().substring(4));
             // The other boxes answer again while the first one still hangs, so the second attempt plays elsewhere.
-            applyToAllBoxesBut(harness, hung, MediaBox::endHang);
+            applyToAllBoxesBut(harness, hungBox, MediaBox::endHang);
             assertEquals(200, answer.join().statusCode());
             String media = RehearsalHarness.mediaPath(answer.join());
             assertNotEquals(
-                    hung,
+                    hungBox,
                     harness.boxOf(RehearsalHarness.segmentUris(
                                     harness.get(harness.uri(media)).body())
                             .get(0)));
             // Now the hung box starts the first attempt, which must not play.
-            harness.rehearsal.atBox(hung, box -> {
+            harness.rehearsal.atBox(hungBox, box -> {
                 box.endHang();
                 return box.sessionCount();
             });
             RehearsalHarness.await(
                     "the late set-up is released and frees its stream",
-                    () -> harness.rehearsal.atBox(hung, MediaBox::sessionCount) == 0);
+                    () -> harness.rehearsal.atBox(hungBox, MediaBox::sessionCount) == 0);
             Report report = harness.finishAndAssertRulesKept();
             assertTrue(report.verdict().checkCount("no-setup-twice") > 0);
             long played = harness.rehearsal.tape().entries().stream()
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
@@ -231,11 +231,11 @@
 
     @Example
     void lossOfBoxAtAnyStepNeitherRepeatsNorSkipsSegments() throws HlsException {
-        for (int lostAt = 1; lostAt < 60; lostAt++) {
+        for (int lostAtStep = 1; lostAtStep < 60; lostAtStep++) {
             assertEquals(
                     expected(12, Set.of(0, 5)),
-                    playWholeLecture(12, Set.of(0, 5), 0.2, lostAt),
-                    "lost at step " + lostAt);
+                    playWholeLecture(12, Set.of(0, 5), 0.2, lostAtStep),
+                    "lost at step " + lostAtStep);
         }
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -68,31 +68,36 @@
                         && !all.get(all.size() - 1).contains("/p/storm/");
             });
             List<Playlist.Entry> entries = Playlist.parse(shown[0]).entries();
-            int from = 0;
-            while (!entries.get(from).uri().contains("/p/storm/")) {
-                from++;
+            int firstPieceEntry = 0;
+            while (!entries.get(firstPieceEntry).uri().contains("/p/storm/")) {
+                firstPieceEntry++;
             }
-            int to = from;
-            while (entries.get(to).uri().contains("/p/storm/")) {
-                assertEquals(200, harness.get(URI.create(entries.get(to).uri())).statusCode());
-                to++;
+            int afterPieceEntry = firstPieceEntry;
+            while (entries.get(afterPieceEntry).uri().contains("/p/storm/")) {
+                assertEquals(
+                        200,
+                        harness.get(URI.create(entries.get(afterPieceEntry).uri()))
+                                .statusCode());
+                afterPieceEntry++;
             }
-            assertEquals(3, to - from, shown[0]);
-            assertTrue(entries.get(from).has("EXT-X-DISCONTINUITY")
-                    && entries.get(from).has("EXT-X-MAP"));
-            assertTrue(entries.get(to).has("EXT-X-DISCONTINUITY")
-                    && entries.get(to).has("EXT-X-MAP"));
+            assertEquals(3, afterPieceEntry - firstPieceEntry, shown[0]);
+            assertTrue(entries.get(firstPieceEntry).has("EXT-X-DISCONTINUITY")
+                    && entries.get(firstPieceEntry).has("EXT-X-MAP"));
+            assertTrue(entries.get(afterPieceEntry).has("EXT-X-DISCONTINUITY")
+                    && entries.get(afterPieceEntry).has("EXT-X-MAP"));
             assertEquals(1, harness.counter("changes-shown"));
             // While the piece played the box was told the piece's rate, and after it the rung in force again.
-            List<Integer> told = harness.rehearsal.tape().entries().stream()
+            List<Integer> rungsSent = harness.rehearsal.tape().entries().stream()
                     .filter(e -> e.end().startsWith("manager:")
                             && e.kind() == Entry.Kind.REQUEST
                             && "PUT".equals(e.method())
                             && e.body().contains("\"rung\""))
                     .map(e -> Integer.parseInt(e.body().replaceAll(".*\"rung\":(\\d+).*", "$1")))
                     .toList();
-            assertEquals(2, harness.counter("piece-rates-told"), "rungs told: " + told);
-            assertTrue(told.contains(1) && told.lastIndexOf(1) < told.size() - 1, "rungs told: " + told);
+            assertEquals(2, harness.counter("piece-rates-told"), "rungs told: " + rungsSent);
+            assertTrue(
+                    rungsSent.contains(1) && rungsSent.lastIndexOf(1) < rungsSent.size() - 1,
+                    "rungs told: " + rungsSent);
             harness.finishAndAssertRulesKept();
         }
     }
@@ -130,10 +135,10 @@
                         sendToOperatorsPort(harness, "POST", "/v1/changes", changeAtOneSecond(id, 1))
                                 .statusCode());
             }
-            HttpResponse<String> bad = sendToOperatorsPort(
+            HttpResponse<String> malformed = sendToOperatorsPort(
                     harness, "POST", "/v1/changes", changeAtOneSecond("c", 1).replace("lectureS", "lecture"));
-            assertEquals(422, bad.statusCode());
-            assertTrue(bad.body().contains("/start"), bad.body());
+            assertEquals(422, malformed.statusCode());
+            assertTrue(malformed.body().contains("/start"), malformed.body());
             assertEquals(
                     204,
                     sendToOperatorsPort(harness, "DELETE", "/v1/changes/a", "").statusCode());
@@ -237,21 +242,26 @@
                     "the lecture's first segments have left the window",
                     p -> segmentNumber(RehearsalHarness.segmentUris(p).get(0)) > 4);
             announce(harness, 0, changeDueNow("storm-1", ""));
-            String last = reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
-            long given = Playlist.parse(last).number("EXT-X-MEDIA-SEQUENCE", -1)
-                    + RehearsalHarness.segmentUris(last).size();
+            String lastBeforeKill = reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
+            long nextSequence = Playlist.parse(lastBeforeKill).number("EXT-X-MEDIA-SEQUENCE", -1)
+                    + RehearsalHarness.segmentUris(lastBeforeKill).size();
             harness.killManager(0);
-            String[] first = {null};
+            String[] firstAfterKill = {null};
             reloadUntil(harness, media, "the lecture continues", p -> {
                 assertTrue(!hasPiece(p), p);
-                first[0] = first[0] == null ? p : first[0];
+                firstAfterKill[0] = firstAfterKill[0] == null ? p : firstAfterKill[0];
                 return RehearsalHarness.segmentUris(p).size() > 6;
             });
-            assertTrue(Playlist.parse(first[0]).number("EXT-X-MEDIA-SEQUENCE", -1) >= given, first[0]);
-            int place = segmentNumber(RehearsalHarness.segmentUris(first[0]).get(0));
             assertTrue(
-                    place >= segmentNumber(RehearsalHarness.segmentUris(last).get(0)),
-                    "the lecture began again: " + first[0] + " after " + last);
+                    Playlist.parse(firstAfterKill[0]).number("EXT-X-MEDIA-SEQUENCE", -1) >= nextSequence,
+                    firstAfterKill[0]);
+            int firstSegment = segmentNumber(
+                    RehearsalHarness.segmentUris(firstAfterKill[0]).get(0));
+            assertTrue(
+                    firstSegment
+                            >= segmentNumber(
+                                    RehearsalHarness.segmentUris(lastBeforeKill).get(0)),
+                    "the lecture began again: " + firstAfterKill[0] + " after " + lastBeforeKill);
             assertEquals(1, harness.counter("sessions-back"));
             assertEquals(1, harness.finishAndAssertRulesKept().playlists().changesShown());
         }
@@ -294,18 +304,18 @@
     @Test
     void pieceMissingAtBoxIsSetUpAtHolder() throws Exception {
         try (RehearsalHarness harness = startHarness("/boxes/piecesOn", "[1]")) {
-            List<URI> all = new ArrayList<>();
+            List<URI> sessions = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                all.add(harness.uri(
+                sessions.add(harness.uri(
                         RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("contractor-course", "v" + i))));
             }
             announce(harness, 0, changeDueNow("storm-1", ""));
-            Set<URI> whole = new HashSet<>();
+            Set<URI> sessionsWithWholePiece = new HashSet<>();
             RehearsalHarness.await("all sessions list the whole piece", () -> {
-                for (URI media : all) {
+                for (URI media : sessions) {
                     HttpResponse<String> answer = harness.getWithRetry(media);
                     List<String> piece = answer.statusCode() == 200 ? harness.pieceSegments(answer.body()) : List.of();
-                    if (piece.size() == 3 && whole.add(media)) {
+                    if (piece.size() == 3 && sessionsWithWholePiece.add(media)) {
                         for (String segment : piece) {
                             assertEquals(1, harness.boxOf(segment), segment);
                             assertEquals(
@@ -315,7 +325,7 @@
                         }
                     }
                 }
-                return whole.size() == all.size();
+                return sessionsWithWholePiece.size() == sessions.size();
             });
             assertTrue(harness.counter("piece-set-ups") > 0, "no session plays at a box without the piece");
             assertEquals(6, harness.finishAndAssertRulesKept().playlists().changesShown());
@@ -334,22 +344,22 @@
             String shown = reloadUntil(harness, media, description, matches);
             int box = harness.boxOf(RehearsalHarness.segmentUris(shown).get(0));
             harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0.0, box));
-            // No segment of the piece was fetched. Those that were not played yet by the clock come from the other box,
-            // in
-            // order.
-            Set<String> pieces = new HashSet<>();
+            // No segment of the piece was fetched. Those that were not played yet by the clock come from the other
+            // box, in order.
+            Set<String> pieceFiles = new HashSet<>();
             reloadUntil(harness, media, "the lecture continues at another box after the piece", p -> {
                 List<String> there = RehearsalHarness.segmentUris(p).stream()
                         .filter(x -> harness.boxOf(x) != box)
                         .toList();
                 there.stream()
                         .filter(x -> x.contains("/p/storm/"))
-                        .forEach(x -> pieces.add(x.substring(x.lastIndexOf('/'))));
+                        .forEach(x -> pieceFiles.add(x.substring(x.lastIndexOf('/'))));
                 return there.size() > 3 && !there.get(there.size() - 1).contains("/p/storm/");
             });
             assertTrue(
-                    pieces.contains("/2.m4s"),
-                    "another box does not list the piece's last segment, which was not played at the crash: " + pieces);
+                    pieceFiles.contains("/2.m4s"),
+                    "another box does not list the piece's last segment, which was not played at the crash: "
+                            + pieceFiles);
             harness.finishAndAssertRulesKept();
         }
     }
@@ -407,27 +417,28 @@
     @Test
     void lectureContinuesWhenHolderCrashesWithinPiece() throws Exception {
         try (RehearsalHarness harness = startHarness("/boxes/piecesOn", "[1]")) {
-            Map<URI, String> all = new HashMap<>();
+            Map<URI, String> playlistByUri = new HashMap<>();
             for (int i = 0; i < 6; i++) {
-                all.put(
+                playlistByUri.put(
                         harness.uri(RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("talk", "v" + i))),
                         "");
             }
             announce(harness, 0, changeDueNow("storm-1", ""));
-            URI[] beside = new URI[1];
+            URI[] uriOfOtherBox = new URI[1];
             RehearsalHarness.await("a session at another box lists the first segment of the holder's piece", () -> {
-                all.replaceAll((media, before) -> harness.getWithRetry(media).body());
-                all.forEach((media, p) -> beside[0] = p.startsWith("#EXTM3U")
+                playlistByUri.replaceAll(
+                        (media, before) -> harness.getWithRetry(media).body());
+                playlistByUri.forEach((media, p) -> uriOfOtherBox[0] = p.startsWith("#EXTM3U")
                                 && harness.pieceSegments(p).size() == 1
                                 && harness.boxOf(RehearsalHarness.segmentUris(p).get(0)) != 1
                         ? media
-                        : beside[0]);
-                return beside[0] != null;
+                        : uriOfOtherBox[0]);
+                return uriOfOtherBox[0] != null;
             });
             harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0.0, 1));
             RehearsalHarness.await("the manager counts the lost piece", () -> harness.counter("pieces-lost") > 0);
             // The session's own box still runs: the lecture continues there, and the rest of the piece is not listed.
-            reloadUntil(harness, beside[0], "the lecture continues", p -> {
+            reloadUntil(harness, uriOfOtherBox[0], "the lecture continues", p -> {
                 assertTrue(harness.pieceSegments(p).size() < 3, p);
                 return harness.pieceSegments(p).isEmpty()
                         && RehearsalHarness.segmentUris(p).size() == 7
@@ -467,12 +478,12 @@
             // Within the last segment, which is shorter, so that no segment boundary follows.
             announce(harness, 0, changeDueNow("last", "").replace("\"atMs\":1", "\"lectureS\":2.6"));
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
-            List<String> seen = new ArrayList<>();
-            String whole = reloadUntil(harness, media, "the lecture ends", p -> {
+            List<String> listedPaths = new ArrayList<>();
+            String lastPlaylist = reloadUntil(harness, media, "the lecture ends", p -> {
                 RehearsalHarness.segmentUris(p).stream()
                         .map(x -> x.replaceFirst(".*/s/[^/]+/(p/storm/)?\\d+/", "$1"))
-                        .filter(x -> !seen.contains(x))
-                        .forEach(seen::add);
+                        .filter(x -> !listedPaths.contains(x))
+                        .forEach(listedPaths::add);
                 return p.contains("#EXT-X-ENDLIST");
             });
             assertEquals(
@@ -486,16 +497,16 @@
                             "3.m4s",
                             "4.m4s",
                             "5.m4s"),
-                    seen);
-            assertTrue(whole.contains("#EXTINF:0.2,"), whole);
+                    listedPaths);
+            assertTrue(lastPlaylist.contains("#EXTINF:0.2,"), lastPlaylist);
             harness.finishAndAssertRulesKept();
         }
     }
 
     @Test
     void sessionMovedWithinPieceListsItWhole() throws Exception {
-        // With segments of 0.5 s and a slow first reload, the piece's first segments would leave the window before the
-        // move.
+        // Segments of 2 s: with 0.5 s and a slow first reload, the piece's first segments would leave the window before
+        // the move.
         try (RehearsalHarness harness = startHarness("/boxes/segmentS", "2")) {
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
             announce(harness, 0, changeDueNow("storm-1", ""));
@@ -509,10 +520,10 @@
                 manager.manager().moveSession(id);
                 return true;
             });
-            Set<String> seen = new HashSet<>();
+            Set<String> listedFiles = new HashSet<>();
             reloadUntil(harness, media, "the whole piece was listed, and the lecture after it", p -> {
-                harness.pieceSegments(p).forEach(uri -> seen.add(uri.substring(uri.lastIndexOf('/'))));
-                return seen.size() == 3 && isLectureAfterPiece(p);
+                harness.pieceSegments(p).forEach(uri -> listedFiles.add(uri.substring(uri.lastIndexOf('/'))));
+                return listedFiles.size() == 3 && isLectureAfterPiece(p);
             });
             assertEquals(1, harness.counter("moves"));
             harness.finishAndAssertRulesKept();
@@ -524,8 +535,8 @@
         try (RehearsalHarness harness = startHarness(
                 "/managers", "{\"count\": 2}", "/service/viewerKey", "\"00112233445566778899aabbccddeeff\"")) {
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
-            String once = changeDueNow("storm-1", ",\"once\":\"viewer\"");
-            announce(harness, 0, once);
+            String changeOncePerViewer = changeDueNow("storm-1", ",\"once\":\"viewer\"");
+            announce(harness, 0, changeOncePerViewer);
             reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
             String cookie = harness.getWithRetry(media)
                     .headers()
@@ -533,16 +544,19 @@
                     .orElseThrow()
                     .split(";")[0];
             // The other manager is told of the change only after the viewer came to it.
-            URI again = harness.uri(
+            URI returningViewer = harness.uri(
                     1, RehearsalHarness.mediaPath(harness.requestLectureAt(1, "talk", "v1", "Cookie", cookie)));
-            URI forged = harness.uri(
+            URI otherViewerWithSameCookie = harness.uri(
                     1, RehearsalHarness.mediaPath(harness.requestLectureAt(1, "talk", "v2", "Cookie", cookie)));
-            announce(harness, 1, once);
+            announce(harness, 1, changeOncePerViewer);
             reloadUntil(
-                    harness, forged, "a viewer with the cookie of another is shown the change", StitchTest::hasPiece);
+                    harness,
+                    otherViewerWithSameCookie,
+                    "a viewer with the cookie of another is shown the change",
+                    StitchTest::hasPiece);
             String shown = reloadUntil(
                     harness,
-                    again,
+                    returningViewer,
                     "the lecture is played without the piece",
                     p -> RehearsalHarness.segmentUris(p).size() > 6);
             assertTrue(!hasPiece(shown), shown);
@@ -556,7 +570,7 @@
         try (RehearsalHarness harness = startHarness("/service/interstitials", "\"asked\"")) {
             URI media = harness.uri(RehearsalHarness.mediaPath(
                     harness.requestLectureAt(0, "talk&interstitials=1", "v1", "Accept", "*/*")));
-            URI plain = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v2")));
+            URI withoutInterstitials = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v2")));
             announce(harness, 0, changeDueNow("storm-1", ""));
             String shown = reloadUntil(
                     harness, media, "the interstitial range is listed", p -> p.contains("com.apple.hls.interstitial"));
@@ -568,7 +582,11 @@
             assertTrue(piece.isEnded());
             assertEquals(
                     200, harness.get(URI.create(piece.entries().get(2).uri())).statusCode());
-            reloadUntil(harness, plain, "a player that does not ask has the piece stitched", StitchTest::hasPiece);
+            reloadUntil(
+                    harness,
+                    withoutInterstitials,
+                    "a player that does not ask has the piece stitched",
+                    StitchTest::hasPiece);
             harness.finishAndAssertRulesKept();
         }
     }
