--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Figures.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/Figures.java
@@ -44,7 +44,7 @@
     public record OfClass(String name, double worth, double deadlineMs, Effect effect, int lowestRung, int seats) {}
 
     /** Returns the parameters of the class with this name, or null when there is none. */
-    public OfClass of(String name) {
+    public OfClass classNamed(String name) {
         return classes.stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -227,7 +227,7 @@
         session.firstPlaylistMs = session.segments.isEmpty() ? entry.atMs() : session.firstPlaylistMs;
         session.lastPlaylistMs = entry.atMs();
         session.manager = entry.end();
-        Figures.OfClass sessionClass = parameters.of(session.sessionClass);
+        Figures.OfClass sessionClass = parameters.classNamed(session.sessionClass);
         for (Segment segment : session.rules.segments()) {
             if (session.segments.put(segment.sequence(), segment) == null
                     && sessionClass != null
@@ -492,8 +492,8 @@
                 String viewerOrSessionAndChange =
                         (oncePerViewer ? session.viewer : session.token) + " " + changeIdOf(range);
                 for (Segment segment : session.segments.values()) {
-                    int times = isWithin(range, segment) ? deliveriesByPath.getOrDefault(pathOf(segment), 0) : 0;
-                    if (times > 0) {
+                    int deliveries = isWithin(range, segment) ? deliveriesByPath.getOrDefault(pathOf(segment), 0) : 0;
+                    if (deliveries > 0) {
                         deliveriesByIndex
                                 .computeIfAbsent(viewerOrSessionAndChange, w -> new HashMap<>())
                                 .merge(segmentIndexOf(segment), 1, Integer::sum);
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
@@ -234,7 +234,8 @@
                     verdict.countRequest(status == 200 ? "played" : status == 503 ? "refused" : "failed");
                 }
             }
-            Figures.OfClass sessionClass = isLecture ? parameters.of(queryParameter(request.target(), "class")) : null;
+            Figures.OfClass sessionClass =
+                    isLecture ? parameters.classNamed(queryParameter(request.target(), "class")) : null;
             double sentMs =
                     isLecture ? sentAtMsByTarget.getOrDefault(request.target(), request.atMs()) : request.atMs();
             double dueMs = sentMs
@@ -314,7 +315,7 @@
                     && entry.body() != null;
             for (Attempt attempt : refused ? bySession.getOrDefault(entry.body(), List.of()) : List.<Attempt>of()) {
                 Figures.OfClass sessionClass =
-                        parameters.of(attempt.body.path("class").asText());
+                        parameters.classNamed(attempt.body.path("class").asText());
                 if (sessionClass != null && sessionClass.effect() == Effect.SIDE_EFFECT && attempt.status != 429) {
                     verdict.recordViolation(
                             NO_SETUP_TWICE,
@@ -335,7 +336,7 @@
                             next.key + " was outstanding at the same time as " + previous.key);
                 }
                 Figures.OfClass sessionClass =
-                        parameters.of(next.body.path("class").asText());
+                        parameters.classNamed(next.body.path("class").asText());
                 if (sessionClass != null && sessionClass.effect() == Effect.SIDE_EFFECT && previous.status != 429) {
                     verdict.recordViolation(
                             NO_SETUP_TWICE,
@@ -525,7 +526,7 @@
                 }
             }
             if (givenToPlayer && classByPlaylist.containsKey(entry.target())) {
-                Figures.OfClass sessionClass = parameters.of(classByPlaylist.get(entry.target()));
+                Figures.OfClass sessionClass = parameters.classNamed(classByPlaylist.get(entry.target()));
                 if (sessionClass == null || sessionClass.lowestRung() == 0) {
                     continue;
                 }
@@ -547,7 +548,7 @@
         }
         for (Attempt attempt : attemptsByKey.values()) {
             Figures.OfClass sessionClass =
-                    parameters.of(attempt.body.path("class").asText());
+                    parameters.classNamed(attempt.body.path("class").asText());
             if (sessionClass != null && sessionClass.lowestRung() > 0) {
                 verdict.recordCheck(TERMS_KEPT);
                 if (attempt.body.path("rung").asInt() < sessionClass.lowestRung()) {
@@ -567,7 +568,7 @@
             Attempt attempt = isRungChange ? attemptsByKey.get(entry.target().substring(13)) : null;
             Figures.OfClass sessionClass = attempt == null
                     ? null
-                    : parameters.of(attempt.body.path("class").asText());
+                    : parameters.classNamed(attempt.body.path("class").asText());
             JsonNode rung = attempt == null ? null : parseJson(entry.body()).get("rung");
             if (sessionClass != null && rung != null && rung.asInt() < sessionClass.lowestRung()) {
                 verdict.recordViolation(TERMS_KEPT, entry.atMs(), attempt.key + " was changed to rung " + rung.asInt());
@@ -582,7 +583,7 @@
         Map<String, Integer> seatLimits = new HashMap<>();
         for (Attempt attempt : attemptsByKey.values()) {
             Figures.OfClass sessionClass =
-                    parameters.of(attempt.body.path("class").asText());
+                    parameters.classNamed(attempt.body.path("class").asText());
             if (sessionClass == null || sessionClass.seats() <= 0 || attempt.requestAtBox == null) {
                 continue;
             }
@@ -696,7 +697,7 @@
             }
         }
         classByViewer.forEach((viewer, name) -> {
-            Figures.OfClass sessionClass = parameters.of(name);
+            Figures.OfClass sessionClass = parameters.classNamed(name);
             double worth = sessionClass == null ? 0 : sessionClass.worth();
             verdict.addWorth(worth, viewersPlayed.contains(viewer) ? worth : 0);
         });
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -505,8 +505,8 @@
 
     @Test
     void sessionMovedWithinPieceListsItWhole() throws Exception {
-        // Segments of 2 s: with 0.5 s and a slow first reload, the piece's first segments would leave the window before
-        // the move.
+        // The segments have 2 s, because with 0.5 s and a slow first reload the piece's first segments would leave the
+        // window before the move.
         try (RehearsalHarness harness = startHarness("/boxes/segmentS", "2")) {
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
             announce(harness, 0, changeDueNow("storm-1", ""));
