--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
@@ -658,12 +658,13 @@
                 }
             }
         }
-        furtherAttemptsMsByManager.forEach((manager, all) -> {
-            for (int i = 0; i < all.size(); i++) {
-                double atMs = all.get(i);
+        furtherAttemptsMsByManager.forEach((manager, attemptsMs) -> {
+            for (int i = 0; i < attemptsMs.size(); i++) {
+                double atMs = attemptsMs.get(i);
                 double fromMs = atMs - parameters.extraWindowMs();
-                long furtherAttempts =
-                        all.subList(0, i + 1).stream().filter(t -> t > fromMs).count();
+                long furtherAttempts = attemptsMs.subList(0, i + 1).stream()
+                        .filter(t -> t > fromMs)
+                        .count();
                 long requestsTaken = requestTimesByManager.get(manager).values().stream()
                         .filter(t -> t > fromMs && t <= atMs)
                         .count();
--- a/rehearsal/src/test/java/calicovale/rehearsal/RehearsalHarness.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RehearsalHarness.java
@@ -63,7 +63,7 @@
     static void await(String condition, BooleanSupplier isMet) {
         long deadlineNs = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!isMet.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNs, "timed out waiting for: " + condition);
+            assertTrue(System.nanoTime() < deadlineNs, "never: " + condition);
             try {
                 Thread.sleep(5);
             } catch (InterruptedException e) {
