--- a/cli/src/main/java/calicovale/cli/BenchCommand.java
+++ b/cli/src/main/java/calicovale/cli/BenchCommand.java
@@ -1,7 +1,7 @@
 package calicovale.cli;
 
 import calicovale.protocols.json.Documents;
-import calicovale.rehearsal.bench.Bench;
+import calicovale.rehearsal.bench.Benchmarks;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -31,12 +31,13 @@
     @Override
     public Integer call() throws Exception {
         for (String name : names) {
-            if (!Bench.NAMES.contains(name)) {
-                throw new ParameterException(spec.commandLine(), "no measurement " + name + ", one of " + Bench.NAMES);
+            if (!Benchmarks.NAMES.contains(name)) {
+                throw new ParameterException(
+                        spec.commandLine(), "no measurement " + name + ", one of " + Benchmarks.NAMES);
             }
         }
-        Bench bench = new Bench();
-        for (String name : names.isEmpty() ? Bench.NAMES : names) {
+        Benchmarks bench = new Benchmarks();
+        for (String name : names.isEmpty() ? Benchmarks.NAMES : names) {
             bench.run(name);
         }
         if (out != null) {
--- a/cli/src/main/java/calicovale/cli/RehearseCommand.java
+++ b/cli/src/main/java/calicovale/cli/RehearseCommand.java
@@ -51,10 +51,10 @@
             rehearsal
                     .counters()
                     .forEach((name, count) -> spec.commandLine().getErr().println(name + " " + count));
-            rehearsal.finish();
+            rehearsal.stop();
             report = rehearsal.report();
             if (out != null) {
-                rehearsal.tape().write(outputFolder.resolve("tape.jsonl"));
+                rehearsal.recording().write(outputFolder.resolve("tape.jsonl"));
                 Files.writeString(
                         outputFolder.resolve("report.json"),
                         Documents.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(report.json()) + "\n");
@@ -62,6 +62,6 @@
         }
         spec.commandLine().getOut().print(report.table());
         spec.commandLine().getOut().flush();
-        return report.kept() ? Main.OK : Main.FAILED;
+        return report.allRulesKept() ? Main.OK : Main.FAILED;
     }
 }
--- a/front/src/main/java/calicovale/front/player/PlaylistRequests.java
+++ b/front/src/main/java/calicovale/front/player/PlaylistRequests.java
@@ -110,7 +110,7 @@
             if (lecture == null && mayFetch) {
                 // this exchange fetches once only: after a failure it gets what can be sent without
                 sourceCache.fetch(session.box, session.title, session.rung, () -> {
-                    if (!exchange.peerClosed()) {
+                    if (!exchange.clientClosed()) {
                         sendPlaylist(session, exchange, false);
                     }
                 });
@@ -127,7 +127,7 @@
             sendCurrentPlaylist(session, exchange);
         } else {
             persistence.whenDurable(() -> {
-                if (!exchange.peerClosed()) {
+                if (!exchange.clientClosed()) {
                     sendCurrentPlaylist(session, exchange);
                 }
             });
@@ -147,7 +147,7 @@
                 nowMs(),
                 programmeChanges.stitcher(session))) {
             programmeChanges.whenReady(session, () -> {
-                if (!exchange.peerClosed()) {
+                if (!exchange.clientClosed()) {
                     handleByState(session, exchange);
                 }
             });
--- a/front/src/main/java/calicovale/front/player/SessionPlacer.java
+++ b/front/src/main/java/calicovale/front/player/SessionPlacer.java
@@ -127,9 +127,9 @@
     /** Adds an exchange to be answered with the outcome of the current placement. */
     void addWaitingExchange(Session session, Exchange exchange) {
         session.waitingExchanges.add(exchange);
-        exchange.onPeerClosed(() -> {
+        exchange.onClientClosed(() -> {
             if (session.state == Session.State.PLACING
-                    && session.waitingExchanges.stream().allMatch(Exchange::peerClosed)) {
+                    && session.waitingExchanges.stream().allMatch(Exchange::clientClosed)) {
                 depart(session);
             }
         });
@@ -183,7 +183,7 @@
         List<Exchange> exchanges = new ArrayList<>(session.waitingExchanges);
         session.waitingExchanges.clear();
         for (Exchange exchange : exchanges) {
-            if (!exchange.peerClosed()) {
+            if (!exchange.clientClosed()) {
                 answered |= writer.write(exchange);
             }
         }
@@ -254,7 +254,7 @@
         boolean wanted =
                 !session.departed && session.state == Session.State.PLACING && session.requestId.equals(requestId);
         boolean background = wanted && session.waitingExchanges.isEmpty() && session.playlistDelivered;
-        if (!wanted || !background && session.waitingExchanges.stream().allMatch(Exchange::peerClosed)) {
+        if (!wanted || !background && session.waitingExchanges.stream().allMatch(Exchange::clientClosed)) {
             releaseUnwanted(session, requestId, attempt, box, elapsedMs);
             return;
         }
--- a/protocols/src/main/java/calicovale/protocols/http/BodyStream.java
+++ b/protocols/src/main/java/calicovale/protocols/http/BodyStream.java
@@ -22,7 +22,7 @@
      * waiting bytes was exceeded.
      */
     public boolean write(byte[] part) {
-        if (ended || exchange.peerClosed()) {
+        if (ended || exchange.clientClosed()) {
             return false;
         }
         return part.length == 0 || client.connection().write(chunked ? HttpWriter.chunk(part) : ByteBuffer.wrap(part));
@@ -30,7 +30,7 @@
 
     /** Ends the body; the connection can then be used for another exchange. */
     public void end() {
-        if (ended || exchange.peerClosed()) {
+        if (ended || exchange.clientClosed()) {
             return;
         }
         ended = true;
--- a/protocols/src/main/java/calicovale/protocols/http/Exchange.java
+++ b/protocols/src/main/java/calicovale/protocols/http/Exchange.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns whether the client closed the connection before the response was complete. */
-    public boolean peerClosed() {
+    public boolean clientClosed() {
         return clientClosed;
     }
 
@@ -50,7 +50,7 @@
      * Sets an action that runs if the client closes the connection before the response is complete. It runs at once if
      * that has already happened.
      */
-    public void onPeerClosed(Runnable action) {
+    public void onClientClosed(Runnable action) {
         onClientClosed = action;
         if (clientClosed) {
             action.run();
--- a/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
@@ -188,7 +188,7 @@
             send(socket, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
             Exchange exchange = heldExchanges.poll(10, TimeUnit.SECONDS);
             CompletableFuture<Boolean> gone = new CompletableFuture<>();
-            loop.execute(() -> exchange.onPeerClosed(() -> gone.complete(true)));
+            loop.execute(() -> exchange.onClientClosed(() -> gone.complete(true)));
             socket.shutdownOutput();
             assertTrue(gone.get(10, TimeUnit.SECONDS));
             assertFalse(loop.call(() -> exchange.respond(200, "text/plain", "late")));
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/Bench.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/Benchmarks.java
@@ -39,7 +39,7 @@
 import org.HdrHistogram.Histogram;
 
 /** The benchmarks, by name. Each adds lines to a table for people and figures to a JSON document. */
-public final class Bench {
+public final class Benchmarks {
     /** Names of all benchmarks, in the order in which they run. */
     public static final List<String> NAMES =
             List.of("reloads", "setups", "decisions", "sessions", "stitch", "gossip", "liars", "members");
--- a/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
@@ -44,7 +44,7 @@
         double directoryLagMs,
         double directoryStartsAtS,
         Viewers viewers,
-        List<Telling> changes,
+        List<ScriptedChange> changes,
         List<Fault> faults) {
 
     /**
@@ -126,7 +126,8 @@
      *        and end; NaN to leave them as they are
      * @param withdrawId id of the change to be withdrawn, or null
      */
-    public record Telling(double atS, List<Integer> managers, ObjectNode change, double startsInS, String withdrawId) {}
+    public record ScriptedChange(
+            double atS, List<Integer> managers, ObjectNode change, double startsInS, String withdrawId) {}
 
     /**
      * A fault; components that its kind does not use are ignored.
@@ -338,7 +339,7 @@
                     faultSettings.path("value").asDouble(),
                     faultSettings.path("deaf").asBoolean()));
         }
-        List<Telling> scriptedChanges = new ArrayList<>();
+        List<ScriptedChange> scriptedChanges = new ArrayList<>();
         for (int i = 0; i < document.path("changes").size(); i++) {
             JsonNode changeSettings = document.get("changes").get(i);
             List<Integer> managerNumbers = integers(changeSettings.path("managers"));
@@ -348,7 +349,7 @@
             if (changeSettings.has("change") == changeSettings.has("withdraw")) {
                 faults.add(name + ": /changes/" + i + ": one of change and withdraw is expected");
             }
-            scriptedChanges.add(new Telling(
+            scriptedChanges.add(new ScriptedChange(
                     changeSettings.get("at").asDouble(),
                     managerNumbers,
                     (ObjectNode) changeSettings.get("change"),
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Sightings.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/FaultTraces.java
@@ -10,17 +10,17 @@
  * Searches the recording for the trace of each fault of the script. A fault without a trace on the sockets did not take
  * effect, so the run says nothing about it.
  */
-public final class Sightings {
+public final class FaultTraces {
     /** Time after the begin of a fault in which its trace is searched, in ms. */
     private static final double TRACE_WINDOW_MS = 15_000;
 
-    private Sightings() {}
+    private FaultTraces() {}
 
     /** One fault of the script, its time in the script in s, and whether the sockets showed it. */
     public record FaultTrace(String kind, double atS, boolean seen) {}
 
     /** Returns all faults of the script, each with whether the recording shows a trace of it. */
-    public static List<FaultTrace> of(List<Entry> entries) {
+    public static List<FaultTrace> findAll(List<Entry> entries) {
         List<FaultTrace> traces = new ArrayList<>();
         for (Entry mark : entries) {
             if (mark.kind() == Kind.MARK && mark.method().equals("fault")) {
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/FirstSetUps.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/FirstSetUps.java
@@ -20,12 +20,12 @@
 public record FirstSetUps(long sent, Map<String, Long> failedByBox) {
 
     /** Returns the number of first set-ups that failed at all boxes together. */
-    public long failures() {
+    public long failedCount() {
         return failedByBox.values().stream().mapToLong(n -> n).sum();
     }
 
     /** Counts the first set-ups in a recording. */
-    public static FirstSetUps of(List<Entry> entries) {
+    public static FirstSetUps countIn(List<Entry> entries) {
         Set<String> answeredExchanges = new HashSet<>();
         for (Entry entry : entries) {
             if (entry.end().startsWith("manager:")
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -127,19 +127,19 @@
         }
     }
 
-    private final Figures parameters;
+    private final RuleParameters parameters;
     private final Findings findings = new Findings();
     private final Map<String, SessionHistory> sessionsByToken = new LinkedHashMap<>();
     private final List<AnnouncedChange> announcedChanges = new ArrayList<>();
     /** How often boxes delivered the segment at this path. */
     private final Map<String, Integer> deliveriesByPath = new HashMap<>();
 
-    private PlaylistChecker(Figures parameters) {
+    private PlaylistChecker(RuleParameters parameters) {
         this.parameters = parameters;
     }
 
     /** Judges a recording, whose entries must be in the order of their time. */
-    public static Findings judge(Figures parameters, List<Entry> entries) {
+    public static Findings judge(RuleParameters parameters, List<Entry> entries) {
         PlaylistChecker checker = new PlaylistChecker(parameters);
         entries.forEach(checker::readEntry);
         checker.findings.sessionCount = checker.sessionsByToken.values().stream()
@@ -221,13 +221,13 @@
 
     private void checkPlaylist(SessionHistory session, Entry entry) {
         findings.playlistCount++;
-        for (String fault : session.rules.take(entry.body())) {
+        for (String fault : session.rules.checkNext(entry.body())) {
             findings.recordFault(entry.atMs(), session.token + ": " + fault);
         }
         session.firstPlaylistMs = session.segments.isEmpty() ? entry.atMs() : session.firstPlaylistMs;
         session.lastPlaylistMs = entry.atMs();
         session.manager = entry.end();
-        Figures.OfClass sessionClass = parameters.classNamed(session.sessionClass);
+        RuleParameters.ClassParameters sessionClass = parameters.classNamed(session.sessionClass);
         for (Segment segment : session.rules.segments()) {
             if (session.segments.put(segment.sequence(), segment) == null
                     && sessionClass != null
@@ -275,7 +275,7 @@
      */
     private static boolean isWithin(DateRange range, Segment segment) {
         return segment.dateMs() >= range.startMs() - 3
-                && segment.dateMs() + 1000 * segment.seconds() <= range.startMs() + 1000 * range.seconds() + 3;
+                && segment.dateMs() + 1000 * segment.durationS() <= range.startMs() + 1000 * range.durationS() + 3;
     }
 
     // --- Changes ---
@@ -342,7 +342,7 @@
             }
             double dueMs = Math.max(dueMs(session, change), change.announcedMs());
             // By then a boundary has passed that was not listed yet when the change was announced.
-            double latestStartMs = dueMs + 1000.0 * (windowSegments(session) + 2) * session.rules.target();
+            double latestStartMs = dueMs + 1000.0 * (windowSegments(session) + 2) * session.rules.targetDurationS();
             boolean countsAsDue =
                     dueMs < change.change().path("validUntilMs").asDouble() && change.withdrawnMs()[0] > latestStartMs;
             if (countsAsDue && session.segments.lastEntry().getValue().dateMs() > latestStartMs) {
@@ -390,7 +390,7 @@
         for (Segment segment : session.segments.values()) {
             boolean isLecture = session.ranges.values().stream().noneMatch(r -> isWithin(r, segment));
             if (isLecture
-                    && segmentIndexOf(segment) * segment.seconds()
+                    && segmentIndexOf(segment) * segment.durationS()
                             >= start.get("lectureS").asDouble() - 1e-6) {
                 return segment.dateMs();
             }
@@ -417,12 +417,12 @@
         if (start.has("lectureS")
                 && !boxOrManagerLost
                 && nextLectureSegment != null
-                && segmentIndexOf(nextLectureSegment) * nextLectureSegment.seconds()
+                && segmentIndexOf(nextLectureSegment) * nextLectureSegment.durationS()
                         < start.get("lectureS").asDouble() - 0.01) {
             findings.recordFault(
                     session.lastPlaylistMs,
                     session.token + ": change " + change.id() + " began at "
-                            + segmentIndexOf(nextLectureSegment) * nextLectureSegment.seconds()
+                            + segmentIndexOf(nextLectureSegment) * nextLectureSegment.durationS()
                             + " s, before its place");
         }
         double dueMs = Math.max(
@@ -430,7 +430,8 @@
                 Math.max(
                         change.announcedMs(),
                         session.segments.firstEntry().getValue().dateMs()));
-        double latestStartMs = dueMs + 1000.0 * (windowSegments(session) + 2) * session.rules.target() + CLOCK_SLACK_MS;
+        double latestStartMs =
+                dueMs + 1000.0 * (windowSegments(session) + 2) * session.rules.targetDurationS() + CLOCK_SLACK_MS;
         if (start.has("atMs") && !boxOrManagerLost && range.startMs() > latestStartMs) {
             findings.recordFault(
                     session.lastPlaylistMs,
@@ -465,7 +466,7 @@
         }
         Segment last = pieceSegments.get(pieceSegments.size() - 1);
         Segment next = session.segments.get(last.sequence() + 1);
-        boolean wasCut = last.dateMs() + 1000 * last.seconds() < range.startMs() + 1000 * range.seconds() - 3
+        boolean wasCut = last.dateMs() + 1000 * last.durationS() < range.startMs() + 1000 * range.durationS() - 3
                 && segmentIndexOf(pieceSegments.get(0)) == 0;
         if (wasCut && next != null && boxAndSetUpOf(next).equals(boxAndSetUpOf(last))) {
             findings.recordFault(
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
@@ -25,7 +25,7 @@
      *
      * @param sequence its media sequence number
      * @param uri its URI as written
-     * @param seconds its EXTINF duration, in s
+     * @param durationS its EXTINF duration, in s
      * @param discontinuity whether EXT-X-DISCONTINUITY stands before it
      * @param discontinuitySequence its discontinuity sequence number
      * @param initializationMap the EXT-X-MAP in force, or null
@@ -35,7 +35,7 @@
     public record Segment(
             long sequence,
             String uri,
-            double seconds,
+            double durationS,
             boolean discontinuity,
             long discontinuitySequence,
             String initializationMap,
@@ -48,10 +48,10 @@
      * @param id its ID
      * @param kind its CLASS
      * @param startMs its START-DATE in ms since 1970
-     * @param seconds its DURATION, or its PLANNED-DURATION while that is not written, in s; 0 without either
+     * @param durationS its DURATION, or its PLANNED-DURATION while that is not written, in s; 0 without either
      * @param attributes all attributes as written
      */
-    public record DateRange(String id, String kind, double startMs, double seconds, Attributes attributes) {
+    public record DateRange(String id, String kind, double startMs, double durationS, Attributes attributes) {
 
         /** Returns whether a later text only adds attributes: none may be altered (RFC 8216, 4.3.2.7). */
         boolean isKeptBy(DateRange later) {
@@ -83,12 +83,12 @@
     }
 
     /** Returns whether the last playlist taken has EXT-X-ENDLIST. */
-    public boolean ended() {
+    public boolean isEnded() {
         return ended;
     }
 
     /** Returns EXT-X-TARGETDURATION of the last playlist taken, in s; -1 before the first. */
-    public long target() {
+    public long targetDurationS() {
         return targetDurationS;
     }
 
@@ -100,7 +100,7 @@
      * Takes the next playlist and returns its faults, by itself or compared with the one before; empty when there are
      * none.
      */
-    public List<String> take(String text) {
+    public List<String> checkNext(String text) {
         faults = new ArrayList<>();
         Playlist playlist;
         List<Segment> current;
@@ -133,9 +133,9 @@
         }
         double previousDateMs = Double.NaN;
         for (Segment segment : current) {
-            if (Math.round(segment.seconds()) > targetS) {
-                addFault("segment " + segment.sequence() + " of " + segment.seconds() + " s is longer than the target "
-                        + targetS);
+            if (Math.round(segment.durationS()) > targetS) {
+                addFault("segment " + segment.sequence() + " of " + segment.durationS()
+                        + " s is longer than the target " + targetS);
             }
             if (segment.dateMs() < previousDateMs - DATE_SLACK_MS) {
                 addFault("the date of segment " + segment.sequence() + " goes back");
@@ -166,7 +166,7 @@
             return;
         }
         boolean same = previous.uri().equals(current.uri())
-                && previous.seconds() == current.seconds()
+                && previous.durationS() == current.durationS()
                 && previous.discontinuity() == current.discontinuity()
                 && Objects.equals(previous.initializationMap(), current.initializationMap())
                 && previous.keys().equals(current.keys());
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Report.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/Report.java
@@ -22,11 +22,11 @@
         long seed,
         Verdict verdict,
         PlaylistChecker.Findings playlists,
-        List<Sightings.FaultTrace> faultTraces,
+        List<FaultTraces.FaultTrace> faultTraces,
         Map<String, Double> extraFigures) {
 
     /** Returns whether neither one of the six rules nor a rule of playlists was broken. */
-    public boolean kept() {
+    public boolean allRulesKept() {
         return verdict.allRulesKept() && playlists.faultCount() == 0;
     }
 
@@ -98,7 +98,7 @@
                 playlists.changesShown(),
                 playlists.changesMissed()));
         out.append('\n');
-        for (Sightings.FaultTrace fault : faultTraces) {
+        for (FaultTraces.FaultTrace fault : faultTraces) {
             out.append(String.format(
                     Locale.ROOT,
                     "  fault %-20s at %6.1f s%s%n",
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleChecker.java
@@ -29,7 +29,7 @@
     private static final String TERMS_KEPT = "terms-kept";
     private static final String ATTEMPTS_RATIONED = "attempts-rationed";
 
-    private final Figures parameters;
+    private final RuleParameters parameters;
     private final List<Entry> entries;
     private final Verdict verdict = new Verdict();
     /** Requests with their answers, by connection and number of the exchange. */
@@ -41,13 +41,13 @@
     /** Set-up attempts in the order in which they were first recorded, by the key that the manager gave them. */
     private final Map<String, Attempt> attemptsByKey = new LinkedHashMap<>();
 
-    private RuleChecker(Figures parameters, List<Entry> entries) {
+    private RuleChecker(RuleParameters parameters, List<Entry> entries) {
         this.parameters = parameters;
         this.entries = entries;
     }
 
     /** Judges a recording, whose entries must be in the order of their time. */
-    public static Verdict judge(Figures parameters, List<Entry> entries) {
+    public static Verdict judge(RuleParameters parameters, List<Entry> entries) {
         RuleChecker checker = new RuleChecker(parameters, entries);
         checker.indexEntries();
         checker.checkAnswers();
@@ -201,7 +201,7 @@
     /** Checks that each request of a player was answered once, and within the deadline of its class. */
     private void checkAnswers() {
         double longestDeadlineMs = parameters.classes().stream()
-                .mapToDouble(Figures.OfClass::deadlineMs)
+                .mapToDouble(RuleParameters.ClassParameters::deadlineMs)
                 .max()
                 .orElse(0);
         Map<String, Double> sentAtMsByTarget = new HashMap<>();
@@ -234,7 +234,7 @@
                     verdict.countRequest(status == 200 ? "played" : status == 503 ? "refused" : "failed");
                 }
             }
-            Figures.OfClass sessionClass =
+            RuleParameters.ClassParameters sessionClass =
                     isLecture ? parameters.classNamed(queryParameter(request.target(), "class")) : null;
             double sentMs =
                     isLecture ? sentAtMsByTarget.getOrDefault(request.target(), request.atMs()) : request.atMs();
@@ -314,7 +314,7 @@
                     && entry.status() == 503
                     && entry.body() != null;
             for (Attempt attempt : refused ? bySession.getOrDefault(entry.body(), List.of()) : List.<Attempt>of()) {
-                Figures.OfClass sessionClass =
+                RuleParameters.ClassParameters sessionClass =
                         parameters.classNamed(attempt.body.path("class").asText());
                 if (sessionClass != null && sessionClass.effect() == Effect.SIDE_EFFECT && attempt.status != 429) {
                     verdict.recordViolation(
@@ -335,7 +335,7 @@
                             next.requestAtBox.atMs(),
                             next.key + " was outstanding at the same time as " + previous.key);
                 }
-                Figures.OfClass sessionClass =
+                RuleParameters.ClassParameters sessionClass =
                         parameters.classNamed(next.body.path("class").asText());
                 if (sessionClass != null && sessionClass.effect() == Effect.SIDE_EFFECT && previous.status != 429) {
                     verdict.recordViolation(
@@ -526,7 +526,8 @@
                 }
             }
             if (givenToPlayer && classByPlaylist.containsKey(entry.target())) {
-                Figures.OfClass sessionClass = parameters.classNamed(classByPlaylist.get(entry.target()));
+                RuleParameters.ClassParameters sessionClass =
+                        parameters.classNamed(classByPlaylist.get(entry.target()));
                 if (sessionClass == null || sessionClass.lowestRung() == 0) {
                     continue;
                 }
@@ -547,7 +548,7 @@
             }
         }
         for (Attempt attempt : attemptsByKey.values()) {
-            Figures.OfClass sessionClass =
+            RuleParameters.ClassParameters sessionClass =
                     parameters.classNamed(attempt.body.path("class").asText());
             if (sessionClass != null && sessionClass.lowestRung() > 0) {
                 verdict.recordCheck(TERMS_KEPT);
@@ -566,7 +567,7 @@
                     && "PUT".equals(entry.method())
                     && entry.target().startsWith("/v1/sessions/");
             Attempt attempt = isRungChange ? attemptsByKey.get(entry.target().substring(13)) : null;
-            Figures.OfClass sessionClass = attempt == null
+            RuleParameters.ClassParameters sessionClass = attempt == null
                     ? null
                     : parameters.classNamed(attempt.body.path("class").asText());
             JsonNode rung = attempt == null ? null : parseJson(entry.body()).get("rung");
@@ -582,7 +583,7 @@
         Map<String, List<SeatChange>> changesBySeatKey = new HashMap<>();
         Map<String, Integer> seatLimits = new HashMap<>();
         for (Attempt attempt : attemptsByKey.values()) {
-            Figures.OfClass sessionClass =
+            RuleParameters.ClassParameters sessionClass =
                     parameters.classNamed(attempt.body.path("class").asText());
             if (sessionClass == null || sessionClass.seats() <= 0 || attempt.requestAtBox == null) {
                 continue;
@@ -698,7 +699,7 @@
             }
         }
         classByViewer.forEach((viewer, name) -> {
-            Figures.OfClass sessionClass = parameters.classNamed(name);
+            RuleParameters.ClassParameters sessionClass = parameters.classNamed(name);
             double worth = sessionClass == null ? 0 : sessionClass.worth();
             verdict.addWorth(worth, viewersPlayed.contains(viewer) ? worth : 0);
         });
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/Figures.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/RuleParameters.java
@@ -18,8 +18,8 @@
  * @param extraRatio further attempts permitted for each request taken
  * @param extraWindowMs length of the window over which further attempts and requests are counted, in ms
  */
-public record Figures(
-        List<OfClass> classes,
+public record RuleParameters(
+        List<ClassParameters> classes,
         double answerSlackMs,
         double drainGraceMs,
         double coldFrom,
@@ -41,10 +41,11 @@
      * @param lowestRung floor: the lowest rung that a session of this class may be shown
      * @param seats largest number of concurrent sessions of one title at a manager; 0 or less: unlimited
      */
-    public record OfClass(String name, double worth, double deadlineMs, Effect effect, int lowestRung, int seats) {}
+    public record ClassParameters(
+            String name, double worth, double deadlineMs, Effect effect, int lowestRung, int seats) {}
 
     /** Returns the parameters of the class with this name, or null when there is none. */
-    public OfClass classNamed(String name) {
+    public ClassParameters classNamed(String name) {
         return classes.stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
     }
 }
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Operators.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Operators.java
@@ -2,7 +2,7 @@
 
 import calicovale.protocols.json.Documents;
 import calicovale.rehearsal.day.Day;
-import calicovale.rehearsal.tape.Tape;
+import calicovale.rehearsal.tape.TrafficRecording;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.URI;
@@ -34,7 +34,7 @@
     private static final double CHANGE_VALIDITY_MS = 600_000;
 
     private final Rehearsal rehearsal;
-    private final Tape recording;
+    private final TrafficRecording recording;
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(REQUEST_TIMEOUT)
@@ -46,15 +46,15 @@
     });
 
     /** Creates the operators of a rehearsal that has started. */
-    public Operators(Rehearsal rehearsal, Tape recording) {
+    public Operators(Rehearsal rehearsal, TrafficRecording recording) {
         this.rehearsal = rehearsal;
         this.recording = recording;
     }
 
     /** Schedules the changes of the day; their times count from now. */
-    public void schedule(List<Day.Telling> scriptedChanges) {
-        for (Day.Telling scripted : scriptedChanges) {
-            executor.schedule(() -> tell(scripted), Math.round(1000 * scripted.atS()), TimeUnit.MILLISECONDS);
+    public void schedule(List<Day.ScriptedChange> scriptedChanges) {
+        for (Day.ScriptedChange scripted : scriptedChanges) {
+            executor.schedule(() -> sendChange(scripted), Math.round(1000 * scripted.atS()), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -62,7 +62,7 @@
      * Sends a change or withdrawal to its managers now. Returns after one request to each; requests to managers that
      * were unreachable are retried in the background.
      */
-    public void tell(Day.Telling scripted) {
+    public void sendChange(Day.ScriptedChange scripted) {
         List<Integer> targets = scripted.managers().isEmpty()
                 ? IntStream.range(0, rehearsal.managers().size()).boxed().toList()
                 : scripted.managers();
@@ -73,11 +73,11 @@
             change.put("validUntilMs", startAtMs + CHANGE_VALIDITY_MS);
         }
         for (int managerNumber : targets) {
-            tell(managerNumber, change, scripted.withdrawId(), 0);
+            sendChange(managerNumber, change, scripted.withdrawId(), 0);
         }
     }
 
-    private void tell(int managerNumber, ObjectNode change, String withdrawId, int retries) {
+    private void sendChange(int managerNumber, ObjectNode change, String withdrawId, int retries) {
         try {
             URI uri = URI.create("http://127.0.0.1:"
                     + rehearsal.managers().get(managerNumber).operatorsAddress().getPort() + "/v1/changes"
@@ -117,7 +117,7 @@
         }
         if (retries < MAX_RETRIES) {
             executor.schedule(
-                    () -> tell(managerNumber, change, withdrawId, retries + 1),
+                    () -> sendChange(managerNumber, change, withdrawId, retries + 1),
                     RETRY_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
@@ -10,15 +10,15 @@
 import calicovale.protocols.net.LoopLimits;
 import calicovale.protocols.net.SkewedClock;
 import calicovale.rehearsal.day.Day;
-import calicovale.rehearsal.judge.Figures;
+import calicovale.rehearsal.judge.FaultTraces;
 import calicovale.rehearsal.judge.FirstSetUps;
 import calicovale.rehearsal.judge.PlaylistChecker;
 import calicovale.rehearsal.judge.Report;
 import calicovale.rehearsal.judge.RuleChecker;
-import calicovale.rehearsal.judge.Sightings;
+import calicovale.rehearsal.judge.RuleParameters;
 import calicovale.rehearsal.tape.Entry;
 import calicovale.rehearsal.tape.SocketTap;
-import calicovale.rehearsal.tape.Tape;
+import calicovale.rehearsal.tape.TrafficRecording;
 import calicovale.rehearsal.viewers.SimulatedViewers;
 import calicovale.standin.BoxDirectory;
 import calicovale.standin.BoxSettings;
@@ -60,7 +60,7 @@
 
     private final Day day;
     private final Clock clock = Clock.system();
-    private final Tape recording = new Tape(clock);
+    private final TrafficRecording recording = new TrafficRecording(clock);
     private final SplittableRandom random;
     private final EventLoop directoryLoop;
     private final EventLoop viewerLoop;
@@ -97,7 +97,7 @@
     }
 
     /** Returns the recording of this run. */
-    public Tape tape() {
+    public TrafficRecording recording() {
         return recording;
     }
 
@@ -106,7 +106,7 @@
         return viewers;
     }
 
-    /** Returns the boxes; they must be accessed on their loops only, see {@link #atBox}. */
+    /** Returns the boxes; they must be accessed on their loops only, see {@link #callOnBox}. */
     public List<MediaBox> boxes() {
         return boxes;
     }
@@ -117,7 +117,7 @@
     }
 
     /** Returns the addresses of the managers for players, by manager number. */
-    public List<InetSocketAddress> addresses() {
+    public List<InetSocketAddress> managerAddresses() {
         return managerAddresses;
     }
 
@@ -301,12 +301,12 @@
     }
 
     /** Injects a fault now; returns after it was applied. */
-    public void happen(Day.Fault fault) {
+    public void injectFault(Day.Fault fault) {
         runAndWait(scriptLoop, () -> applyFault(fault));
     }
 
     /** Calls a function with a box, on the box's loop, and returns its result. */
-    public <T> T atBox(int box, Function<MediaBox, T> body) {
+    public <T> T callOnBox(int box, Function<MediaBox, T> body) {
         return loopOf(box).call(() -> body.apply(boxes.get(box)));
     }
 
@@ -556,11 +556,11 @@
 
     @Override
     public void close() {
-        finish();
+        stop();
     }
 
     /** Stops all processes and event loops. */
-    public void finish() {
+    public void stop() {
         scriptLoop.close();
         managers.forEach(FrontProcess::close);
         viewerLoop.close();
@@ -588,25 +588,25 @@
             figures.put("stalls at a piece", (double) viewers.stallsAtPieces());
             figures.put("playlists that players refused", (double) viewers.refusedPlaylists());
         }
-        FirstSetUps firstSetUps = FirstSetUps.of(entries);
+        FirstSetUps firstSetUps = FirstSetUps.countIn(entries);
         figures.put("first set-ups", (double) firstSetUps.sent());
-        figures.put("first set-ups that failed", (double) firstSetUps.failures());
+        figures.put("first set-ups that failed", (double) firstSetUps.failedCount());
         return new Report(
                 day.name(),
                 day.seed(),
                 RuleChecker.judge(figures(day), entries),
                 PlaylistChecker.judge(figures(day), entries),
-                Sightings.of(entries),
+                FaultTraces.findAll(entries),
                 figures);
     }
 
     /** Returns the limits by which the run of a day is judged. */
-    public static Figures figures(Day day) {
+    public static RuleParameters figures(Day day) {
         var settings = day.settings().controller();
-        List<Figures.OfClass> classes = new ArrayList<>();
+        List<RuleParameters.ClassParameters> classes = new ArrayList<>();
         for (int classId = 0; classId < settings.classes().size(); classId++) {
             var sessionClass = settings.classes().get(classId);
-            classes.add(new Figures.OfClass(
+            classes.add(new RuleParameters.ClassParameters(
                     day.settings().classNames().get(classId),
                     sessionClass.worth(),
                     sessionClass.deadlineMs(),
@@ -615,7 +615,7 @@
                     sessionClass.seats()));
         }
         var rules = settings.rules();
-        return new Figures(
+        return new RuleParameters(
                 classes,
                 ANSWER_SLACK_MS,
                 rules.drainGraceMs(),
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/SocketTap.java
@@ -23,7 +23,7 @@
     /** Limits of the parsers, wide enough for all traffic of a rehearsal; timeouts are not used. */
     private static final HttpLimits PARSER_LIMITS = new HttpLimits(1 << 16, 256, 1 << 18, 1 << 24, 0, 0, 0, 0, 0);
 
-    private final Tape recording;
+    private final TrafficRecording recording;
     private final String fixedEnd;
 
     /**
@@ -32,7 +32,7 @@
      * @param recording receives the entries
      * @param fixedEnd the process whose end is recorded; null to take the name of each connection as its end
      */
-    public SocketTap(Tape recording, String fixedEnd) {
+    public SocketTap(TrafficRecording recording, String fixedEnd) {
         this.recording = recording;
         this.fixedEnd = fixedEnd;
     }
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Tape.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/TrafficRecording.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /** The recording of one rehearsal: the entries of all processes, dated by one clock. Thread-safe. */
-public final class Tape {
+public final class TrafficRecording {
     /** Maximum number of entries kept, so that the recording of a long day does not exhaust the heap. */
     private static final int MAX_ENTRIES = 20_000_000;
 
@@ -24,7 +24,7 @@
      *
      * @param clock the clock by which all entries are dated
      */
-    public Tape(Clock clock) {
+    public TrafficRecording(Clock clock) {
         this.clock = clock;
     }
 
--- a/rehearsal/src/main/java/calicovale/rehearsal/viewers/PlayerState.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/viewers/PlayerState.java
@@ -39,7 +39,7 @@
 
     /** Replaces the playlist by a newer one; returns its violations of the standard, empty if there are none. */
     List<String> acceptPlaylist(String text, double nowMs) {
-        List<String> faults = rules.take(text);
+        List<String> faults = rules.checkNext(text);
         if (!faults.isEmpty()) {
             return faults;
         }
@@ -47,7 +47,7 @@
         long lastSequence = segments.isEmpty()
                 ? lastListedSequence
                 : segments.get(segments.size() - 1).sequence();
-        double targetMs = 1000.0 * rules.target();
+        double targetMs = 1000.0 * rules.targetDurationS();
         reloadAtMs = nowMs
                 + Math.max(
                         MIN_RELOAD_MS,
@@ -73,7 +73,7 @@
 
     /** Returns the time of the next playlist reload in ms, or infinity if the playlist has ended. */
     double reloadAtMs() {
-        return rules.ended() ? Double.POSITIVE_INFINITY : reloadAtMs;
+        return rules.isEnded() ? Double.POSITIVE_INFINITY : reloadAtMs;
     }
 
     /** Records a failed fetch; the playlist is reloaded soon, because it may name another box by then. */
@@ -83,12 +83,12 @@
 
     /** Returns the time from which the buffer has room for another segment, in ms. */
     double bufferRoomAtMs() {
-        return bufferedUntilMs - bufferTargetDurations * 1000.0 * rules.target();
+        return bufferedUntilMs - bufferTargetDurations * 1000.0 * rules.targetDurationS();
     }
 
     /** Returns whether the playlist has ended and all its segments were fetched. */
     boolean isFinished() {
-        return rules.ended() && nextSegment() == null;
+        return rules.isEnded() && nextSegment() == null;
     }
 
     /**
@@ -100,7 +100,7 @@
                 .anyMatch(r -> r.kind() != null
                         && r.kind().equals("org.calicovale.change")
                         && segment.dateMs() >= r.startMs() - 3
-                        && segment.dateMs() < r.startMs() + 1000 * r.seconds() - 3);
+                        && segment.dateMs() < r.startMs() + 1000 * r.durationS() - 3);
     }
 
     /**
@@ -118,12 +118,12 @@
         atPiece = segmentOfPiece;
         if (startupSegments < START_SEGMENTS) {
             startupSegments++;
-            startupS += segment.seconds();
+            startupS += segment.durationS();
             bufferedUntilMs = nowMs + 1000 * startupS;
             return 0;
         }
         double emptyMs = Math.max(0, nowMs - bufferedUntilMs);
-        bufferedUntilMs = Math.max(bufferedUntilMs, nowMs) + 1000 * segment.seconds();
+        bufferedUntilMs = Math.max(bufferedUntilMs, nowMs) + 1000 * segment.durationS();
         if (emptyMs > 0) {
             atPiece = atOrAfterPiece;
         }
--- a/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
@@ -9,7 +9,7 @@
 import calicovale.rehearsal.judge.Report;
 import calicovale.rehearsal.judge.RuleChecker;
 import calicovale.rehearsal.run.Rehearsal;
-import calicovale.rehearsal.tape.Tape;
+import calicovale.rehearsal.tape.TrafficRecording;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,12 +26,13 @@
         try (Rehearsal rehearsal = new Rehearsal(day, folder)) {
             rehearsal.start();
             rehearsal.play();
-            rehearsal.finish();
+            rehearsal.stop();
             Report report = rehearsal.report();
-            assertTrue(report.kept(), report.table());
-            rehearsal.tape().write(folder.resolve("tape.jsonl"));
+            assertTrue(report.allRulesKept(), report.table());
+            rehearsal.recording().write(folder.resolve("tape.jsonl"));
             // The verdict must depend on the recording alone: read back from the file, it gives the same verdict.
-            var rejudged = RuleChecker.judge(Rehearsal.figures(day), Tape.read(folder.resolve("tape.jsonl")));
+            var rejudged =
+                    RuleChecker.judge(Rehearsal.figures(day), TrafficRecording.read(folder.resolve("tape.jsonl")));
             assertEquals(report.verdict().requestsByOutcome(), rejudged.requestsByOutcome());
             assertEquals(report.verdict().checkCount("no-session-lost"), rejudged.checkCount("no-session-lost"));
             return report;
--- a/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
@@ -59,7 +59,7 @@
     void quorumClaimLimitsSetUpsAtBoxToOneAtATimeAndRefusesNoViewer() throws Exception {
         try (RehearsalHarness harness =
                 new RehearsalHarness(state, "/managers", THREE_MANAGERS, "/boxes/setUpMs", "300")) {
-            double startedMs = harness.rehearsal.tape().nowMs();
+            double startedMs = harness.rehearsal.recording().nowMs();
             RehearsalHarness.await(
                     "all three managers list each other as present",
                     () -> harness.rehearsal.managers().stream()
@@ -70,7 +70,7 @@
                                                     .presentCount())
                                     == 3));
             FrontProcess third = harness.rehearsal.managers().get(2);
-            harness.rehearsal.happen(falseClaims(0, 1, 30));
+            harness.rehearsal.injectFault(falseClaims(0, 1, 30));
             RehearsalHarness.await(
                     "the third manager receives a claim",
                     () -> third.loop()
@@ -78,13 +78,13 @@
                                             third.peers().view().path("claims").size())
                             > 0);
             assertTrue(!hasEvidenceAgainst(third, 1), "the claim of a single manager is believed");
-            harness.rehearsal.happen(falseClaims(1, 1, 30));
+            harness.rehearsal.injectFault(falseClaims(1, 1, 30));
             // Also waits until the third manager is past the time after its start in which it sends each box few
             // set-ups.
             RehearsalHarness.await(
                     "the claim of a quorum is believed",
                     () -> hasEvidenceAgainst(third, 1)
-                            && harness.rehearsal.tape().nowMs() - startedMs > 4500);
+                            && harness.rehearsal.recording().nowMs() - startedMs > 4500);
             List<CompletableFuture<HttpResponse<String>>> burst = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 burst.add(harness.client.sendAsync(
@@ -95,7 +95,7 @@
             for (CompletableFuture<HttpResponse<String>> answer : burst) {
                 assertEquals(200, answer.join().statusCode());
             }
-            List<Entry> entries = harness.rehearsal.tape().entries();
+            List<Entry> entries = harness.rehearsal.recording().entries();
             long setUpsBeforeAnswer =
                     setUpsBeforeFirstAnswer(entries, e -> e.peer().equals("box:1"));
             long allSetUps = entries.stream()
@@ -120,8 +120,8 @@
                                     .call(() ->
                                             third.peers().node().membership().presentCount())
                             == 3);
-            harness.rehearsal.happen(falseClaims(0, 1, 30));
-            harness.rehearsal.happen(falseClaims(1, 1, 30));
+            harness.rehearsal.injectFault(falseClaims(0, 1, 30));
+            harness.rehearsal.injectFault(falseClaims(1, 1, 30));
             RehearsalHarness.await("the claim of a quorum is believed", () -> hasEvidenceAgainst(third, 1));
             RehearsalHarness.await("the manager's own observations contradict the claim", () -> {
                 HttpResponse<String> answer = harness.getWithRetry(
@@ -142,7 +142,7 @@
             Predicate<State> secondMemberIs = s ->
                     first.loop().call(() -> first.peers().node().membership().state("m1")) == s;
             RehearsalHarness.await("the second manager is listed as alive", () -> secondMemberIs.test(State.ALIVE));
-            harness.rehearsal.happen(new Day.Fault("members-cut", 0, 0, List.of(), 0, 1, 0, false));
+            harness.rehearsal.injectFault(new Day.Fault("members-cut", 0, 0, List.of(), 0, 1, 0, false));
             RehearsalHarness.await(
                     "the isolated second manager is listed as dead", () -> secondMemberIs.test(State.DEAD));
             // Isolated from the group, it still serves players.
@@ -200,7 +200,7 @@
         entries.add(new Entry(9, "manager:0", "box:0", 0, 1, Kind.RESPONSE, null, null, 201, "", 0));
         entries.add(new Entry(9, "manager:0", "box:1", 1, 1, Kind.RESPONSE, null, null, 429, "", 0));
         entries.add(new Entry(9, "manager:0", "box:2", 2, 1, Kind.RESPONSE, null, null, 500, "", 0));
-        FirstSetUps firstSetUps = FirstSetUps.of(entries);
+        FirstSetUps firstSetUps = FirstSetUps.countIn(entries);
         assertEquals(4, firstSetUps.sent());
         assertEquals(java.util.Map.of("box:2", 1L, "box:3", 1L), firstSetUps.failedByBox());
     }
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -48,7 +48,7 @@
             RehearsalHarness harness, int exceptBox, java.util.function.Consumer<MediaBox> action) {
         for (int i : boxIndexes(harness)) {
             if (i != exceptBox) {
-                harness.rehearsal.atBox(i, box -> {
+                harness.rehearsal.callOnBox(i, box -> {
                     action.accept(box);
                     return true;
                 });
@@ -84,7 +84,7 @@
             String media = RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1"));
             String before = harness.get(harness.uri(media)).body();
             int box = harness.boxOf(RehearsalHarness.segmentUris(before).get(0));
-            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0, box));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("crash", 0, 0, box));
             RehearsalHarness.await("the manager counts the lost session", () -> harness.counter("sessions-lost") == 1);
             HttpResponse<String> next = harness.get(harness.uri(media));
             assertEquals(200, next.statusCode());
@@ -141,7 +141,7 @@
         // The lease is longer than the test, so only the manager's release can end the late set-up.
         try (RehearsalHarness harness = new RehearsalHarness(state, "/service/times/leaseMs", "600000")) {
             for (int i : boxIndexes(harness)) {
-                harness.rehearsal.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
+                harness.rehearsal.callOnBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
             }
             CompletableFuture<HttpResponse<String>> answer = harness.requestLectureAsync("talk", "v1");
             Entry first = harness.awaitEntry("the first set-up", e -> isAtBox(e) && isSetUp(e));
@@ -156,16 +156,16 @@
                                     harness.get(harness.uri(media)).body())
                             .get(0)));
             // Now the hung box starts the first attempt, which must not play.
-            harness.rehearsal.atBox(hungBox, box -> {
+            harness.rehearsal.callOnBox(hungBox, box -> {
                 box.endHang();
                 return box.sessionCount();
             });
             RehearsalHarness.await(
                     "the late set-up is released and frees its stream",
-                    () -> harness.rehearsal.atBox(hungBox, MediaBox::sessionCount) == 0);
+                    () -> harness.rehearsal.callOnBox(hungBox, MediaBox::sessionCount) == 0);
             Report report = harness.finishAndAssertRulesKept();
             assertTrue(report.verdict().checkCount("no-setup-twice") > 0);
-            long played = harness.rehearsal.tape().entries().stream()
+            long played = harness.rehearsal.recording().entries().stream()
                     .filter(e -> isAtBox(e)
                             && e.kind() == Kind.REQUEST
                             && "PUT".equals(e.method())
@@ -179,20 +179,20 @@
     void lateSetUpOfKilledManagerReleasesItsStreamWhenItsLeaseExpires() throws Exception {
         try (RehearsalHarness harness = new RehearsalHarness(state)) {
             for (int i : boxIndexes(harness)) {
-                harness.rehearsal.atBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
+                harness.rehearsal.callOnBox(i, box -> box.faults().hang = box.faults().ignorePeerClosed = true);
             }
             CompletableFuture<HttpResponse<String>> answer = harness.requestLectureAsync("talk", "v1");
             Entry first = harness.awaitEntry("the set-up", e -> isAtBox(e) && isSetUp(e));
-            harness.rehearsal.happen(new Day.Fault("manager-kill", 0, 0, List.of(), 0, 0, 0, false));
+            harness.rehearsal.injectFault(new Day.Fault("manager-kill", 0, 0, List.of(), 0, 0, 0, false));
             assertTrue(answer.handle((a, e) -> e != null).join(), "the request of a killed manager was answered");
             int box = Integer.parseInt(first.end().substring(4));
-            assertEquals(1, (int) harness.rehearsal.atBox(box, b -> {
+            assertEquals(1, (int) harness.rehearsal.callOnBox(box, b -> {
                 b.endHang();
                 return b.sessionCount();
             }));
             RehearsalHarness.await(
                     "the lease ends the late set-up that nobody releases",
-                    () -> harness.rehearsal.atBox(box, MediaBox::sessionCount) == 0);
+                    () -> harness.rehearsal.callOnBox(box, MediaBox::sessionCount) == 0);
             harness.finishAndAssertRulesKept();
         }
     }
@@ -203,7 +203,7 @@
                 new RehearsalHarness(state, "/managers", "{\"count\": 1, \"skewMs\": [60000]}")) {
             var manager = harness.rehearsal.managers().get(0);
             assertTrue(Math.abs(clockOffsetMs(manager)) < 10_000, "clock offset in ms: " + clockOffsetMs(manager));
-            harness.rehearsal.happen(new Day.Fault("clock-step", 0, 0, List.of(), 0, 0, 90_000, false));
+            harness.rehearsal.injectFault(new Day.Fault("clock-step", 0, 0, List.of(), 0, 0, 90_000, false));
             assertTrue(Math.abs(clockOffsetMs(manager)) < 10_000, "clock offset in ms: " + clockOffsetMs(manager));
             harness.finishAndAssertRulesKept();
         }
@@ -217,10 +217,10 @@
     void viewerThatClosesBeforeAnswerLeavesNoStreamBehind() throws Exception {
         try (RehearsalHarness harness = new RehearsalHarness(state)) {
             for (int i : boxIndexes(harness)) {
-                harness.rehearsal.atBox(i, box -> box.faults().setUpTimeFactor = 40);
+                harness.rehearsal.callOnBox(i, box -> box.faults().setUpTimeFactor = 40);
             }
-            try (Socket s =
-                    new Socket("127.0.0.1", harness.rehearsal.addresses().get(0).getPort())) {
+            try (Socket s = new Socket(
+                    "127.0.0.1", harness.rehearsal.managerAddresses().get(0).getPort())) {
                 s.getOutputStream()
                         .write("GET /v1/lectures/t1/index.m3u8?class=talk&viewer=v1&try=1 HTTP/1.1\r\nHost: h\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII));
@@ -230,7 +230,7 @@
             RehearsalHarness.await(
                     "no box holds a session",
                     () -> java.util.Arrays.stream(boxIndexes(harness))
-                            .allMatch(i -> harness.rehearsal.atBox(i, MediaBox::sessionCount) == 0));
+                            .allMatch(i -> harness.rehearsal.callOnBox(i, MediaBox::sessionCount) == 0));
             assertEquals(0, harness.counter("played"));
             harness.finishAndAssertRulesKept();
         }
@@ -248,7 +248,7 @@
                 "2400")) {
             for (int i : boxIndexes(harness)) {
                 // Every answer of a box takes longer than the viewer waits.
-                harness.rehearsal.atBox(i, box -> box.faults().setUpTimeFactor = 300);
+                harness.rehearsal.callOnBox(i, box -> box.faults().setUpTimeFactor = 300);
             }
             HttpResponse<String> answer = harness.requestLecture("talk", "v1");
             assertTrue(answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
@@ -257,7 +257,7 @@
             RehearsalHarness.await(
                     "no box holds a session",
                     () -> java.util.Arrays.stream(boxIndexes(harness))
-                            .allMatch(i -> harness.rehearsal.atBox(i, MediaBox::sessionCount) == 0));
+                            .allMatch(i -> harness.rehearsal.callOnBox(i, MediaBox::sessionCount) == 0));
             harness.finishAndAssertRulesKept();
         }
     }
@@ -266,7 +266,7 @@
     void resumedManagerKeepsColdPaceInBurstOfRequests() throws Exception {
         try (RehearsalHarness harness = new RehearsalHarness(state, "/service/rules/warmAfterMs", "20000")) {
             // The two other boxes refuse set-ups, so without a pace all would go to the box that just started.
-            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0.1, 0, 0));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("crash", 0.1, 0, 0));
             harness.awaitEntry(
                     "the manager is told of the box's restart",
                     e -> e.end().startsWith("manager")
@@ -275,9 +275,9 @@
                             && e.body().contains("\"id\":0,\"state\":\"ready\"")
                             && !e.body().contains("\"startedMs\":0.0"));
             for (int i : new int[] {1, 2}) {
-                harness.rehearsal.atBox(i, box -> box.faults().setUpErrorShare = 1);
+                harness.rehearsal.callOnBox(i, box -> box.faults().setUpErrorShare = 1);
             }
-            harness.rehearsal.happen(new Day.Fault("manager-stall", 0, 1.0, List.of(), 0, 0, 0, false));
+            harness.rehearsal.injectFault(new Day.Fault("manager-stall", 0, 1.0, List.of(), 0, 0, 0, false));
             List<CompletableFuture<HttpResponse<String>>> burst = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 burst.add(harness.requestLectureAsync(i % 2 == 0 ? "talk" : "contractor-course", "v" + i));
@@ -286,7 +286,7 @@
                 int status = answer.join().statusCode();
                 assertTrue(status == 200 || status >= 502 && status <= 504, "" + status);
             }
-            assertFalse(harness.rehearsal.atBox(0, MediaBox::crashedByOverload));
+            assertFalse(harness.rehearsal.callOnBox(0, MediaBox::crashedByOverload));
             Report report = harness.finishAndAssertRulesKept();
             assertEquals(40, report.verdict().requestsByOutcome().get("taken"));
         }
@@ -300,12 +300,12 @@
                             harness.get(harness.uri(media)).body())
                     .get(0);
             int box = harness.boxOf(segment);
-            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0.05, 0, box));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("crash", 0.05, 0, box));
             harness.awaitEntry(
                     "the box's new process",
                     e -> e.kind() == Kind.MARK && e.method().equals("box-start"));
             assertEquals(URI.create(segment).getPort(), (int)
-                    harness.rehearsal.atBox(box, b -> b.address().getPort()));
+                    harness.rehearsal.callOnBox(box, b -> b.address().getPort()));
             assertEquals(410, harness.get(URI.create(segment)).statusCode());
             RehearsalHarness.await("the manager counts the lost session", () -> harness.counter("sessions-lost") == 1);
             HttpResponse<String> next = harness.get(harness.uri(media));
@@ -323,14 +323,14 @@
             RehearsalHarness.await(
                     "the box list is saved",
                     () -> state.resolve("list-0.json").toFile().exists());
-            harness.rehearsal.happen(RehearsalHarness.fault("directory-down", 0, 0));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("directory-down", 0, 0));
             harness.awaitEntry(
                     "the directory's connection is closed",
                     e -> e.end().equals("directory") && e.kind() == Kind.CLOSED);
             // Without the directory, sessions are placed by the last list.
             assertEquals(200, harness.requestLecture("talk", "v2").statusCode());
             var killed = harness.rehearsal.managers().get(0);
-            harness.rehearsal.happen(new Day.Fault("manager-kill", 0, 0.05, List.of(), 0, 0, 0, false));
+            harness.rehearsal.injectFault(new Day.Fault("manager-kill", 0, 0.05, List.of(), 0, 0, 0, false));
             RehearsalHarness.await(
                     "the manager's new process",
                     () -> harness.rehearsal.managers().get(0) != killed);
@@ -367,7 +367,7 @@
                             harness.get(harness.uri(media)).body())
                     .get(0);
             int box = harness.boxOf(segment);
-            harness.rehearsal.happen(RehearsalHarness.fault("list-forgets", 0, 0, box));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("list-forgets", 0, 0, box));
             harness.awaitEntry(
                     "the full list without the box",
                     e -> e.end().startsWith("manager")
@@ -406,7 +406,7 @@
                         harness.requestLectureUntilAdmitted(i % 3 == 0 ? "talk" : "contractor-course", "v" + i)));
             }
             for (int i : boxIndexes(harness)) {
-                harness.rehearsal.atBox(i, box -> {
+                harness.rehearsal.callOnBox(i, box -> {
                     box.setLinkDivisor(4);
                     return true;
                 });
@@ -437,14 +437,14 @@
             int box = harness.boxOf(segment);
             RehearsalHarness.await(
                     "the manager receives an event of the box",
-                    () -> harness.rehearsal.tape().entries().stream()
+                    () -> harness.rehearsal.recording().entries().stream()
                             .anyMatch(e -> e.end().equals("manager:0")
                                     && e.peer().equals("box:" + box)
                                     && e.kind() == Kind.EVENT));
-            harness.rehearsal.atBox(box, b -> b.faults().silentEventStreams = true);
+            harness.rehearsal.callOnBox(box, b -> b.faults().silentEventStreams = true);
             RehearsalHarness.await(
                     "the manager counts the silent event stream", () -> harness.counter("box-streams-silent") >= 1);
-            harness.rehearsal.atBox(box, b -> b.faults().silentEventStreams = false);
+            harness.rehearsal.callOnBox(box, b -> b.faults().silentEventStreams = false);
             assertEquals(200, harness.get(URI.create(segment)).statusCode());
             assertEquals(0, harness.counter("sessions-lost"));
             harness.finishAndAssertRulesKept();
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlayingTest.java
@@ -132,7 +132,7 @@
             });
             if (playlist.runCount() > 0) {
                 String text = playlist.render();
-                assertEquals(List.of(), rules.take(text), text);
+                assertEquals(List.of(), rules.checkNext(text), text);
                 assertTrue(rules.segments().size() <= WINDOW_SHAPE.segmentsAhead() + 1 + WINDOW_SHAPE.segmentsBehind());
                 if (step % 4 == 0) {
                     playlist.onSegmentServed(
@@ -160,7 +160,7 @@
         String box = "a";
         for (int step = 0;
                 step < 10_000
-                        && !(rules.ended()
+                        && !(rules.isEnded()
                                 && nextSequence
                                         > rules.segments()
                                                 .get(rules.segments().size() - 1)
@@ -187,20 +187,20 @@
                 }
             });
             String text = playlist.render();
-            assertEquals(List.of(), rules.take(text), text);
+            assertEquals(List.of(), rules.checkNext(text), text);
             for (PlaylistRules.Segment segment : rules.segments()) {
                 if (!segment.uri().startsWith(base)) {
                     // A lost box delivers nothing.
                     nextSequence = Math.max(nextSequence, segment.sequence() + 1);
                     continue;
                 }
-                double fetchMs = fetchPart * 1000 * segment.seconds();
+                double fetchMs = fetchPart * 1000 * segment.durationS();
                 if (segment.sequence() >= nextSequence && Math.max(fetchedAtMs, nowMs) + fetchMs <= nowMs + 500) {
                     fetchedAtMs = Math.max(fetchedAtMs, nowMs) + fetchMs;
                     assertTrue(
                             played.isEmpty() || fetchedAtMs <= bufferedUntilMs,
                             "stalled at segment " + segment + " for ms " + (fetchedAtMs - bufferedUntilMs));
-                    bufferedUntilMs = Math.max(bufferedUntilMs, fetchedAtMs) + 1000 * segment.seconds();
+                    bufferedUntilMs = Math.max(bufferedUntilMs, fetchedAtMs) + 1000 * segment.durationS();
                     nextSequence = segment.sequence() + 1;
                     played.add(segment.uri().substring(8 + box.length()));
                     playlist.onSegmentServed(segment.uri());
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlaylistCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlaylistCheckerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicovale.ControllerApi.Effect;
-import calicovale.rehearsal.judge.Figures;
 import calicovale.rehearsal.judge.PlaylistChecker;
+import calicovale.rehearsal.judge.RuleParameters;
 import calicovale.rehearsal.tape.Entry;
 import calicovale.rehearsal.tape.Entry.Kind;
 import java.time.Instant;
@@ -17,8 +17,8 @@
 
 /** Breaks each rule of the playlist checker once, in a recording that is valid otherwise. */
 class PlaylistCheckerTest {
-    private static final Figures PARAMETERS = new Figures(
-            List.of(new Figures.OfClass("course", 3, 5000, Effect.PURE, 1, 0)),
+    private static final RuleParameters PARAMETERS = new RuleParameters(
+            List.of(new RuleParameters.ClassParameters("course", 3, 5000, Effect.PURE, 1, 0)),
             50,
             2000,
             0.5,
--- a/rehearsal/src/test/java/calicovale/rehearsal/PlaylistRulesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/PlaylistRulesTest.java
@@ -44,10 +44,10 @@
 
     private static void assertFault(String expectedFault, String first, String second) {
         PlaylistRules rules = new PlaylistRules();
-        List<String> faults = rules.take(first);
+        List<String> faults = rules.checkNext(first);
         if (second != null) {
             assertEquals(List.of(), faults);
-            faults = rules.take(second);
+            faults = rules.checkNext(second);
         }
         assertTrue(faults.stream().anyMatch(f -> f.contains(expectedFault)), expectedFault + " in " + faults);
     }
@@ -55,11 +55,11 @@
     @Test
     void movingWindowAndAddedAttributesAreValid() {
         PlaylistRules rules = new PlaylistRules();
-        assertEquals(List.of(), rules.take(VALID_PLAYLIST));
-        assertEquals(List.of(), rules.take(VALID_PLAYLIST));
-        assertEquals(List.of(), rules.take(nextReload(VALID_PLAYLIST)));
-        assertEquals(List.of(), rules.take(nextReload(VALID_PLAYLIST) + "#EXT-X-ENDLIST\n"));
-        assertEquals(List.of(), rules.take(nextReload(VALID_PLAYLIST) + "#EXT-X-ENDLIST\n"));
+        assertEquals(List.of(), rules.checkNext(VALID_PLAYLIST));
+        assertEquals(List.of(), rules.checkNext(VALID_PLAYLIST));
+        assertEquals(List.of(), rules.checkNext(nextReload(VALID_PLAYLIST)));
+        assertEquals(List.of(), rules.checkNext(nextReload(VALID_PLAYLIST) + "#EXT-X-ENDLIST\n"));
+        assertEquals(List.of(), rules.checkNext(nextReload(VALID_PLAYLIST) + "#EXT-X-ENDLIST\n"));
         assertEquals(
                 3,
                 rules.segments().get(1).discontinuitySequence()
--- a/rehearsal/src/test/java/calicovale/rehearsal/RehearsalHarness.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RehearsalHarness.java
@@ -76,7 +76,7 @@
     Entry awaitEntry(String description, Predicate<Entry> matches) {
         Entry[] found = new Entry[1];
         await(description, () -> {
-            found[0] = rehearsal.tape().entries().stream()
+            found[0] = rehearsal.recording().entries().stream()
                     .filter(matches)
                     .findFirst()
                     .orElse(null);
@@ -90,7 +90,7 @@
     }
 
     URI uri(int manager, String path) {
-        InetSocketAddress address = rehearsal.addresses().get(manager);
+        InetSocketAddress address = rehearsal.managerAddresses().get(manager);
         return URI.create("http://127.0.0.1:" + address.getPort() + path);
     }
 
@@ -153,16 +153,16 @@
     }
 
     /** Announces or withdraws a change at managers as operators of a day do, with its mark in the recording. */
-    void announce(Day.Telling announcement) {
-        try (Operators operators = new Operators(rehearsal, rehearsal.tape())) {
-            operators.tell(announcement);
+    void announce(Day.ScriptedChange announcement) {
+        try (Operators operators = new Operators(rehearsal, rehearsal.recording())) {
+            operators.sendChange(announcement);
         }
     }
 
     /** Kills a manager and waits until its next process runs. */
     void killManager(int manager) {
         var killed = rehearsal.managers().get(manager);
-        rehearsal.happen(new Day.Fault("manager-kill", 0, 0.05, List.of(), 0, manager, 0, false));
+        rehearsal.injectFault(new Day.Fault("manager-kill", 0, 0.05, List.of(), 0, manager, 0, false));
         await("the manager's new process", () -> rehearsal.managers().get(manager) != killed);
         rehearsal.managers().get(manager).address();
     }
@@ -170,11 +170,11 @@
     /** Returns the URIs of the segments that an EXT-X-DATERANGE marks as a piece's. */
     List<String> pieceSegments(String playlist) {
         PlaylistRules rules = new PlaylistRules();
-        assertTrue(rules.take(playlist).isEmpty());
+        assertTrue(rules.checkNext(playlist).isEmpty());
         return rules.segments().stream()
                 .filter(x -> rules.ranges().values().stream()
                         .anyMatch(r ->
-                                x.dateMs() >= r.startMs() - 3 && x.dateMs() < r.startMs() + 1000 * r.seconds() - 3))
+                                x.dateMs() >= r.startMs() - 3 && x.dateMs() < r.startMs() + 1000 * r.durationS() - 3))
                 .map(PlaylistRules.Segment::uri)
                 .toList();
     }
@@ -203,7 +203,7 @@
         int port = URI.create(segment).getPort();
         for (int i = 0; i < rehearsal.boxes().size(); i++) {
             int boxIndex = i;
-            if (rehearsal.atBox(boxIndex, box -> box.address().getPort()) == port) {
+            if (rehearsal.callOnBox(boxIndex, box -> box.address().getPort()) == port) {
                 return i;
             }
         }
@@ -216,14 +216,14 @@
 
     /** Ends the rehearsal and returns its report; fails when a rule is broken. */
     Report finishAndAssertRulesKept() {
-        rehearsal.finish();
+        rehearsal.stop();
         Report report = rehearsal.report();
-        assertTrue(report.kept(), report.table());
+        assertTrue(report.allRulesKept(), report.table());
         return report;
     }
 
     @Override
     public void close() {
-        rehearsal.finish();
+        rehearsal.stop();
     }
 }
--- a/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import calicovale.ControllerApi.Effect;
-import calicovale.rehearsal.judge.Figures;
 import calicovale.rehearsal.judge.RuleChecker;
+import calicovale.rehearsal.judge.RuleParameters;
 import calicovale.rehearsal.judge.Verdict;
 import calicovale.rehearsal.tape.Entry;
 import calicovale.rehearsal.tape.Entry.Kind;
@@ -16,11 +16,11 @@
 
 /** Breaks each rule of the rule checker once, in a recording that keeps all rules otherwise. */
 class RuleCheckerTest {
-    private static final Figures PARAMETERS = new Figures(
+    private static final RuleParameters PARAMETERS = new RuleParameters(
             List.of(
-                    new Figures.OfClass("course", 3, 5000, Effect.PURE, 1, 0),
-                    new Figures.OfClass("paid", 1, 5000, Effect.SIDE_EFFECT, 0, 0),
-                    new Figures.OfClass("seated", 1, 5000, Effect.PURE, 0, 2)),
+                    new RuleParameters.ClassParameters("course", 3, 5000, Effect.PURE, 1, 0),
+                    new RuleParameters.ClassParameters("paid", 1, 5000, Effect.SIDE_EFFECT, 0, 0),
+                    new RuleParameters.ClassParameters("seated", 1, 5000, Effect.PURE, 0, 2)),
             50,
             2000,
             0.5,
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -87,7 +87,7 @@
                     && entries.get(afterPieceEntry).has("EXT-X-MAP"));
             assertEquals(1, harness.counter("changes-shown"));
             // While the piece played the box was told the piece's rate, and after it the rung in force again.
-            List<Integer> rungsSent = harness.rehearsal.tape().entries().stream()
+            List<Integer> rungsSent = harness.rehearsal.recording().entries().stream()
                     .filter(e -> e.end().startsWith("manager:")
                             && e.kind() == Entry.Kind.REQUEST
                             && "PUT".equals(e.method())
@@ -146,7 +146,7 @@
                     404,
                     sendToOperatorsPort(harness, "DELETE", "/v1/changes/a", "").statusCode());
             var killed = harness.rehearsal.managers().get(0);
-            harness.rehearsal.happen(
+            harness.rehearsal.injectFault(
                     new calicovale.rehearsal.day.Day.Fault("manager-kill", 0, 0.05, List.of(), 0, 0, 0, false));
             RehearsalHarness.await(
                     "the manager's new process",
@@ -202,7 +202,7 @@
     }
 
     private static void announce(RehearsalHarness harness, int manager, String document) throws Exception {
-        harness.announce(new Day.Telling(
+        harness.announce(new Day.ScriptedChange(
                 0, List.of(manager), (ObjectNode) Documents.MAPPER.readTree(document), Double.NaN, null));
     }
 
@@ -276,7 +276,7 @@
                     media,
                     "the lecture plays",
                     p -> RehearsalHarness.segmentUris(p).size() > 3);
-            harness.rehearsal.happen(new Day.Fault("disk-stall", 0, 0, List.of(), 0, 0, 20_000, false));
+            harness.rehearsal.injectFault(new Day.Fault("disk-stall", 0, 0, List.of(), 0, 0, 20_000, false));
             announce(harness, 0, changeDueNow("storm-1", ""));
             RehearsalHarness.await("a segment boundary passes while the disk stalls", () -> {
                 assertTrue(!hasPiece(harness.getWithRetry(media).body()));
@@ -292,7 +292,7 @@
     @Test
     void fullDiskIsCountedAndChangeIsStillShown() throws Exception {
         try (RehearsalHarness harness = startHarness()) {
-            harness.rehearsal.happen(new Day.Fault("disk-full", 0, 0, List.of(), 0, 0, 0, false));
+            harness.rehearsal.injectFault(new Day.Fault("disk-full", 0, 0, List.of(), 0, 0, 0, false));
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
             announce(harness, 0, changeDueNow("storm-1", ""));
             reloadUntil(harness, media, "the piece is played out", p -> isLectureAfterPiece(p));
@@ -343,7 +343,7 @@
             announce(harness, 0, changeDueNow("storm-1", ""));
             String shown = reloadUntil(harness, media, description, matches);
             int box = harness.boxOf(RehearsalHarness.segmentUris(shown).get(0));
-            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0.0, box));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("crash", 0, 0.0, box));
             // No segment of the piece was fetched. Those that were not played yet by the clock come from the other
             // box, in order.
             Set<String> pieceFiles = new HashSet<>();
@@ -435,7 +435,7 @@
                         : uriOfOtherBox[0]);
                 return uriOfOtherBox[0] != null;
             });
-            harness.rehearsal.happen(RehearsalHarness.fault("crash", 0, 0.0, 1));
+            harness.rehearsal.injectFault(RehearsalHarness.fault("crash", 0, 0.0, 1));
             RehearsalHarness.await("the manager counts the lost piece", () -> harness.counter("pieces-lost") > 0);
             // The session's own box still runs: the lecture continues there, and the rest of the piece is not listed.
             reloadUntil(harness, uriOfOtherBox[0], "the lecture continues", p -> {
@@ -647,7 +647,7 @@
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
             announce(harness, 0, changeDueNow("storm-1", ""));
             reloadUntil(harness, media, "the piece is listed", StitchTest::hasPiece);
-            harness.announce(new Day.Telling(0, List.of(0), null, Double.NaN, "storm-1"));
+            harness.announce(new Day.ScriptedChange(0, List.of(0), null, Double.NaN, "storm-1"));
             String shown = reloadUntil(harness, media, "the piece is played out", p -> isLectureAfterPiece(p));
             assertEquals(3, harness.pieceSegments(shown).size(), shown);
             URI other = harness.uri(RehearsalHarness.mediaPath(harness.requestLectureUntilAdmitted("talk", "v2")));
--- a/standin/src/main/java/calicovale/standin/BoxDirectory.java
+++ b/standin/src/main/java/calicovale/standin/BoxDirectory.java
@@ -124,7 +124,7 @@
                 BodyStream stream = exchange.stream(200, new Headers().add("Content-Type", "text/event-stream"));
                 stream.write(EventStream.event("full", toJson(listedBoxes.values())));
                 streams.add(stream);
-                exchange.onPeerClosed(() -> streams.remove(stream));
+                exchange.onClientClosed(() -> streams.remove(stream));
             }
             default -> exchange.problem(404, "Not Found", "no such resource");
         }
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -274,7 +274,7 @@
                 // a box that does not notice closed connections still handles their requests, late
                 boolean ignorePeerClosed = faults.ignorePeerClosed;
                 deferredTasks.add(() -> {
-                    if (ignorePeerClosed || !exchange.peerClosed()) {
+                    if (ignorePeerClosed || !exchange.clientClosed()) {
                         route(exchange, ignorePeerClosed);
                     }
                 });
@@ -383,7 +383,7 @@
                     + request.path("leaseMs").asDouble(1000);
             session.lastActivityMs = nowMs();
             model.add(session);
-            exchange.onPeerClosed(() -> {
+            exchange.onClientClosed(() -> {
                 if (!ignorePeerClosed && !faults.ignorePeerClosed && !isStopped()) {
                     model.remove(session);
                 }
@@ -397,7 +397,7 @@
             if (isStopped() || model.get(session.key) != session) {
                 return;
             }
-            if (exchange.peerClosed()) {
+            if (exchange.clientClosed()) {
                 // no client learns that the session plays, so it ends when its lease expires
                 LOG.info(
                         "box {}: the client of set-up {} disconnected before the response; its lease will end it",
@@ -477,7 +477,7 @@
                 previousStream.end();
             }
             stream.write(EventStream.event("hello", hello.toString()));
-            exchange.onPeerClosed(() -> {
+            exchange.onClientClosed(() -> {
                 if (streams.remove(manager, stream)) {
                     markManagerLost(manager);
                 }
@@ -560,7 +560,7 @@
                 Transfer transfer =
                         new Transfer(session, servedPath, stream, body, lastSegment, session.ladderKb[rung]);
                 transfers.add(transfer);
-                exchange.onPeerClosed(() -> {
+                exchange.onClientClosed(() -> {
                     if (transfers.remove(transfer)) {
                         session.activeTransfers--;
                         session.lastActivityMs = nowMs();
