--- a/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
@@ -17,6 +17,7 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -276,21 +277,59 @@
         assertEquals(HttpClient.Failure.CONNECT_REFUSED, last);
     }
 
+    /** The clock is set by hand, because a pause between two calls of schedule would change the order of the timers. */
     @Test
     void timersRunInOrderAndCancelledOnesDoNot() throws Exception {
-        List<Integer> order = new ArrayList<>();
-        CompletableFuture<List<Integer>> done = new CompletableFuture<>();
-        loop.execute(() -> {
-            loop.schedule(30, () -> order.add(3));
-            loop.schedule(10, () -> order.add(1));
-            var cancelled = loop.schedule(20, () -> order.add(9));
-            loop.schedule(15, () -> {
-                order.add(2);
-                cancelled.cancel();
-                loop.schedule(0, () -> order.add(7));
+        ManualClock clock = new ManualClock();
+        List<Integer> order = new CopyOnWriteArrayList<>();
+        try (EventLoop timerLoop = new EventLoop("timers", clock).start()) {
+            timerLoop.call(() -> {
+                timerLoop.schedule(30, () -> order.add(3));
+                timerLoop.schedule(10, () -> order.add(1));
+                var cancelled = timerLoop.schedule(20, () -> order.add(9));
+                return timerLoop.schedule(15, () -> {
+                    order.add(2);
+                    cancelled.cancel();
+                    timerLoop.schedule(0, () -> order.add(7));
+                });
             });
-            loop.schedule(60, () -> done.complete(order));
-        });
-        assertEquals(List.of(1, 2, 7, 3), done.get(10, TimeUnit.SECONDS));
+            clock.setMs(9);
+            runDueTimers(timerLoop);
+            assertEquals(List.of(), order, "no timer is due");
+            clock.setMs(16);
+            runDueTimers(timerLoop);
+            assertEquals(List.of(1, 2, 7), order);
+            clock.setMs(60);
+            runDueTimers(timerLoop);
+            assertEquals(List.of(1, 2, 7, 3), order);
+        }
+    }
+
+    /** Waits until all timers that are due, and the due timers that those schedule, have run. */
+    private static void runDueTimers(EventLoop timerLoop) throws Exception {
+        for (int i = 0; i < 2; i++) {
+            CompletableFuture<Void> reached = new CompletableFuture<>();
+            timerLoop.call(() -> timerLoop.schedule(0, () -> reached.complete(null)));
+            reached.get(10, TimeUnit.SECONDS);
+        }
+    }
+
+    /** A clock that moves only when it is set. */
+    private static final class ManualClock implements Clock {
+        private volatile long nowNanos;
+
+        void setMs(long ms) {
+            nowNanos = TimeUnit.MILLISECONDS.toNanos(ms);
+        }
+
+        @Override
+        public long nanos() {
+            return nowNanos;
+        }
+
+        @Override
+        public double millis() {
+            return nowNanos / 1e6;
+        }
     }
 }
