--- a/cli/src/main/java/calicovale/cli/BoxCommand.java
+++ b/cli/src/main/java/calicovale/cli/BoxCommand.java
@@ -23,7 +23,7 @@
         BoxSettings settings = BoxSettings.read(config);
         EventLoop loop = new EventLoop("box", Clock.system()).start();
         MediaBox box = new MediaBox(loop, settings, new Rack(0), new SecureRandom());
-        System.out.println("listening on " + loop.call(() -> box.start(false)));
+        System.out.println("listening on " + loop.call(() -> box.startOrThrow(false)));
         Thread.currentThread().join();
         return Main.OK;
     }
--- a/cli/src/main/java/calicovale/cli/ChangeCommand.java
+++ b/cli/src/main/java/calicovale/cli/ChangeCommand.java
@@ -1,5 +1,6 @@
 package calicovale.cli;
 
+import calicovale.protocols.json.Documents;
 import calicovale.protocols.json.InvalidDocumentException;
 import calicovale.protocols.keys.Ed25519;
 import calicovale.stitch.Change;
@@ -9,8 +10,10 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.file.AccessDeniedException;
 import java.nio.file.FileAlreadyExistsException;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
 import java.security.GeneralSecurityException;
@@ -69,7 +72,7 @@
                 status = Math.max(
                         status, succeeded ? Main.OK : response.statusCode() == 422 ? Main.BAD_INPUT : Main.FAILED);
             } catch (IOException e) {
-                spec.commandLine().getErr().println(manager + ": " + e);
+                spec.commandLine().getErr().println(manager + ": " + FailureTexts.unreachable(e));
                 status = Math.max(status, Main.FAILED);
             }
         }
@@ -77,6 +80,23 @@
         return status;
     }
 
+    private static void checkReadable(Path file) throws InvalidDocumentException {
+        if (!Files.isReadable(file)) {
+            IOException reason = Files.exists(file)
+                    ? new AccessDeniedException(file.toString())
+                    : new NoSuchFileException(file.toString());
+            throw new InvalidDocumentException(List.of(file + ": /: " + Documents.unreadableFault(reason)));
+        }
+    }
+
+    private static String readText(Path file) throws IOException {
+        try {
+            return Files.readString(file);
+        } catch (IOException e) {
+            throw FailureTexts.unreadable(file, e);
+        }
+    }
+
     @Command(name = "add", description = "Tells a change to each manager named.", mixinStandardHelpOptions = true)
     int add(
             @Option(
@@ -86,10 +106,8 @@
                     List<String> managers,
             @Parameters(description = "the change's document") Path file)
             throws IOException, InterruptedException, InvalidDocumentException {
-        if (!Files.isReadable(file)) {
-            throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected"));
-        }
-        String text = Files.readString(file);
+        checkReadable(file);
+        String text = readText(file);
         // reports an invalid document before any manager receives it
         Change.parse(file.toString(), text);
         return sendToAll(managers, "POST", "/v1/changes", text);
@@ -151,6 +169,8 @@
                     pair.privateKey() + "\n");
         } catch (FileAlreadyExistsException e) {
             throw new ParameterException(spec.commandLine(), "--out: a file that is not there yet is expected: " + out);
+        } catch (IOException e) {
+            throw FailureTexts.unwritable(out, e);
         }
         spec.commandLine().getOut().println(pair.publicKey());
         spec.commandLine().getOut().flush();
@@ -168,15 +188,13 @@
             @Parameters(description = "the change's document") Path file)
             throws IOException, InvalidDocumentException {
         for (Path input : List.of(key, file)) {
-            if (!Files.isReadable(input)) {
-                throw new InvalidDocumentException(List.of(input + ": /: a readable file is expected"));
-            }
+            checkReadable(input);
         }
-        String text = Files.readString(file);
+        String text = readText(file);
         Change.parse(file.toString(), text);
         String signed;
         try {
-            signed = ChangeKeys.sign(text, name, Files.readString(key).strip());
+            signed = ChangeKeys.sign(text, name, readText(key).strip());
         } catch (IllegalArgumentException e) {
             throw new InvalidDocumentException(
                     List.of(key + ": /: a private key as 'change key' writes it is expected"));
--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -7,8 +7,8 @@
 import calicovale.standin.BoxSettings;
 import calicovale.standin.DirectorySettings;
 import calicovale.stitch.Change;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.exc.MismatchedInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -54,9 +54,10 @@
         try {
             JsonNode document = Documents.MAPPER.readTree(Files.readString(file));
             schema = document.path("schema").asText();
+        } catch (JsonProcessingException e) {
+            throw new InvalidDocumentException(List.of(file + ": " + Documents.notJsonFault(e)));
         } catch (IOException e) {
-            throw new InvalidDocumentException(
-                    List.of(file + ": /: a readable JSON file is expected (" + reason(e) + ")"));
+            throw new InvalidDocumentException(List.of(file + ": /: " + Documents.unreadableFault(e)));
         }
         switch (schema) {
             case "calicovale/front/1" -> FrontSettings.read(file);
@@ -72,21 +73,11 @@
         }
     }
 
-    /**
-     * Returns why a file could not be read. A mismatch can only be text after the document; its own
-     * message names classes.
-     */
-    private static String reason(IOException e) {
-        return e instanceof MismatchedInputException
-                ? "more text follows the document"
-                : String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-    }
-
     private static void checkChange(Path file) throws InvalidDocumentException {
         try {
             Change.parse(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected"));
+            throw new InvalidDocumentException(List.of(file + ": /: " + Documents.unreadableFault(e)));
         }
     }
 }
--- a/cli/src/main/java/calicovale/cli/DirectoryCommand.java
+++ b/cli/src/main/java/calicovale/cli/DirectoryCommand.java
@@ -5,6 +5,7 @@
 import calicovale.protocols.net.EventLoop;
 import calicovale.standin.BoxDirectory;
 import calicovale.standin.DirectorySettings;
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -24,7 +25,15 @@
         System.out.println("listening on "
                 + loop.call(() -> {
                     settings.boxes().forEach(directory::listNow);
-                    return directory.start();
+                    try {
+                        return directory.start();
+                    } catch (IOException e) {
+                        throw new IOException(
+                                "cannot listen on " + settings.listen().getHostString() + ":"
+                                        + settings.listen().getPort() + " (/listen of the settings): "
+                                        + e.getMessage(),
+                                e);
+                    }
                 }));
         Thread.currentThread().join();
         return Main.OK;
--- a/cli/src/main/java/calicovale/cli/KeyCommand.java
+++ b/cli/src/main/java/calicovale/cli/KeyCommand.java
@@ -45,8 +45,12 @@
     /** Writes a file of a roster atomically, because members read the folder at any time. */
     private static void writeAtomically(Path file, String text) throws IOException {
         Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
-        Files.writeString(temporaryFile, text + "\n");
-        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        try {
+            Files.writeString(temporaryFile, text + "\n");
+            Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        } catch (IOException e) {
+            throw FailureTexts.unwritable(file, e);
+        }
     }
 
     private static String keyId(byte[] key) {
@@ -79,6 +83,8 @@
                     documents.get(0) + "\n");
         } catch (FileAlreadyExistsException e) {
             throw new ParameterException(spec.commandLine(), "--out: a file that is not there yet is expected: " + out);
+        } catch (IOException e) {
+            throw FailureTexts.unwritable(out, e);
         }
         if (roster != null) {
             writeAtomically(
--- a/cli/src/main/java/calicovale/cli/Main.java
+++ b/cli/src/main/java/calicovale/cli/Main.java
@@ -50,7 +50,7 @@
                 invalid.faults().forEach(fault -> command.getErr().println(fault));
                 return BAD_INPUT;
             }
-            command.getErr().println(command.getCommandName() + ": " + e);
+            command.getErr().println(command.getCommandName() + ": " + FailureTexts.describe(e));
             return FAILED;
         });
         return commandLine.execute(args);
--- a/cli/src/main/java/calicovale/cli/MembersCommand.java
+++ b/cli/src/main/java/calicovale/cli/MembersCommand.java
@@ -1,6 +1,7 @@
 package calicovale.cli;
 
 import calicovale.protocols.json.Documents;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -56,14 +57,19 @@
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
         } catch (IOException e) {
-            spec.commandLine().getErr().println(manager + ": " + e);
+            spec.commandLine().getErr().println(manager + ": " + FailureTexts.unreachable(e));
             return Main.FAILED;
         }
         if (response.statusCode() != 200) {
             spec.commandLine().getErr().println(manager + ": " + response.statusCode() + " " + response.body());
             return Main.FAILED;
         }
-        JsonNode view = Documents.MAPPER.readTree(response.body());
+        JsonNode view;
+        try {
+            view = Documents.MAPPER.readTree(response.body());
+        } catch (JsonProcessingException e) {
+            throw new IOException(manager + ": " + Documents.notJsonFault(e), e);
+        }
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
             out.println(view.toPrettyString());
--- a/protocols/src/main/java/calicovale/protocols/json/Documents.java
+++ b/protocols/src/main/java/calicovale/protocols/json/Documents.java
@@ -92,7 +92,7 @@
     }
 
     /** Returns why a file could not be read. The messages of the exceptions below name only the file or internals. */
-    private static String unreadableReason(IOException e) {
+    public static String unreadableReason(IOException e) {
         if (e instanceof NoSuchFileException) {
             return "the file does not exist";
         }
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -704,7 +704,10 @@
         try {
             return start(cold);
         } catch (IOException e) {
-            throw new UncheckedIOException("box " + settings.id(), e);
+            throw new UncheckedIOException(
+                    "box " + settings.id() + " cannot listen on " + address.getHostString() + ":" + address.getPort()
+                            + " (/listen of its settings): " + e.getMessage(),
+                    e);
         }
     }
 }
