--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -19,6 +19,7 @@
 import calicovale.protocols.net.Tap;
 import calicovale.stitch.ActiveChanges;
 import calicovale.stitch.Change;
+import calicovale.stitch.RecordLog;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -147,7 +148,10 @@
         } catch (IOException e) {
             loop.close();
             throw new UncheckedIOException(
-                    "cannot open the session ledger in /sessionsFolder of the settings: " + e.getMessage(), e);
+                    "cannot open the session ledger in " + settings.sessionsFolder()
+                            + " (/sessionsFolder of the settings; a readable and writable folder is expected): "
+                            + RecordLog.failureReason(e),
+                    e);
         }
     }
 
@@ -169,7 +173,10 @@
         } catch (IOException e) {
             loop.close();
             throw new UncheckedIOException(
-                    "cannot open the log of programme changes in /changesFolder of the settings: " + e.getMessage(), e);
+                    "cannot open the log of programme changes in " + settings.changesFolder()
+                            + " (/changesFolder of the settings; a readable and writable folder is expected): "
+                            + RecordLog.failureReason(e),
+                    e);
         }
     }
 
@@ -186,13 +193,16 @@
 
     /** Joins the group and starts the servers. */
     private void startServers(HttpServer operatorsServer) {
+        String setting = "/gossip/listen";
         try {
             if (peers != null) {
                 gossipAddress = peers.start();
             }
+            setting = "/operators";
             if (operatorsServer != null) {
                 operatorsAddress = operatorsServer.listen(settings.operators());
             }
+            setting = "/listen";
             InetSocketAddress address = playerServer.listen(settings.listen());
             LOG.info(
                     "manager {} is listening on {}; the common clock was {}",
@@ -201,7 +211,8 @@
                     commonClock.isSynced() ? "read" : "not read");
             listening.complete(address);
         } catch (IOException e) {
-            listening.completeExceptionally(new UncheckedIOException(e));
+            listening.completeExceptionally(new UncheckedIOException(
+                    "cannot listen on the address in " + setting + " of the settings: " + e.getMessage(), e));
         }
     }
 
--- a/front/src/main/java/calicovale/front/directory/DirectoryClient.java
+++ b/front/src/main/java/calicovale/front/directory/DirectoryClient.java
@@ -21,6 +21,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
@@ -197,7 +198,7 @@
             applyList(ListScope.SAVED, list);
             counters.increment("saved-lists-used");
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("cannot use the saved box list {}: {}", savedListFile, e.getMessage());
+            LOG.warn("cannot use the saved box list {}: {}", savedListFile, faultOf(e));
             counters.increment("saved-lists-refused");
         }
     }
@@ -217,11 +218,19 @@
             stream.resetBackoff();
             saveList();
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            LOG.warn("the box directory sent a malformed '{}' event: {}", type, e.getMessage());
+            LOG.warn("the box directory sent a malformed '{}' event: {}", type, faultOf(e));
             stream.reconnectAfterMalformedData();
         }
     }
 
+    /** Returns what is wrong with a list that could not be read or is not valid, and what is expected. */
+    private static String faultOf(Exception e) {
+        if (e instanceof JsonProcessingException notJson) {
+            return Documents.notJsonFault(notJson);
+        }
+        return e instanceof IOException unreadable ? Documents.unreadableFault(unreadable) : e.getMessage();
+    }
+
     /** Parses a list or a change of the list, updates the listed boxes and passes it to the listener. */
     private void applyList(ListScope scope, JsonNode list) {
         List<ServerEntry> entries = new ArrayList<>();
@@ -236,7 +245,7 @@
                 continue;
             }
             listedBoxes.put(id, box);
-            ServerState state = ServerState.valueOf(box.path("state").asText().toUpperCase(Locale.ROOT));
+            ServerState state = parseState(id, box.path("state").asText());
             entries.add(new ServerEntry(
                     id,
                     state,
@@ -252,6 +261,15 @@
         listener.onList(new ServerList(scope, listVersion, entries), addresses);
     }
 
+    private static ServerState parseState(long id, String text) {
+        try {
+            return ServerState.valueOf(text.toUpperCase(Locale.ROOT));
+        } catch (IllegalArgumentException e) {
+            throw new IllegalArgumentException(
+                    "box " + id + ": /state: one of ready, draining, gone is expected, not '" + text + "'", e);
+        }
+    }
+
     /** Saves the whole list to disk, for a start while the directory cannot be reached. */
     private void saveList() {
         if (savedListFile == null) {
@@ -271,7 +289,11 @@
                         StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
             } catch (IOException e) {
-                LOG.warn("cannot save the box list to {}: {}", savedListFile, e.getMessage());
+                LOG.warn(
+                        "cannot save the box list to {} (/savedList of the settings; a writable file in an existing folder"
+                                + " is expected): {}",
+                        savedListFile,
+                        e instanceof NoSuchFileException ? "the folder does not exist" : Documents.unreadableReason(e));
             }
         });
     }
--- a/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
+++ b/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
@@ -2,6 +2,7 @@
 
 import calicovale.host.Counters;
 import calicovale.protocols.net.EventLoop;
+import calicovale.stitch.RecordLog;
 import calicovale.stitch.SessionLedger;
 import calicovale.stitch.SessionLedger.Entry;
 import calicovale.stitch.SessionLedger.Showing;
@@ -253,7 +254,7 @@
                     "cannot write the session ledger in the folder of the setting /sessionsFolder; sessions continue"
                             + " without it, and the write is tried again every {} ms: {}",
                     (long) RETRY_DELAY_MS,
-                    error.getMessage());
+                    RecordLog.failureReason(error));
         }
         lastWriteFailed = true;
         // updates of the failed batch are pending again, except where a newer one of the same session was recorded
@@ -302,7 +303,8 @@
             Thread.currentThread().interrupt();
         } catch (IOException e) {
             LOG.warn(
-                    "cannot close the session ledger in the folder of the setting /sessionsFolder: {}", e.getMessage());
+                    "cannot close the session ledger in the folder of the setting /sessionsFolder: {}",
+                    RecordLog.failureReason(e));
         }
     }
 }
--- a/front/src/main/java/calicovale/front/operators/ChangeService.java
+++ b/front/src/main/java/calicovale/front/operators/ChangeService.java
@@ -310,7 +310,7 @@
                 LOG.error(
                         "cannot write the log of programme changes in {}: {}",
                         settings.changesFolder(),
-                        e.getMessage());
+                        RecordLog.failureReason(e));
                 return false;
             }
         };
@@ -458,7 +458,10 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.warn("cannot close the log of programme changes: {}", e.getMessage());
+            LOG.warn(
+                    "cannot close the log of programme changes in {}: {}",
+                    settings.changesFolder(),
+                    RecordLog.failureReason(e));
         }
     }
 }
--- a/front/src/main/java/calicovale/front/operators/FolderScanner.java
+++ b/front/src/main/java/calicovale/front/operators/FolderScanner.java
@@ -1,5 +1,6 @@
 package calicovale.front.operators;
 
+import calicovale.protocols.json.Documents;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
@@ -110,7 +111,7 @@
         try {
             return new ChangedFile(file, Files.readString(folder.resolve(file), StandardCharsets.UTF_8), null);
         } catch (IOException e) {
-            return new ChangedFile(file, null, file + ": /: the file cannot be read as UTF-8 text");
+            return new ChangedFile(file, null, file + ": /: " + Documents.unreadableFault(e));
         }
     }
 }
--- a/stitch/src/main/java/calicovale/stitch/RecordLog.java
+++ b/stitch/src/main/java/calicovale/stitch/RecordLog.java
@@ -1,10 +1,15 @@
 package calicovale.stitch;
 
+import calicovale.protocols.json.Documents;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.channels.ClosedChannelException;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.FileAlreadyExistsException;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
@@ -77,6 +82,26 @@
         return new Opened(result, new Recovery(List.copyOf(records), snapshotRecords, bytes.length - validBytes));
     }
 
+    /**
+     * Returns why a log could not be opened, written or closed, in words for operators. The messages of the exceptions
+     * below name only a file or classes, or there is no message.
+     */
+    public static String failureReason(IOException e) {
+        if (e instanceof JsonProcessingException notJson) {
+            return "a record is not valid (" + Documents.notJsonReason(notJson) + ")";
+        }
+        if (e instanceof NoSuchFileException) {
+            return "the folder or a file in it does not exist";
+        }
+        if (e instanceof FileAlreadyExistsException) {
+            return "a file has the name of the folder";
+        }
+        if (e instanceof ClosedChannelException) {
+            return "the log is closed";
+        }
+        return e.getMessage() == null ? "input or output failed" : Documents.unreadableReason(e);
+    }
+
     /** An open log, and what was read from it. */
     public record Opened(RecordLog log, Recovery recovery) {}
 
