--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -137,7 +137,7 @@
                     settings.authority(),
                     4 * settings.membership().maxMembers());
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(settings.rosterFolder() + ": /: a readable folder is expected"));
+            throw new InvalidDocumentException(List.of(RosterFolder.unreadableFault(settings.rosterFolder(), e)));
         }
         applyRoster(List.of());
         if (roster.find(Ed25519.keyId(keyPair.publicKey()), loop.clock().millis()) == null) {
@@ -261,7 +261,9 @@
                             settings.authority(),
                             4 * settings.membership().maxMembers());
                     newPair = KeyDocuments.readKeyPair(settings.keyFile());
-                } catch (IOException | InvalidDocumentException e) {
+                } catch (IOException e) {
+                    error = RosterFolder.unreadableFault(settings.rosterFolder(), e);
+                } catch (InvalidDocumentException e) {
                     error = e.getMessage();
                 }
                 RosterFolder.Contents readContents = contents;
@@ -287,7 +289,7 @@
             // What was read before stays in use, because an unreadable folder must not dissolve the group.
             count("roster-unreadable");
             LOG.warn(
-                    "key file {} or roster folder {} could not be read; what was read from it before stays in use: {}",
+                    "key file {} or roster folder {} could not be read; what was read before stays in use: {}",
                     settings.keyFile(),
                     settings.rosterFolder(),
                     error);
--- a/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
+++ b/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
@@ -4,8 +4,11 @@
 import calicovale.gossip.wire.Roster;
 import calicovale.protocols.json.Documents;
 import calicovale.protocols.json.InvalidDocumentException;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.IOException;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.NotDirectoryException;
 import java.nio.file.Path;
 import java.security.PublicKey;
 import java.util.ArrayList;
@@ -42,13 +45,23 @@
                 readFile(file, authority, contents);
             } catch (InvalidDocumentException e) {
                 contents.errors().addAll(e.faults());
+            } catch (JsonProcessingException e) {
+                contents.errors().add(file + ": " + Documents.notJsonFault(e));
             } catch (IOException e) {
-                contents.errors().add(file + ": /: a readable JSON file is expected");
+                contents.errors().add(file + ": /: " + Documents.unreadableFault(e));
             }
         }
         return contents;
     }
 
+    /** Returns the fault of a folder whose files could not be listed: what is expected, and the reason. */
+    static String unreadableFault(Path folder, IOException e) {
+        String reason = e instanceof NoSuchFileException
+                ? "the folder does not exist"
+                : e instanceof NotDirectoryException ? "it is not a folder" : Documents.unreadableReason(e);
+        return folder + ": /: a readable folder is expected (" + reason + ")";
+    }
+
     private static void readFile(Path file, PublicKey authority, Contents contents)
             throws IOException, InvalidDocumentException {
         if (Files.size(file) > MAX_FILE_BYTES) {
