--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Operators.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Operators.java
@@ -110,7 +110,10 @@
                 return;
             }
         } catch (IOException | IllegalStateException e) {
-            LOG.info("manager {} could not be reached for a programme change: {}", managerNumber, e.toString());
+            LOG.info(
+                    "manager {} could not be reached for a programme change: {}",
+                    managerNumber,
+                    e.getMessage() == null ? "connection failed" : e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
