--- a/front/src/main/java/calicovale/front/directory/DirectoryClient.java
+++ b/front/src/main/java/calicovale/front/directory/DirectoryClient.java
@@ -290,8 +290,8 @@
                         StandardCopyOption.REPLACE_EXISTING);
             } catch (IOException e) {
                 LOG.warn(
-                        "cannot save the box list to {} (/savedList of the settings; a writable file in an existing folder"
-                                + " is expected): {}",
+                        "cannot save the box list to {} (/savedList of the settings; a writable file in an existing"
+                                + " folder is expected): {}",
                         savedListFile,
                         e instanceof NoSuchFileException ? "the folder does not exist" : Documents.unreadableReason(e));
             }
