--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -66,10 +66,9 @@
             case "calicovale/day/1" -> Day.read(file);
             case "calicovale/change/1" -> checkChange(file);
             default ->
-                throw new InvalidDocumentException(
-                        List.of(
-                                file + ": /schema: one of calicovale/front/1, "
-                                        + "calicovale/box/1, calicovale/directory/1, calicovale/day/1, calicovale/change/1 is expected"));
+                throw new InvalidDocumentException(List.of(file + ": /schema: one of calicovale/front/1, "
+                        + "calicovale/box/1, calicovale/directory/1, calicovale/day/1, "
+                        + "calicovale/change/1 is expected"));
         }
     }
 
--- a/cli/src/main/java/calicovale/cli/FailureTexts.java
+++ b/cli/src/main/java/calicovale/cli/FailureTexts.java
@@ -18,7 +18,7 @@
         return new IOException(file + ": /: " + Documents.unreadableFault(e), e);
     }
 
-    /** Returns an exception whose message names the file that could not be written, what is expected, and the reason. */
+    /** Returns an exception whose message names the file that could not be written, what is expected, and why. */
     static IOException unwritable(Path file, IOException e) {
         return new IOException(
                 file + ": the file cannot be written; a writable file in an existing folder is expected ("
