--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -7,8 +7,8 @@
 import calicovale.standin.BoxSettings;
 import calicovale.standin.DirectorySettings;
 import calicovale.stitch.Change;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.exc.MismatchedInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -54,9 +54,10 @@
         try {
             JsonNode document = Documents.MAPPER.readTree(Files.readString(file));
             schema = document.path("schema").asText();
+        } catch (JsonProcessingException e) {
+            throw new InvalidDocumentException(List.of(file + ": " + Documents.notJsonFault(e)));
         } catch (IOException e) {
-            throw new InvalidDocumentException(
-                    List.of(file + ": /: a readable JSON file is expected (" + reason(e) + ")"));
+            throw new InvalidDocumentException(List.of(file + ": /: " + Documents.unreadableFault(e)));
         }
         switch (schema) {
             case "calicovale/front/1" -> FrontSettings.read(file);
@@ -65,28 +66,17 @@
             case "calicovale/day/1" -> Day.read(file);
             case "calicovale/change/1" -> checkChange(file);
             default ->
-                throw new InvalidDocumentException(
-                        List.of(
-                                file + ": /schema: one of calicovale/front/1, "
-                                        + "calicovale/box/1, calicovale/directory/1, calicovale/day/1, calicovale/change/1 is expected"));
+                throw new InvalidDocumentException(List.of(file + ": /schema: one of calicovale/front/1, "
+                        + "calicovale/box/1, calicovale/directory/1, calicovale/day/1, "
+                        + "calicovale/change/1 is expected"));
         }
     }
 
-    /**
-     * Returns why a file could not be read. A mismatch can only be text after the document; its own
-     * message names classes.
-     */
-    private static String reason(IOException e) {
-        return e instanceof MismatchedInputException
-                ? "more text follows the document"
-                : String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-    }
-
     private static void checkChange(Path file) throws InvalidDocumentException {
         try {
             Change.parse(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidDocumentException(List.of(file + ": /: a readable file is expected"));
+            throw new InvalidDocumentException(List.of(file + ": /: " + Documents.unreadableFault(e)));
         }
     }
 }
