--- a/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
@@ -90,7 +90,7 @@
      * Stores a received statement, regardless of which member relayed it; returns false if it is not newer than the
      * stored one or is rejected.
      */
-    public boolean take(double nowMs, double wallMs, Statement statement) {
+    public boolean accept(double nowMs, double wallMs, Statement statement) {
         StoredStatement before = statements.get(statement.reporter());
         if (statement.reporter().equals(self)
                 || before != null && statement.version() <= before.statement().version()) {
@@ -131,7 +131,7 @@
      * Returns the least-sent pending statements for one message. In all, each one is returned
      * {@code maxTransmissions} times.
      */
-    public List<Statement> take(int maxTransmissions) {
+    public List<Statement> takeForMessage(int maxTransmissions) {
         List<String> leastSentFirst = new ArrayList<>(transmissions.keySet());
         leastSentFirst.sort((first, second) -> Integer.compare(transmissions.get(first), transmissions.get(second)));
         List<Statement> result = new ArrayList<>();
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -358,7 +358,7 @@
                         settings.membership().retransmitMultiplier() * Math.log10(membership.presentCount() + 1));
                 for (String address :
                         membership.randomAddresses(settings.membership().disseminationFanout())) {
-                    List<Statement> statements = statementStore.take(maxTransmissions);
+                    List<Statement> statements = statementStore.takeForMessage(maxTransmissions);
                     if (!statements.isEmpty()) {
                         send(address, new Message.Claims(statements), false);
                     }
@@ -619,7 +619,7 @@
                 // Statements of members that have left the group, or have not joined yet, do not count.
                 State reporterState = membership.state(statement.reporter());
                 boolean present = reporterState == State.ALIVE || reporterState == State.SUSPECT;
-                if (present && statementStore.take(nowMs(), wallMs(), statement)) {
+                if (present && statementStore.accept(nowMs(), wallMs(), statement)) {
                     count("statements-taken");
                 }
             }
--- a/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
@@ -46,7 +46,7 @@
         for (long box : boxes) {
             claims.add(claim(box));
         }
-        return store.take(nowMs, lastVersion, new Statement(reporter, ++lastVersion, claims, new byte[0]));
+        return store.accept(nowMs, lastVersion, new Statement(reporter, ++lastVersion, claims, new byte[0]));
     }
 
     private double evidence(double nowMs, int presentMembers, long box) {
@@ -174,14 +174,14 @@
         assertTrue(receive(10, "p1", 2));
         assertEquals(1, store.statements().size());
         assertFalse(
-                store.take(20, lastVersion, new Statement("p1", lastVersion - 5, List.of(claim(9)), new byte[0])),
+                store.accept(20, lastVersion, new Statement("p1", lastVersion - 5, List.of(claim(9)), new byte[0])),
                 "an older version");
         assertFalse(receive(20, "forger", 1));
         assertFalse(receive(20, "me", 1), "this member's own name");
         assertFalse(
-                store.take(20, 1_000_000, new Statement("p2", 1_000_000 + 30_001, List.of(), new byte[0])),
+                store.accept(20, 1_000_000, new Statement("p2", 1_000_000 + 30_001, List.of(), new byte[0])),
                 "outside the clock skew");
-        assertFalse(store.take(20, 1_000_000, new Statement("p2", 1_000_000 - 30_001, List.of(), new byte[0])));
+        assertFalse(store.accept(20, 1_000_000, new Statement("p2", 1_000_000 - 30_001, List.of(), new byte[0])));
         assertFalse(receive(20, "p2", 1, 1), "two claims on one box");
         assertFalse(receive(20, "p2", 1, 2, 3, 4, 5, 6, 7, 8, 9), "too many claims");
         assertEquals(5, store.rejected());
@@ -192,19 +192,19 @@
     @Test
     void aMemberSendsChangesRefreshesValidClaimsAndWithdrawsPastOnes() {
         store.updateOwn(0, 5000, List.of(claim(3)));
-        assertEquals(1, store.take(2).size());
-        assertEquals(1, store.take(2).size());
-        assertEquals(0, store.take(2).size(), "sent as often as allowed");
+        assertEquals(1, store.takeForMessage(2).size());
+        assertEquals(1, store.takeForMessage(2).size());
+        assertEquals(0, store.takeForMessage(2).size(), "sent as often as allowed");
         store.updateOwn(100, 5100, List.of(claim(3)));
         assertFalse(store.hasPending(), "unchanged");
         store.updateOwn(LAN.refreshIntervalMs(), 7000, List.of(claim(3)));
         assertTrue(store.hasPending(), "refreshed");
         store.updateOwn(LAN.refreshIntervalMs() + 1, 6000, List.of());
-        Statement last = store.take(9).get(0);
+        Statement last = store.takeForMessage(9).get(0);
         // The clock went back, but the version does not.
         assertTrue(last.claims().isEmpty() && last.version() == 7001, last.toString());
         store.updateOwn(LAN.refreshIntervalMs() + 2, 6000, List.of());
-        assertEquals(7001, store.take(9).get(0).version(), "still no claims, so no new statement");
+        assertEquals(7001, store.takeForMessage(9).get(0).version(), "still no claims, so no new statement");
     }
 
     @Test
--- a/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
@@ -147,7 +147,7 @@
             nowMs = Math.max(nowMs, dueMs[member]);
             stores[member].updateOwn(nowMs, nowMs, outcomes[member].claims(nowMs));
             if (stores[member].hasPending()) {
-                List<Statement> statements = stores[member].take(2);
+                List<Statement> statements = stores[member].takeForMessage(2);
                 for (String to : members[member].randomAddresses(2)) {
                     inFlight.add(new InFlight(member, to.charAt(1) - '0', new Message.Claims(statements)));
                 }
@@ -161,7 +161,7 @@
                 return;
             }
             if (delivered.message() instanceof Message.Claims claims) {
-                claims.statements().forEach(statement -> stores[delivered.to()].take(nowMs, nowMs, statement));
+                claims.statements().forEach(statement -> stores[delivered.to()].accept(nowMs, nowMs, statement));
             } else {
                 members[delivered.to()].receive(nowMs, "m" + delivered.from(), delivered.message());
                 dueMs[delivered.to()] =
@@ -419,7 +419,7 @@
         lost.running[1] = false;
         org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, lost::checkConverged);
         Model withClaims = new Model();
-        withClaims.stores[2].take(
+        withClaims.stores[2].accept(
                 withClaims.nowMs,
                 withClaims.nowMs,
                 new Statement(
@@ -427,7 +427,7 @@
                         (long) withClaims.nowMs + 1,
                         List.of(new Claim(BOX, Claim.Kind.FAILED, 1, 0, 400)),
                         new byte[0]));
-        withClaims.stores[2].take(
+        withClaims.stores[2].accept(
                 withClaims.nowMs,
                 withClaims.nowMs,
                 new Statement(
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/FalseClaimSimulation.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/FalseClaimSimulation.java
@@ -61,8 +61,8 @@
     /** The box that is claimed to fail, and that may fail. */
     private static final long OBSERVED_BOX = 3;
     /**
-     * Maximum number of managers that lie. The placements of so many managers are left out of {@link
-     * Result#placedAtBox}, so that runs with any number of liars count the same honest managers.
+     * Maximum number of managers that lie. The placements of so many managers, the first ones, are left out of
+     * {@link Result#placedAtBox}, so that runs with any number of liars count the same honest managers.
      */
     static final int MAX_LIARS = 10;
 
@@ -236,8 +236,8 @@
         }
 
         /**
-         * Publishes this manager's claims, evaluates all claims known to it, and reports changed evidence to the
-         * controller.
+         * Publishes this manager's claims, evaluates all claims known to it, and delivers changed evidence to the
+         * session controller.
          */
         void evaluateClaims() {
             boolean lying = number < liars;
@@ -249,11 +249,11 @@
                                     OBSERVED_BOX, Claim.Kind.FAILED, 1, 0, ClaimSettings.LAN.claimValidityMs()))
                             : outcomes.claims(nowMs));
             statements.expire(nowMs);
-            for (Statement statement : statements.take(1)) {
+            for (Statement statement : statements.takeForMessage(1)) {
                 if (statement.reporter().equals("m" + number)) {
                     managers.forEach(m -> schedule(
                             nowMs + MAX_GOSSIP_DELAY_MS * gossipRandom.nextDouble(),
-                            () -> m.statements.take(nowMs, nowMs, statement)));
+                            () -> m.statements.accept(nowMs, nowMs, statement)));
                 }
             }
             Map<Long, Double> evidence = evaluator.evidence(nowMs, MANAGERS, statements.statements());
