--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/Benchmarks.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/Benchmarks.java
@@ -123,12 +123,13 @@
         String operatorsSetting = ", \"operators\": {\"host\": \"127.0.0.1\", \"port\": 0}";
         Path folder = Files.createTempDirectory("calicovale-bench");
         String ledgerSettings = operatorsSetting + ", \"sessionsFolder\": \"" + folder + "\"";
-        ProgrammeChangeBenchmark bench = new ProgrammeChangeBenchmark((what, value) -> report("stitch", what, value));
-        bench.reloads((directory, boxes, sessions) -> settings(directory, boxes, sessions, operatorsSetting));
-        bench.changeForAllSessions(
+        ProgrammeChangeBenchmark benchmark =
+                new ProgrammeChangeBenchmark((what, value) -> report("stitch", what, value));
+        benchmark.reloads((directory, boxes, sessions) -> settings(directory, boxes, sessions, operatorsSetting));
+        benchmark.changeForAllSessions(
                 (directory, boxes, sessions) -> settings(directory, boxes, sessions, operatorsSetting),
                 "without a ledger");
-        bench.changeForAllSessions(
+        benchmark.changeForAllSessions(
                 (directory, boxes, sessions) -> settings(directory, boxes, sessions, ledgerSettings), "with a ledger");
     }
 
@@ -146,13 +147,14 @@
     /**
      * Requests a lecture until a session plays; returns the path of its media playlist.
      *
-     * @param number selects the lecture
+     * @param lectureNumber selects the lecture
      * @throws IllegalStateException if no request succeeded within 1000 attempts
      */
-    private static String awaitPlaylistPath(InetSocketAddress address, int number)
+    private static String awaitPlaylistPath(InetSocketAddress address, int lectureNumber)
             throws IOException, InterruptedException {
         for (int i = 0; i < 1000; i++) {
-            HttpResponse<String> response = get(address, "/v1/lectures/t" + number % 20 + "/index.m3u8?class=course");
+            HttpResponse<String> response =
+                    get(address, "/v1/lectures/t" + lectureNumber % 20 + "/index.m3u8?class=course");
             if (response.statusCode() == 200) {
                 return response.body()
                         .lines()
@@ -291,12 +293,12 @@
                 responsesPerSecond(baselineClient, MEASURED_MS / 4);
                 double baselineRate = responsesPerSecond(baselineClient, MEASURED_MS);
                 baselineClient.stop();
-                try (FrontProcess manager = new FrontProcess(
+                try (FrontProcess front = new FrontProcess(
                         settings(boxes.directoryAddress(), 20, 20_000),
                         Clock.system(),
                         new SplittableRandom(round),
                         Tap.NONE)) {
-                    InetSocketAddress address = manager.address();
+                    InetSocketAddress address = front.address();
                     awaitPlaylistPath(address, 0);
                     // wait until the manager considers all boxes warm, because it sends few set-ups to cold ones
                     Thread.sleep(4500);
@@ -326,8 +328,8 @@
     }
 
     /**
-     * Time and allocation of a decision with 210 boxes: the controller alone, with the events that its host would
-     * deliver.
+     * Time and allocation of a decision with 210 boxes. Only the controller runs; it receives the events that its host
+     * would deliver.
      */
     private void decisions() throws Exception {
         int boxes = 210;
@@ -490,12 +492,12 @@
     private void sessions() throws Exception {
         int count = 20_000;
         try (InstantBoxes boxes = new InstantBoxes(60, 900);
-                FrontProcess manager = new FrontProcess(
+                FrontProcess front = new FrontProcess(
                         settings(boxes.directoryAddress(), 60, count),
                         Clock.system(),
                         new SplittableRandom(1),
                         Tap.NONE)) {
-            InetSocketAddress address = manager.address();
+            InetSocketAddress address = front.address();
             List<String> mediaPaths = new ArrayList<>(List.of(awaitPlaylistPath(address, 0)));
             Thread.sleep(4500);
             long heapBefore = usedHeapBytes();
@@ -508,7 +510,7 @@
             long startNanos = System.nanoTime();
             setUpClient.start().join();
             double seconds = (System.nanoTime() - startNanos) / 1e9;
-            int held = manager.loop().call(() -> manager.manager().sessionCount());
+            int held = front.loop().call(() -> front.manager().sessionCount());
             long heapAfter = usedHeapBytes();
             report("sessions", "sessions held", held);
             report("sessions", "requests that were refused", setUpClient.non200Responses());
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/GossipBenchmark.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/GossipBenchmark.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Benchmarks of groups in virtual time: traffic, detection, false detection and false claims. All figures are
- * simulated.
+ * Benchmarks of groups in virtual time. They measure traffic, detection, false detection and false claims; all figures
+ * are simulated.
  */
 final class GossipBenchmark {
     private static final int[] SIZES = {8, 32, 128, 256};
@@ -70,9 +70,10 @@
             figures.report("simulated: requests refused with " + liars + " liars", refused / SEEDS);
         }
         double[] firstSetUpsFailed = new double[2];
-        for (int on = 0; on < 2; on++) {
+        for (int withGossip = 0; withGossip < 2; withGossip++) {
             for (int seed = 0; seed < SEEDS; seed++) {
-                firstSetUpsFailed[on] += new FalseClaimSimulation(0, on == 1, 20_000, 60_000, 400 + seed)
+                firstSetUpsFailed[withGossip] += new FalseClaimSimulation(
+                                0, withGossip == 1, 20_000, 60_000, 400 + seed)
                         .run()
                         .firstSetUpsFailed();
             }
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/InstantBoxes.java
@@ -80,8 +80,8 @@
             default -> {
                 if (path.equals("/v1/events")) {
                     BodyStream stream = exchange.stream(200, new Headers().add("Content-Type", "text/event-stream"));
-                    // no hello event, because it would list the sessions of the box and thereby deny all of the
-                    // manager's
+                    // no hello event, because these boxes keep no list of sessions, and the manager counts each session
+                    // that a hello does not list as lost
                     scheduleKeepAlive(loop, stream);
                 } else {
                     exchange.respond(
--- a/rehearsal/src/main/java/calicovale/rehearsal/bench/LoopbackGroupBenchmark.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/bench/LoopbackGroupBenchmark.java
@@ -20,8 +20,8 @@
 import java.util.function.Predicate;
 
 /**
- * Benchmark of groups with real sockets on loopback; its figures correspond to the simulated ones of {@link
- * GossipBenchmark}.
+ * Benchmark of groups with real sockets on loopback. Its figures correspond to the simulated ones of
+ * {@link GossipBenchmark}.
  */
 final class LoopbackGroupBenchmark {
     /** Number of event loops that the members share. */
--- a/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/day/Day.java
@@ -191,13 +191,15 @@
     }
 
     private static void addGossipSettings(
-            ObjectNode service, ObjectNode group, int managerNumber, List<String> seeds, Path state) {
-        ObjectNode gossipSettings = group.deepCopy();
+            ObjectNode service, ObjectNode sharedGossip, int managerNumber, List<String> seeds, Path stateFolder) {
+        ObjectNode gossipSettings = sharedGossip.deepCopy();
         gossipSettings
                 .put("group", "day")
                 .put("member", "m" + managerNumber)
-                .put("keyFile", state.resolve("m" + managerNumber + ".key").toString())
-                .put("rosterFolder", state.resolve("roster").toString());
+                .put(
+                        "keyFile",
+                        stateFolder.resolve("m" + managerNumber + ".key").toString())
+                .put("rosterFolder", stateFolder.resolve("roster").toString());
         gossipSettings.putObject("listen").put("host", "127.0.0.1").put("port", 0);
         seeds.forEach(gossipSettings.putArray("seeds")::add);
         service.set("gossip", gossipSettings);
@@ -210,10 +212,10 @@
      * @param listenPort port for players
      * @param directoryPort port of the box directory
      * @param seeds gossip addresses of other managers, as {@code host:port}
-     * @param state folder below which managers keep state across restarts
+     * @param stateFolder folder below which managers keep state across restarts
      */
     public FrontSettings settings(
-            int managerNumber, int listenPort, int directoryPort, List<String> seeds, Path state) {
+            int managerNumber, int listenPort, int directoryPort, List<String> seeds, Path stateFolder) {
         ObjectNode managerSettings = service.deepCopy();
         managerSettings
                 .putObject("manager")
@@ -224,16 +226,18 @@
         ObjectNode directorySettings =
                 managerSettings.putObject("directory").put("host", "127.0.0.1").put("port", directoryPort);
         directorySettings.put(
-                "savedList", state.resolve("list-" + managerNumber + ".json").toString());
+                "savedList",
+                stateFolder.resolve("list-" + managerNumber + ".json").toString());
         if (gossip != null) {
-            addGossipSettings(managerSettings, gossip, managerNumber, seeds, state);
+            addGossipSettings(managerSettings, gossip, managerNumber, seeds, stateFolder);
         }
         // each manager has its own subfolder for its persistent state
         for (String folder : List.of("changesFolder", "sessionsFolder")) {
             if (managerSettings.has(folder)) {
                 managerSettings.put(
                         folder,
-                        state.resolve(managerSettings.get(folder).asText())
+                        stateFolder
+                                .resolve(managerSettings.get(folder).asText())
                                 .resolve("m" + managerNumber)
                                 .toString());
             }
@@ -257,9 +261,9 @@
         serviceWithPlaceholders.putObject("manager").put("number", 0).put("of", managers);
         serviceWithPlaceholders.putObject("listen").put("host", "127.0.0.1").put("port", 0);
         serviceWithPlaceholders.putObject("directory").put("host", "127.0.0.1").put("port", 1);
-        ObjectNode group = (ObjectNode) document.get("managers").get("gossip");
-        if (group != null) {
-            addGossipSettings(serviceWithPlaceholders, group, 0, List.of(), Path.of("state"));
+        ObjectNode sharedGossip = (ObjectNode) document.get("managers").get("gossip");
+        if (sharedGossip != null) {
+            addGossipSettings(serviceWithPlaceholders, sharedGossip, 0, List.of(), Path.of("state"));
         }
         FrontSettings settings = null;
         try {
@@ -372,7 +376,7 @@
                 (ObjectNode) document.get("service"),
                 settings,
                 managers,
-                group,
+                sharedGossip,
                 skewsMs,
                 boxes,
                 directorySettings.path("lagMs").asDouble(500),
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/FirstSetUps.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/FirstSetUps.java
@@ -26,12 +26,12 @@
 
     /** Counts the first set-ups in a recording. */
     public static FirstSetUps countIn(List<Entry> entries) {
-        Set<String> answeredExchanges = new HashSet<>();
+        Set<String> exchangesNotFailed = new HashSet<>();
         for (Entry entry : entries) {
             if (entry.end().startsWith("manager:")
                     && entry.kind() == Kind.RESPONSE
                     && (entry.status() == 201 || entry.status() == 429)) {
-                answeredExchanges.add(entry.conn() + " " + entry.exchange());
+                exchangesNotFailed.add(entry.conn() + " " + entry.exchange());
             }
         }
         long sent = 0;
@@ -42,7 +42,7 @@
                     && "/v1/sessions".equals(entry.target())
                     && isFirstAttempt(entry.body())) {
                 sent++;
-                if (!answeredExchanges.contains(entry.conn() + " " + entry.exchange())) {
+                if (!exchangesNotFailed.contains(entry.conn() + " " + entry.exchange())) {
                     failedByBox.merge(entry.peer(), 1L, Long::sum);
                 }
             }
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistChecker.java
@@ -95,7 +95,7 @@
         final PlaylistRules rules = new PlaylistRules();
         /** Each segment that a playlist of the session listed, by its media sequence number. */
         final TreeMap<Long, Segment> segments = new TreeMap<>();
-        /** Each EXT-X-DATERANGE that a playlist of the session had, by its id; the last text stands. */
+        /** Each EXT-X-DATERANGE that a playlist of the session had, in its latest version, by its id. */
         final Map<String, DateRange> ranges = new LinkedHashMap<>();
         /** Times of the first and the last playlist in the recording, in ms. */
         double firstPlaylistMs;
@@ -308,13 +308,13 @@
         if (session.segments.isEmpty()) {
             return;
         }
-        Set<String> places = new HashSet<>();
+        Set<String> boxesAndSetUps = new HashSet<>();
         session.segments.values().stream()
                 .filter(x -> session.ranges.values().stream().noneMatch(range -> isWithin(range, x)))
-                .forEach(x -> places.add(boxAndSetUpOf(x)));
+                .forEach(x -> boxesAndSetUps.add(boxAndSetUpOf(x)));
         // Lecture segments of several boxes or set-ups show that a box was lost. A gap in the sequence numbers shows
-        // that the manager was, because its next process numbers on above all that may have been given.
-        boolean boxOrManagerLost = places.size() > 1
+        // that the manager was lost, because its next process continues above all numbers that may have been given.
+        boolean boxOrManagerLost = boxesAndSetUps.size() > 1
                 || session.segments.firstKey() > 0
                 || session.segments.lastKey() - session.segments.firstKey() >= session.segments.size();
         Set<String> shownChanges = new HashSet<>();
@@ -360,7 +360,7 @@
 
     /**
      * Returns whether the same viewer was shown the change in another session, because it is shown once to each viewer
-     * or because that session goes on in this one.
+     * or because that session continues in this one.
      */
     private boolean shownInOtherSession(SessionHistory session, AnnouncedChange change) {
         return sessionsByToken.values().stream()
@@ -377,8 +377,8 @@
     }
 
     /**
-     * Returns the first date at which a change is due by its time or place, or infinity when its place was not
-     * reached.
+     * Returns the first date at which a change is due by its time or place, in ms since 1970, or infinity when its
+     * place was not reached.
      */
     private static double dueMs(SessionHistory session, AnnouncedChange change) {
         JsonNode start = change.change().path("start");
@@ -407,13 +407,13 @@
                     session.token + ": change " + change.id() + " began "
                             + (start.get("atMs").asDouble() - range.startMs()) + " ms before its time");
         }
-        // Behind a piece the lecture goes on at the place of the change, or later when the change replaces a part.
+        // After a piece the lecture continues at the place of the change, or later when the change replaces a part.
         Segment nextLectureSegment = session.segments.values().stream()
                 .filter(x -> x.dateMs() > range.startMs() + 3
                         && session.ranges.values().stream().noneMatch(other -> isWithin(other, x)))
                 .findFirst()
                 .orElse(null);
-        // After the loss of a box, segments that it may not have delivered are listed again behind the cut.
+        // After the loss of a box, segments that it may not have delivered are listed again after the discontinuity.
         if (start.has("lectureS")
                 && !boxOrManagerLost
                 && nextLectureSegment != null
--- a/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/judge/PlaylistRules.java
@@ -53,7 +53,10 @@
      */
     public record DateRange(String id, String kind, double startMs, double durationS, Attributes attributes) {
 
-        /** Returns whether a later text only adds attributes: none may be altered (RFC 8216, 4.3.2.7). */
+        /**
+         * Returns whether a later version has all attributes of this one unaltered, as RFC 8216, 4.3.2.7, requires; it
+         * may add some.
+         */
         boolean isKeptBy(DateRange later) {
             return attributes.names().stream()
                     .allMatch(name -> attributes.get(name).equals(later.attributes.get(name)));
@@ -72,22 +75,22 @@
     private boolean endedBefore;
     private List<String> faults = new ArrayList<>();
 
-    /** Returns the segments of the last playlist taken. */
+    /** Returns the segments of the last well-formed playlist. */
     public List<Segment> segments() {
         return segments;
     }
 
-    /** Returns the date ranges of the last playlist taken, by their ids. */
+    /** Returns the date ranges of the last well-formed playlist, by their ids. */
     public Map<String, DateRange> ranges() {
         return ranges;
     }
 
-    /** Returns whether the last playlist taken has EXT-X-ENDLIST. */
+    /** Returns whether the last well-formed playlist has EXT-X-ENDLIST. */
     public boolean isEnded() {
         return ended;
     }
 
-    /** Returns EXT-X-TARGETDURATION of the last playlist taken, in s; -1 before the first. */
+    /** Returns EXT-X-TARGETDURATION of the last well-formed playlist, in s; -1 before the first. */
     public long targetDurationS() {
         return targetDurationS;
     }
@@ -97,8 +100,8 @@
     }
 
     /**
-     * Takes the next playlist and returns its faults, by itself or compared with the one before; empty when there are
-     * none.
+     * Checks the next playlist by itself and against the one before it, and returns its faults; empty when there are
+     * none. A malformed playlist is not kept.
      */
     public List<String> checkNext(String text) {
         faults = new ArrayList<>();
@@ -183,7 +186,7 @@
         }
     }
 
-    /** Reads the segments with what is in force at each, and adds the date ranges to {@code currentRanges}. */
+    /** Reads the segments with the map and keys in force at each, and adds the date ranges to {@code currentRanges}. */
     private List<Segment> readSegments(Playlist playlist, Map<String, DateRange> currentRanges) throws HlsException {
         List<Segment> result = new ArrayList<>();
         long sequence = playlist.number("EXT-X-MEDIA-SEQUENCE", 0);
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/PortAllocator.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/PortAllocator.java
@@ -19,8 +19,8 @@
     /** Number of ports that may be allocated, from {@link #FIRST_PORT} on. */
     private static final int PORT_COUNT = 12_000;
     /**
-     * Offset at which the search continues; its start depends on the process id, so that processes start at different
-     * ports.
+     * Offset at which the search continues. Its first value depends on the process id, so that processes start at
+     * different ports.
      */
     private static final AtomicInteger NEXT_OFFSET =
             new AtomicInteger((int) (ProcessHandle.current().pid() * 601 % PORT_COUNT));
--- a/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/run/Rehearsal.java
@@ -51,8 +51,8 @@
     /** Maximum number of event loops that the boxes share. */
     private static final int MAX_BOX_LOOPS = 4;
     /**
-     * Time past a viewer's deadline in which a response still counts, in ms; the viewer's timer and the network need
-     * it.
+     * Time past a viewer's deadline in which a response still counts, in ms. It covers the delays of the viewer's
+     * timer and of the network.
      */
     private static final double ANSWER_SLACK_MS = 50;
     /** Interval at which a manager with a {@code false-claims} fault renews its false claims, in ms. */
@@ -429,13 +429,13 @@
      * only their content is false.
      */
     private void publishFalseClaims(Day.Fault fault, double untilMs) {
-        FrontProcess liar = managers.get(fault.manager());
+        FrontProcess lyingManager = managers.get(fault.manager());
         runLater(
-                liar.loop(),
+                lyingManager.loop(),
                 () -> fault.boxes().forEach(box -> {
                     // 64 outcomes replace all that are kept for a box, so that real successes do not weaken the claim
                     for (int i = 0; i < 64; i++) {
-                        liar.peers().node().recordOutcome(box, Claim.Kind.FAILED);
+                        lyingManager.peers().node().recordOutcome(box, Claim.Kind.FAILED);
                     }
                 }));
         if (recording.nowMs() < untilMs) {
@@ -452,8 +452,8 @@
                     other.loop(),
                     () -> other.peers()
                             .node()
-                            .setNetworkConditions((from, to, connection) ->
-                                    partitioned && from.equals(isolatedAddress) != to.equals(isolatedAddress)
+                            .setNetworkConditions((sender, receiver, byConnection) ->
+                                    partitioned && sender.equals(isolatedAddress) != receiver.equals(isolatedAddress)
                                             ? -1
                                             : 0));
         }
@@ -535,8 +535,8 @@
     }
 
     /**
-     * Continues a rolling deploy at a position of the fault's boxes; each box drains for the fault's duration and
-     * restarts.
+     * Continues a rolling deploy at a position of the fault's boxes. Each box drains for the fault's duration and then
+     * restarts; the next one follows.
      */
     private void deployFrom(Day.Fault fault, int position) {
         if (position >= fault.boxes().size()) {
@@ -594,14 +594,14 @@
         return new Report(
                 day.name(),
                 day.seed(),
-                RuleChecker.judge(figures(day), entries),
-                PlaylistChecker.judge(figures(day), entries),
+                RuleChecker.judge(ruleParameters(day), entries),
+                PlaylistChecker.judge(ruleParameters(day), entries),
                 FaultTraces.findAll(entries),
                 figures);
     }
 
-    /** Returns the limits by which the run of a day is judged. */
-    public static RuleParameters figures(Day day) {
+    /** Returns the parameters by which the run of a day is judged. */
+    public static RuleParameters ruleParameters(Day day) {
         var settings = day.settings().controller();
         List<RuleParameters.ClassParameters> classes = new ArrayList<>();
         for (int classId = 0; classId < settings.classes().size(); classId++) {
--- a/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/tape/Entry.java
@@ -7,11 +7,11 @@
  * @param atMs time of the event in ms, on the clock shared by all processes of the rehearsal
  * @param end the process at whose end of the connection the event was recorded: {@code viewers}, {@code manager:N},
  *        {@code box:N}, {@code directory}; {@code script} for marks
- * @param peer the remote end, by the name that the recording end gave the connection; for marks, the subject of the
- *        mark
+ * @param peer the remote end, by the name that the recording end gave the connection; for marks, the process or fault
+ *        that the mark is about
  * @param conn number of the connection at this end, unique within the process; 0 for marks
- * @param exchange number of the request-response exchange on the connection, from 0; -1 for a response without a
- *        request
+ * @param exchange number of the request-response exchange on the connection, from 0; -1 for a response that belongs to
+ *        no request
  * @param kind the kind of event
  * @param method method of the request; the type of a server-sent event; the kind of a mark; otherwise null
  * @param target target of the request, repeated in the entries of its response; otherwise null
--- a/rehearsal/src/main/java/calicovale/rehearsal/viewers/SimulatedViewers.java
+++ b/rehearsal/src/main/java/calicovale/rehearsal/viewers/SimulatedViewers.java
@@ -311,8 +311,8 @@
                             returnOrLeave(0);
                         } else {
                             reloading = false;
-                            String set = head.headers().get("Set-Cookie");
-                            cookie = set == null ? cookie : set.split(";", 2)[0];
+                            String setCookie = head.headers().get("Set-Cookie");
+                            cookie = setCookie == null ? cookie : setCookie.split(";", 2)[0];
                             List<String> faults =
                                     player.acceptPlaylist(new String(body, StandardCharsets.UTF_8), nowMs());
                             if (faults.isEmpty()) {
--- a/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/DaysTest.java
@@ -31,8 +31,8 @@
             assertTrue(report.allRulesKept(), report.table());
             rehearsal.recording().write(folder.resolve("tape.jsonl"));
             // The verdict must depend on the recording alone: read back from the file, it gives the same verdict.
-            var rejudged =
-                    RuleChecker.judge(Rehearsal.figures(day), TrafficRecording.read(folder.resolve("tape.jsonl")));
+            var rejudged = RuleChecker.judge(
+                    Rehearsal.ruleParameters(day), TrafficRecording.read(folder.resolve("tape.jsonl")));
             assertEquals(report.verdict().requestsByOutcome(), rejudged.requestsByOutcome());
             assertEquals(report.verdict().checkCount("no-session-lost"), rejudged.checkCount("no-session-lost"));
             return report;
--- a/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/GossipDayTest.java
@@ -69,21 +69,24 @@
                                                     .membership()
                                                     .presentCount())
                                     == 3));
-            FrontProcess third = harness.rehearsal.managers().get(2);
+            FrontProcess thirdManager = harness.rehearsal.managers().get(2);
             harness.rehearsal.injectFault(falseClaims(0, 1, 30));
             RehearsalHarness.await(
                     "the third manager receives a claim",
-                    () -> third.loop()
-                                    .call(() ->
-                                            third.peers().view().path("claims").size())
+                    () -> thirdManager
+                                    .loop()
+                                    .call(() -> thirdManager
+                                            .peers()
+                                            .view()
+                                            .path("claims")
+                                            .size())
                             > 0);
-            assertTrue(!hasEvidenceAgainst(third, 1), "the claim of a single manager is believed");
+            assertTrue(!hasEvidenceAgainst(thirdManager, 1), "the claim of a single manager is believed");
             harness.rehearsal.injectFault(falseClaims(1, 1, 30));
-            // Also waits until the third manager is past the time after its start in which it sends each box few
-            // set-ups.
+            // Also waits for the end of the time after its start in which the third manager sends each box few set-ups.
             RehearsalHarness.await(
                     "the claim of a quorum is believed",
-                    () -> hasEvidenceAgainst(third, 1)
+                    () -> hasEvidenceAgainst(thirdManager, 1)
                             && harness.rehearsal.recording().nowMs() - startedMs > 4500);
             List<CompletableFuture<HttpResponse<String>>> burst = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
@@ -113,22 +116,30 @@
     @Test
     void ownObservationOverridesQuorumAndContradictedClaimsAreCounted() throws Exception {
         try (RehearsalHarness harness = new RehearsalHarness(state, "/managers", THREE_MANAGERS)) {
-            FrontProcess third = harness.rehearsal.managers().get(2);
+            FrontProcess thirdManager = harness.rehearsal.managers().get(2);
             RehearsalHarness.await(
                     "the third manager lists three present members",
-                    () -> third.loop()
-                                    .call(() ->
-                                            third.peers().node().membership().presentCount())
+                    () -> thirdManager
+                                    .loop()
+                                    .call(() -> thirdManager
+                                            .peers()
+                                            .node()
+                                            .membership()
+                                            .presentCount())
                             == 3);
             harness.rehearsal.injectFault(falseClaims(0, 1, 30));
             harness.rehearsal.injectFault(falseClaims(1, 1, 30));
-            RehearsalHarness.await("the claim of a quorum is believed", () -> hasEvidenceAgainst(third, 1));
+            RehearsalHarness.await("the claim of a quorum is believed", () -> hasEvidenceAgainst(thirdManager, 1));
             RehearsalHarness.await("the manager's own observations contradict the claim", () -> {
                 HttpResponse<String> answer = harness.getWithRetry(
                         harness.uri(2, "/v1/lectures/t1/index.m3u8?class=talk&viewer=" + System.nanoTime()));
                 return answer.statusCode() >= 200
-                        && !hasEvidenceAgainst(third, 1)
-                        && third.loop().call(() -> third.peers().counters().get("gossip-claims-contradicted")) > 0;
+                        && !hasEvidenceAgainst(thirdManager, 1)
+                        && thirdManager
+                                        .loop()
+                                        .call(() ->
+                                                thirdManager.peers().counters().get("gossip-claims-contradicted"))
+                                > 0;
             });
             harness.finishAndAssertRulesKept();
         }
@@ -138,9 +149,11 @@
     void isolatedManagerServesAndRestartedManagerRejoinsGroup() throws Exception {
         try (RehearsalHarness harness = new RehearsalHarness(
                 state, "/managers", THREE_MANAGERS, "/service/operators", "{\"host\": \"127.0.0.1\", \"port\": 0}")) {
-            FrontProcess first = harness.rehearsal.managers().get(0);
-            Predicate<State> secondMemberIs = s ->
-                    first.loop().call(() -> first.peers().node().membership().state("m1")) == s;
+            FrontProcess firstManager = harness.rehearsal.managers().get(0);
+            Predicate<State> secondMemberIs = s -> firstManager
+                            .loop()
+                            .call(() -> firstManager.peers().node().membership().state("m1"))
+                    == s;
             RehearsalHarness.await("the second manager is listed as alive", () -> secondMemberIs.test(State.ALIVE));
             harness.rehearsal.injectFault(new Day.Fault("members-cut", 0, 0, List.of(), 0, 1, 0, false));
             RehearsalHarness.await(
@@ -152,8 +165,8 @@
             harness.killManager(1);
             RehearsalHarness.await(
                     "the second manager's new process is listed as alive", () -> secondMemberIs.test(State.ALIVE));
-            URI members =
-                    URI.create("http://127.0.0.1:" + first.operatorsAddress().getPort() + "/v1/members");
+            URI members = URI.create(
+                    "http://127.0.0.1:" + firstManager.operatorsAddress().getPort() + "/v1/members");
             var memberList = Documents.MAPPER.readTree(harness.get(members).body());
             assertEquals("calicovale/members/1", memberList.path("schema").asText());
             assertEquals(3, memberList.path("members").size());
--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -123,11 +123,14 @@
             }
             assertEquals(200, next.statusCode());
             assertNotEquals(id, next.headers().firstValue("Calicovale-Session").orElseThrow());
-            List<String> now = RehearsalHarness.segmentUris(next.body());
+            List<String> urisAfterMove = RehearsalHarness.segmentUris(next.body());
             assertTrue(
-                    RehearsalHarness.segmentUris(before).stream().anyMatch(now::contains),
+                    RehearsalHarness.segmentUris(before).stream().anyMatch(urisAfterMove::contains),
                     "no segment that was given is still listed");
-            assertEquals(200, harness.get(URI.create(now.get(now.size() - 1))).statusCode());
+            assertEquals(
+                    200,
+                    harness.get(URI.create(urisAfterMove.get(urisAfterMove.size() - 1)))
+                            .statusCode());
             assertEquals(
                     410,
                     harness.get(URI.create(RehearsalHarness.segmentUris(before).get(0)))
@@ -219,9 +222,9 @@
             for (int i : boxIndexes(harness)) {
                 harness.rehearsal.callOnBox(i, box -> box.faults().setUpTimeFactor = 40);
             }
-            try (Socket s = new Socket(
+            try (Socket socket = new Socket(
                     "127.0.0.1", harness.rehearsal.managerAddresses().get(0).getPort())) {
-                s.getOutputStream()
+                socket.getOutputStream()
                         .write("GET /v1/lectures/t1/index.m3u8?class=talk&viewer=v1&try=1 HTTP/1.1\r\nHost: h\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII));
                 harness.awaitEntry("the set-up", e -> isAtBox(e) && isSetUp(e));
@@ -268,7 +271,7 @@
             // The two other boxes refuse set-ups, so without a pace all would go to the box that just started.
             harness.rehearsal.injectFault(RehearsalHarness.fault("crash", 0.1, 0, 0));
             harness.awaitEntry(
-                    "the manager is told of the box's restart",
+                    "the manager receives the restart of the box",
                     e -> e.end().startsWith("manager")
                             && e.kind() == Kind.EVENT
                             && e.body() != null
@@ -310,8 +313,11 @@
             RehearsalHarness.await("the manager counts the lost session", () -> harness.counter("sessions-lost") == 1);
             HttpResponse<String> next = harness.get(harness.uri(media));
             assertEquals(200, next.statusCode());
-            List<String> now = RehearsalHarness.segmentUris(next.body());
-            assertEquals(200, harness.get(URI.create(now.get(now.size() - 1))).statusCode());
+            List<String> urisAfterRestart = RehearsalHarness.segmentUris(next.body());
+            assertEquals(
+                    200,
+                    harness.get(URI.create(urisAfterRestart.get(urisAfterRestart.size() - 1)))
+                            .statusCode());
             harness.finishAndAssertRulesKept();
         }
     }
@@ -382,8 +388,8 @@
                                         harness.get(harness.uri(next)).body())
                                 .get(0)));
             }
-            HttpResponse<String> again = harness.get(harness.uri(media));
-            assertEquals(200, again.statusCode());
+            HttpResponse<String> reloaded = harness.get(harness.uri(media));
+            assertEquals(200, reloaded.statusCode());
             assertEquals(200, harness.get(URI.create(segment)).statusCode());
             assertEquals(0, harness.counter("sessions-lost"));
             assertTrue(harness.finishAndAssertRulesKept().verdict().checkCount("drains-kept") > 0);
@@ -463,8 +469,10 @@
                 "{\"sessions\": 1}")) {
             HttpResponse<String> first = harness.requestLectureAt(0, "talk", "v1", "Origin", "https://page");
             HttpResponse<String> refused = harness.requestLectureAt(0, "talk", "v2", "Origin", "https://page");
-            HttpResponse<String> wrong = harness.requestLectureAt(0, "none", "v3", "Origin", "https://page");
-            assertEquals(List.of(200, 503, 400), List.of(first.statusCode(), refused.statusCode(), wrong.statusCode()));
+            HttpResponse<String> unknownClass = harness.requestLectureAt(0, "none", "v3", "Origin", "https://page");
+            assertEquals(
+                    List.of(200, 503, 400),
+                    List.of(first.statusCode(), refused.statusCode(), unknownClass.statusCode()));
             String segment = RehearsalHarness.segmentUris(harness.get(harness.uri(RehearsalHarness.mediaPath(first)))
                             .body())
                     .get(0);
@@ -474,7 +482,7 @@
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
             assertEquals(200, played.statusCode());
-            for (HttpResponse<String> answer : List.of(first, refused, wrong, played)) {
+            for (HttpResponse<String> answer : List.of(first, refused, unknownClass, played)) {
                 assertEquals(
                         "https://page",
                         answer.headers()
@@ -498,9 +506,9 @@
                     List.of(
                             status.path("sessions").asInt(-1),
                             status.path("pending").asInt(-1)));
-            HttpResponse<String> nothing = harness.get(harness.uri("/v1/lectures/t1/index.m3u8"));
-            assertEquals(400, nothing.statusCode());
-            assertTrue(nothing.body().contains("class: one of [talk, contractor-course]"), nothing.body());
+            HttpResponse<String> missingClass = harness.get(harness.uri("/v1/lectures/t1/index.m3u8"));
+            assertEquals(400, missingClass.statusCode());
+            assertTrue(missingClass.body().contains("class: one of [talk, contractor-course]"), missingClass.body());
             harness.finishAndAssertRulesKept();
         }
     }
--- a/rehearsal/src/test/java/calicovale/rehearsal/RehearsalHarness.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RehearsalHarness.java
@@ -35,22 +35,23 @@
     final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    RehearsalHarness(Path state, String... changes) throws IOException, InvalidDocumentException {
-        rehearsal = new Rehearsal(day(changes), state);
+    RehearsalHarness(Path state, String... replacements) throws IOException, InvalidDocumentException {
+        rehearsal = new Rehearsal(day(replacements), state);
         rehearsal.start();
     }
 
     /**
-     * Returns the small day with some members replaced; {@code changes} are pairs of a JSON pointer and a JSON value.
+     * Returns the small day with some members replaced; {@code replacements} are pairs of a JSON pointer and a JSON
+     * value, in turn.
      */
-    static Day day(String... changes) throws IOException, InvalidDocumentException {
+    static Day day(String... replacements) throws IOException, InvalidDocumentException {
         try (InputStream in = RehearsalHarness.class.getResourceAsStream("/small-day.json")) {
             ObjectNode day = (ObjectNode) Documents.MAPPER.readTree(in);
-            for (int i = 0; i < changes.length; i += 2) {
-                int lastSlash = changes[i].lastIndexOf('/');
-                JsonNode parent = day.at(changes[i].substring(0, lastSlash));
+            for (int i = 0; i < replacements.length; i += 2) {
+                int lastSlash = replacements[i].lastIndexOf('/');
+                JsonNode parent = day.at(replacements[i].substring(0, lastSlash));
                 ((ObjectNode) parent)
-                        .set(changes[i].substring(lastSlash + 1), Documents.MAPPER.readTree(changes[i + 1]));
+                        .set(replacements[i].substring(lastSlash + 1), Documents.MAPPER.readTree(replacements[i + 1]));
             }
             return Day.parse("small", day.toString());
         }
@@ -129,8 +130,8 @@
     }
 
     /**
-     * Returns the answer to a GET. Retries without a limit while the peer can't be reached, since it may be
-     * restarting.
+     * Returns the answer to a GET. Retries without a limit while the peer can't be reached, because its process may
+     * be restarting.
      */
     HttpResponse<String> getWithRetry(URI uri) {
         while (true) {
@@ -153,9 +154,9 @@
     }
 
     /** Announces or withdraws a change at managers as operators of a day do, with its mark in the recording. */
-    void announce(Day.ScriptedChange announcement) {
+    void announce(Day.ScriptedChange scriptedChange) {
         try (Operators operators = new Operators(rehearsal, rehearsal.recording())) {
-            operators.sendChange(announcement);
+            operators.sendChange(scriptedChange);
         }
     }
 
--- a/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/RuleCheckerTest.java
@@ -49,14 +49,14 @@
                 atMs, end, peer, conn, kind == Kind.MALFORMED ? -1 : 0, kind, method, target, status, body, 0));
     }
 
-    private void addMark(double atMs, String kind, String concerned, String detail) {
-        addEntry(atMs, "script", concerned, 0, Kind.MARK, kind, null, 0, detail);
+    private void addMark(double atMs, String kind, String subject, String detail) {
+        addEntry(atMs, "script", subject, 0, Kind.MARK, kind, null, 0, detail);
     }
 
     private void addExchange(
             String end,
             String peer,
-            double askedMs,
+            double requestedMs,
             double answeredMs,
             String method,
             String target,
@@ -65,7 +65,7 @@
             String answer,
             String session) {
         long conn = ++lastConnection;
-        addEntry(askedMs, end, peer, conn, Kind.REQUEST, method, target, 0, body);
+        addEntry(requestedMs, end, peer, conn, Kind.REQUEST, method, target, 0, body);
         if (answeredMs >= 0) {
             addEntry(answeredMs, end, peer, conn, Kind.HEAD, method, target, status, session);
             addEntry(answeredMs, end, peer, conn, Kind.RESPONSE, method, target, status, answer);
--- a/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/StitchTest.java
@@ -56,18 +56,18 @@
         try (RehearsalHarness harness = startHarness()) {
             announce(harness, 0, changeAtOneSecond("storm-1", 1));
             String media = RehearsalHarness.mediaPath(harness.requestLecture("contractor-course", "v1"));
-            String[] shown = {""};
+            String[] playlist = {""};
             RehearsalHarness.await("the piece is listed and the lecture continues", () -> {
                 try {
-                    shown[0] = harness.get(harness.uri(media)).body();
+                    playlist[0] = harness.get(harness.uri(media)).body();
                 } catch (java.io.IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
-                List<String> all = RehearsalHarness.segmentUris(shown[0]);
-                return all.stream().anyMatch(s -> s.contains("/p/storm/"))
-                        && !all.get(all.size() - 1).contains("/p/storm/");
+                List<String> uris = RehearsalHarness.segmentUris(playlist[0]);
+                return uris.stream().anyMatch(s -> s.contains("/p/storm/"))
+                        && !uris.get(uris.size() - 1).contains("/p/storm/");
             });
-            List<Playlist.Entry> entries = Playlist.parse(shown[0]).entries();
+            List<Playlist.Entry> entries = Playlist.parse(playlist[0]).entries();
             int firstPieceEntry = 0;
             while (!entries.get(firstPieceEntry).uri().contains("/p/storm/")) {
                 firstPieceEntry++;
@@ -80,13 +80,13 @@
                                 .statusCode());
                 afterPieceEntry++;
             }
-            assertEquals(3, afterPieceEntry - firstPieceEntry, shown[0]);
+            assertEquals(3, afterPieceEntry - firstPieceEntry, playlist[0]);
             assertTrue(entries.get(firstPieceEntry).has("EXT-X-DISCONTINUITY")
                     && entries.get(firstPieceEntry).has("EXT-X-MAP"));
             assertTrue(entries.get(afterPieceEntry).has("EXT-X-DISCONTINUITY")
                     && entries.get(afterPieceEntry).has("EXT-X-MAP"));
             assertEquals(1, harness.counter("changes-shown"));
-            // While the piece played the box was told the piece's rate, and after it the rung in force again.
+            // The manager sent the box the piece's rate while the piece played, and the rung in force again after it.
             List<Integer> rungsSent = harness.rehearsal.recording().entries().stream()
                     .filter(e -> e.end().startsWith("manager:")
                             && e.kind() == Entry.Kind.REQUEST
@@ -94,10 +94,10 @@
                             && e.body().contains("\"rung\""))
                     .map(e -> Integer.parseInt(e.body().replaceAll(".*\"rung\":(\\d+).*", "$1")))
                     .toList();
-            assertEquals(2, harness.counter("piece-rates-told"), "rungs told: " + rungsSent);
+            assertEquals(2, harness.counter("piece-rates-told"), "rungs sent: " + rungsSent);
             assertTrue(
                     rungsSent.contains(1) && rungsSent.lastIndexOf(1) < rungsSent.size() - 1,
-                    "rungs told: " + rungsSent);
+                    "rungs sent: " + rungsSent);
             harness.finishAndAssertRulesKept();
         }
     }
@@ -228,8 +228,8 @@
 
     /** Returns whether a playlist lists the piece and ends with a segment of the lecture. */
     private static boolean isLectureAfterPiece(String playlist) {
-        List<String> all = RehearsalHarness.segmentUris(playlist);
-        return hasPiece(playlist) && !all.get(all.size() - 1).contains("/p/storm/");
+        List<String> uris = RehearsalHarness.segmentUris(playlist);
+        return hasPiece(playlist) && !uris.get(uris.size() - 1).contains("/p/storm/");
     }
 
     @Test
@@ -348,13 +348,14 @@
             // box, in order.
             Set<String> pieceFiles = new HashSet<>();
             reloadUntil(harness, media, "the lecture continues at another box after the piece", p -> {
-                List<String> there = RehearsalHarness.segmentUris(p).stream()
+                List<String> urisAtOtherBox = RehearsalHarness.segmentUris(p).stream()
                         .filter(x -> harness.boxOf(x) != box)
                         .toList();
-                there.stream()
+                urisAtOtherBox.stream()
                         .filter(x -> x.contains("/p/storm/"))
                         .forEach(x -> pieceFiles.add(x.substring(x.lastIndexOf('/'))));
-                return there.size() > 3 && !there.get(there.size() - 1).contains("/p/storm/");
+                return urisAtOtherBox.size() > 3
+                        && !urisAtOtherBox.get(urisAtOtherBox.size() - 1).contains("/p/storm/");
             });
             assertTrue(
                     pieceFiles.contains("/2.m4s"),
@@ -543,7 +544,7 @@
                     .firstValue("Set-Cookie")
                     .orElseThrow()
                     .split(";")[0];
-            // The other manager is told of the change only after the viewer came to it.
+            // The change is announced at the other manager only after the viewer has a session there.
             URI returningViewer = harness.uri(
                     1, RehearsalHarness.mediaPath(harness.requestLectureAt(1, "talk", "v1", "Cookie", cookie)));
             URI otherViewerWithSameCookie = harness.uri(
@@ -610,9 +611,9 @@
                     .contains("/signature/key"));
             assertEquals(
                     "[]", sendToOperatorsPort(harness, "GET", "/v1/changes", "").body());
-            HttpResponse<String> taken = sendToOperatorsPort(harness, "POST", "/v1/changes", signed);
-            assertEquals(201, taken.statusCode(), taken.body());
-            assertTrue(taken.body().contains("\"validUntilMs\":9000000000000"), taken.body());
+            HttpResponse<String> accepted = sendToOperatorsPort(harness, "POST", "/v1/changes", signed);
+            assertEquals(201, accepted.statusCode(), accepted.body());
+            assertTrue(accepted.body().contains("\"validUntilMs\":9000000000000"), accepted.body());
             harness.finishAndAssertRulesKept();
         }
     }
@@ -671,13 +672,16 @@
                             .statusCode());
             announce(harness, 0, document);
             URI media = harness.uri(RehearsalHarness.mediaPath(harness.requestLecture("talk", "v1")));
-            List<String> all = RehearsalHarness.segmentUris(
+            List<String> uris = RehearsalHarness.segmentUris(
                     reloadUntil(harness, media, "the part is replaced", p -> isLectureAfterPiece(p)));
-            int from = all.indexOf(all.stream()
+            int firstPieceIndex = uris.indexOf(uris.stream()
                     .filter(s -> s.contains("/p/storm/"))
                     .findFirst()
                     .orElseThrow());
-            assertTrue(all.get(from - 1).endsWith("/1.m4s") && all.get(from + 3).endsWith("/5.m4s"), all.toString());
+            assertTrue(
+                    uris.get(firstPieceIndex - 1).endsWith("/1.m4s")
+                            && uris.get(firstPieceIndex + 3).endsWith("/5.m4s"),
+                    uris.toString());
             harness.finishAndAssertRulesKept();
         }
     }
