--- a/bench-adapter/src/test/java/calicovale/adapter/WireAdapterTest.java
+++ b/bench-adapter/src/test/java/calicovale/adapter/WireAdapterTest.java
@@ -51,9 +51,9 @@
     @Test
     void setsTheRungBeforeHandingOffASession() throws IOException {
         String out = reply(STARTED_INSTANCE + DEMAND + "GO\n");
-        int rung = out.indexOf("SET_RUNG who=3 tid=r1 grade=1\n");
-        int send = out.indexOf("HAND_OFF who=3 tid=r1 server=4294967295 allowForMs=");
-        assertTrue(rung >= 0 && send > rung && out.endsWith("EOR\n"), out);
+        int rungPosition = out.indexOf("SET_RUNG who=3 tid=r1 grade=1\n");
+        int handOffPosition = out.indexOf("HAND_OFF who=3 tid=r1 server=4294967295 allowForMs=");
+        assertTrue(rungPosition >= 0 && handOffPosition > rungPosition && out.endsWith("EOR\n"), out);
         assertEquals("", errorText());
     }
 
--- a/controller/src/main/java/calicovale/ControllerApi.java
+++ b/controller/src/main/java/calicovale/ControllerApi.java
@@ -95,7 +95,7 @@
      * @param tipMultiple multiple of the pace that a cold server takes, above which it fails
      * @param tipMs time in ms for which set-ups must exceed that multiple for the server to fail
      * @param drainGraceMs time in ms after the news of a drain from which nothing new may go to the server
-     * @param extraFree further attempts in the window that are always permitted; negative: there is no budget
+     * @param extraFree further attempts in the window that are always permitted; negative: no budget limits them
      * @param extraRatio further attempts permitted for each request in the window
      * @param extraWindowMs length in ms of the window in which requests and further attempts are counted
      * @param askEveryMs greatest age in ms of the list, where it comes only when asked for
@@ -123,7 +123,7 @@
      * @param kindStreams most streams that a server of each kind runs
      * @param join demand that a further viewer of a shared live stream adds, as a fraction of the stream's rate
      * @param fullFrom use of its link from which a server refuses set-ups; 0: never
-     * @param missingCost points of worth lost for each point of the rate that is missing
+     * @param missingCost percentage points of worth lost for each percentage point of the rate that is not delivered
      * @param changeCostS cost of a change of rung, in seconds of the class's worth
      * @param noteDelayMs age in ms of notes on playing sessions when they arrive
      * @param noteEveryMs time in ms between notes of the use of a link; 0: there are none
@@ -157,7 +157,7 @@
      * @param media properties of the ladder, the links and the notes
      * @param reports when load reports arrive
      * @param askForList whether the list of servers comes only after {@link Actions#subscribe()}
-     * @param worstClassWeight weight of the worst-served class in the result, below 1; 0: no weight
+     * @param worstClassWeight weight of the worst-served class in the score of the service, below 1; 0: no weight
      * @param moveCost cost of moving every session once, as a fraction of all worth
      * @param zoneCost cost of serving every session across zones; 0: servers of other zones are not avoided
      * @param probeCost cost of one probe for each session
@@ -211,7 +211,10 @@
         FAILED
     }
 
-    /** Outcome of an attempt or a probe; {@link #provesNeverRan()} returns whether it proves that nothing ran. */
+    /**
+     * Outcome of an attempt or a probe; {@link #provesNeverRan()} returns whether it proves that nothing ran.
+     * {@code MOOT}: it was dropped before it ran, which says nothing about the server's health.
+     */
     public enum Outcome {
         OK(false),
         ERROR(false),
--- a/controller/src/main/java/calicovale/SessionController.java
+++ b/controller/src/main/java/calicovale/SessionController.java
@@ -41,7 +41,7 @@
 public final class SessionController {
     // Ratios, fractions, weights and counts have no unit.
 
-    // Clock time before all others: the event has not happened.
+    // Clock time of an event that has not happened; it is before all others.
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     // Shares closer than this fraction count as equal, because the readings behind them are less exact than that.
@@ -67,10 +67,11 @@
     // because the raise would have to be undone otherwise.
     private static final double RAISE_LIMIT_FRACTION = 0.74;
 
-    // Time in ms for which a session must have had room before it is raised: two rounds of notes.
+    // Time in ms for which a session must have had room before it is raised: two intervals of notes.
     private static final double RAISE_WAIT_MS = 6000;
 
-    // Raises by one rung per session and second. In all it keeps changes below 3 steps per session and minute.
+    // Raises by one rung that are permitted per session and second. Together with the lowering this keeps changes
+    // below 3 steps per session and minute.
     private static final double RAISES_PER_SESSION_SECOND = 0.03;
 
     // Mean time in ms between two checks of all links; shorter than the delay of a note.
@@ -85,17 +86,17 @@
     // Approximate age in ms of a load report when it arrives; no setting states it.
     private static final double REPORT_AGE_MS = 500;
 
-    // Fraction of a link that is taken as used before anything has been heard of any link.
+    // Fraction of a link that is taken as used before there is a reading of any link.
     private static final double PRIOR_USE_FRACTION = 0.6;
 
-    // Weight of that prior in mean links; it matters only while next to nothing has been heard.
+    // Weight of that prior, as a number of links of the mean rate; it matters only while there are almost no readings.
     private static final double PRIOR_WEIGHT_LINKS = 1;
 
     // Weight below which a reading is left out of the average over all links, because it adds next to nothing.
     private static final double MIN_READING_WEIGHT = 0.001;
 
-    // Time constant in ms of the decay of a reading that is older than two notes: after this time it has lost
-    // two thirds of its weight.
+    // Time constant in ms of the decay of a reading that is older than two intervals of notes: after this time it has
+    // lost two thirds of its weight.
     private static final double READING_DECAY_MS = 4000;
 
     // Highest use of a link, over its rate, that a reading is believed to show; a link above that has no room anyway.
@@ -107,7 +108,7 @@
     // Time in ms for which a note of short delivery holds; such notes come once a second.
     private static final double SHORT_DELIVERY_VALID_MS = 2200;
 
-    // Fraction by which a rack's correction falls per second while no short delivery is heard.
+    // Fraction by which the correction of a rack's uplink falls per second while no note of short delivery arrives.
     private static final double CORRECTION_DECAY_PER_S = 0.01;
 
     // Factor on that decay above USUAL_CORRECTION_RATIO, because faults end but differences between uplinks stay.
@@ -122,8 +123,8 @@
     // Highest correction of a rack's uplink: faults divide the rate of an uplink by up to eight.
     private static final double MAX_CORRECTION_RATIO = 8;
 
-    // Estimated use of an uplink above which complete delivery shows that the uplink carries more than estimated.
-    private static final double UNTESTED_UPLINK_FRACTION = 0.85;
+    // Estimated use of an uplink above which complete delivery shows that the use is overestimated.
+    private static final double OVERESTIMATED_USE_FRACTION = 0.85;
 
     // Time in ms, beside the delay of a note, until the lowering by all managers shows in readings.
     private static final double RELIEF_EFFECT_MS = 400;
@@ -147,8 +148,8 @@
     // Time in ms after a start without hand-over in which any server may be cold without the controller knowing it.
     private static final double UNKNOWN_COLD_MS = 4000;
 
-    // Longest timeout of an attempt, also of the first ones, as a fraction of the class's aim, so that two attempts
-    // fit in the aim.
+    // Longest timeout of an attempt, as a fraction of the class's aim, so that two attempts fit in the aim. It is also
+    // the timeout of the first attempts, while no set-up time is known.
     private static final double TIMEOUT_AIM_FRACTION = 0.45;
 
     // Shortest timeout of an attempt, in ms.
@@ -164,7 +165,8 @@
     // part of up to the same length.
     private static final double MIN_RETRY_AFTER_MS = 400;
 
-    // Fraction of a rack's servers in use here that have short delivery when the cause is the rack's uplink.
+    // Fraction of a rack's servers with own sessions that must have short delivery for its uplink to count as the
+    // cause.
     private static final double SHORT_RACK_FRACTION = 0.6;
 
     // Delivered share below which a server counts as failed, unless the use of its link or uplink explains it.
@@ -179,28 +181,30 @@
     // Difference between the served fraction of all classes and that of one class at which its extra weight is full.
     private static final double FULL_WEIGHT_LAG_FRACTION = 0.1;
 
-    // Time in ms between the trials of all managers together at a fully suspected server; faults last for seconds.
+    // Time in ms between two trials, by any managers, at a server suspected with strength 1; faults last for seconds.
     private static final double SUSPECTED_TRIAL_INTERVAL_MS = 4000;
 
     // Time in ms after which a server that is gone is forgotten; no list of servers is late by that much.
     private static final double FORGET_SERVER_MS = 60_000;
 
-    // Longest delay in ms with which a request is heard or an attempt arrives; a connect takes 250 ms.
+    // Margin in ms at both ends of the budget's window: the longest delay with which a request or an attempt arrives;
+    // a connect takes 250 ms.
     private static final double BUDGET_WINDOW_MARGIN_MS = 500;
 
-    // Shortest time in ms between two requests for the list of servers after a failed one; spread to twice that.
+    // Shortest time in ms before the list of servers is requested again after a failure. Each wait adds a random part
+    // of up to the same length.
     private static final double LIST_RETRY_MS = 1500;
 
     // Time constant in s of the average of a tenant's request rate.
     private static final double TENANT_RATE_TIME_CONSTANT_S = 5;
 
-    // Least use of a link or an uplink by which capacities are divided to compare servers.
+    // Lower bound of the use of a link or an uplink when servers are compared, because capacities are divided by it.
     private static final double MIN_COMPARED_USE = 0.05;
 
     // Estimated use of an uplink above which a reading corrects it, because the correction is a ratio to the estimate.
     private static final double MIN_CORRECTABLE_USE = 0.05;
 
-    // Least delivered share from which the use is derived, because the use is a ratio to it.
+    // Lower bound of a delivered share when the use is derived from it, because the use is its reciprocal.
     private static final double MIN_DELIVERED_SHARE = 0.05;
 
     // Value of a load report's util from which it counts as full; util does not go above 1.
@@ -235,7 +239,8 @@
     // Requests per second by tenant, and the clock time of its last update.
     private final double[] tenantRequestRate;
     private final double[] tenantRateAt;
-    // By class: the worth that played, the worth at the highest rungs, and the resulting factor on the class's worth.
+    // By class: the worth of all play so far, the worth of the same play at the highest rungs, and the resulting factor
+    // on the class's worth.
     private final double[] earnedWorth;
     private final double[] offeredWorth;
     private final double[] classBoost;
@@ -306,7 +311,7 @@
                 .average()
                 .orElse(1);
         OptionalDouble meanStreams =
-                media.kindStreams().stream().mapToDouble(kind -> kind).average();
+                media.kindStreams().stream().mapToDouble(streams -> streams).average();
         loadCap = meanStreams.isPresent() ? meanStreams.getAsDouble() * meanClassWorth : Double.MAX_VALUE;
         earnedWorth = new double[rateKb.length];
         offeredWorth = new double[rateKb.length];
@@ -412,8 +417,9 @@
     }
 
     /**
-     * Returns whether a further attempt is allowed. Where an earlier one may have run, none is for a side effect, and
-     * for a token only while it holds (rule 2). The limit on attempts and the budget (rule 6) always apply.
+     * Returns whether a further attempt is allowed. After an attempt that may have run, a class with side effects
+     * allows no further one, and a class with tokens only while the token holds (rule 2). The limit on attempts and the
+     * budget (rule 6) always apply.
      */
     private boolean mayAttemptAgain(Session session) {
         if (config.limits().attempts() > 0
@@ -547,7 +553,7 @@
                 // them, so that claims of peers alone never leave a viewer without a server.
                 if (pass < 0 && !suspicionAllows(server)) continue;
                 // Of three passes, the first needs the wanted rung to fit, the second takes any rung, and the third
-                // also takes servers that only the lower fill limit for missing readings excluded.
+                // also takes servers where a rung fits only if missing readings do not reduce the fill limit.
                 int rung = highestFittingRung(
                         server, session, wantedRung, (pass + 3) % 3 < 2 ? NO_READING_FILL_REDUCTION : 0);
                 if (rung < ((pass + 3) % 3 == 0 ? wantedRung : 0)) continue;
@@ -662,10 +668,10 @@
         // A server without readings is taken to carry the average load for its link, with the newcomer counted in
         // that load. Otherwise only the load of peers would be proportional to the link, the newcomer would weigh least
         // on the largest link, and all managers would send there.
-        double levelLoad = normalizedCapacity(server)
+        double averageLoad = normalizedCapacity(server)
                 * (averageLinkUse() * meanLinkKb / meanSessionKb() * meanClassWorth + session.sessionClass.worth());
         double peerLoad = peerWeight * peerStreams * meanClassWorth
-                + (1 - peerWeight) * Math.max(0, levelLoad - server.ownWorth - session.sessionClass.worth());
+                + (1 - peerWeight) * Math.max(0, averageLoad - server.ownWorth - session.sessionClass.worth());
         return server.ownWorth
                 + peerLoad
                 + server.lostAttemptTimes.size() * meanClassWorth
@@ -694,8 +700,8 @@
 
     /**
      * Returns the highest rung, up to the wanted one, that fits under the fill limit; -1 if none does. The limit is
-     * lower at a server without recent readings, because an average says little about one link. It is the lower the
-     * less of the fleet has recent readings and the more peers there are.
+     * reduced at a server without recent readings, because an average says little about one link. The reduction grows
+     * with the number of peers and with the part of the fleet that has no recent readings.
      */
     private int highestFittingRung(Server server, Session session, int wantedRung, double noReadingReduction) {
         double peerFraction = 1 - 1.0 / Math.max(1, config.controllers());
@@ -790,8 +796,9 @@
     }
 
     /**
-     * Takes over a server's load report: {@code x0} or {@code util}, use of the link; {@code inflight}, streams;
-     * {@code x1}, use of the uplink. A {@code util} of nearly 1 is a lower bound, because it does not go above 1.
+     * Updates the estimates from a server's load report: {@code x0} or {@code util}, use of the link; {@code inflight},
+     * streams; {@code x1}, use of the uplink. A {@code util} of nearly 1 is a lower bound, because it does not go
+     * above 1.
      */
     private void applyLoadReport(Server server, Map<String, Double> loadReport) {
         Double linkUse = loadReport.containsKey("x0") ? loadReport.get("x0") : loadReport.get("util");
@@ -851,6 +858,7 @@
         Session session = sessions.get(note.id());
         Server server = servers.get(note.server());
         if (server == null) return;
+        // A note that arrives so soon after its session's start cannot have the usual age, so it counts as new.
         boolean justStarted =
                 session != null && now - session.startedAt < media.noteDelayMs() / 2 && session.attempts > 0;
         switch (note.kind()) {
@@ -881,8 +889,8 @@
         double shownUse = Math.min(MAX_USE_RATIO, 1 / Math.max(MIN_DELIVERED_SHARE, deliveredShare));
         double ownKb = server.ownKbAt(now - media.noteDelayMs());
         double estimatedUse = Math.max((ownKb + estimatedPeerKb(server)) / server.linkKb, uplinkUse(server.rack));
-        // A link or uplink that recent notes showed to be full needs no correction: the notes are exact, while the
-        // delivered share is smoothed and late.
+        // A link or uplink that recent notes showed to be full needs no correction, because those notes are more exact
+        // than the delivered share, which is smoothed and late.
         boolean linkReadingRecent = isRecent(server.readingAt);
         boolean uplinkReadingRecent = isRecent(server.rack.readingAt);
         boolean shownFull = linkReadingRecent && linkUse(server) >= FULL_DELIVERY_FRACTION
@@ -955,8 +963,8 @@
         double floorKb = 0;
         double oneSessionOfEachClassKb = 0;
         for (double[] classRates : rateKb) oneSessionOfEachClassKb += classRates[0];
-        // Steps are counted by class and tenant, which have one worth factor, because sorting all sessions would make
-        // a decision too slow.
+        // Sessions of one class and tenant have the same worth factor. Their steps are counted together, because
+        // sorting all sessions would make a decision too slow.
         Map<Integer, int[]> countsByGroup = new TreeMap<>();
         for (Session session : sessions.values()) {
             if (session.server == null) continue;
@@ -1003,13 +1011,13 @@
             boolean noReading = rack.readingAt == NEVER;
             double quietMs = now - rack.evidenceAt - (noReading ? 0 : 2 * media.noteEveryMs());
             double decayFactor = rack.correction > USUAL_CORRECTION_RATIO ? FAST_DECAY_FACTOR : 1;
-            boolean untested = noReading
+            boolean useOverestimated = noReading
                     && quietMs > RAISE_WAIT_MS
                     && rack.hasOwnSessions()
-                    && uplinkUse(rack) > UNTESTED_UPLINK_FRACTION;
-            if (rack.correction > 1 && quietMs > SHORT_DELIVERY_VALID_MS || untested)
+                    && uplinkUse(rack) > OVERESTIMATED_USE_FRACTION;
+            if (rack.correction > 1 && quietMs > SHORT_DELIVERY_VALID_MS || useOverestimated)
                 rack.correction = Math.max(
-                        untested ? MIN_CORRECTION_RATIO : 1,
+                        useOverestimated ? MIN_CORRECTION_RATIO : 1,
                         rack.correction * (1 - CORRECTION_DECAY_PER_S * elapsedS * decayFactor));
         }
         for (Server server : servers.values()) {
@@ -1360,8 +1368,8 @@
     }
 
     /**
-     * Updates the factors on the worth of classes. The result counts the worst-served class once more, by a weight in
-     * the settings, so the steps of a class that is served less than the average weigh more.
+     * Updates the factors on the worth of classes. The score of the service counts the worst-served class once more, by
+     * a weight in the settings, so the steps of a class that is served less than the average weigh more.
      */
     private void updateClassBoosts(double elapsedS) {
         for (Session session : sessions.values()) {
@@ -1449,6 +1457,7 @@
         final ArrayDeque<Double> lostAttemptTimes = new ArrayDeque<>();
         final ArrayDeque<double[]> demandChanges = new ArrayDeque<>();
         Rack rack;
+        // Whether any list of servers has contained this server.
         boolean listed;
         boolean ready;
         int kind;
--- a/controller/src/test/java/calicovale/SessionControllerTest.java
+++ b/controller/src/test/java/calicovale/SessionControllerTest.java
@@ -38,9 +38,11 @@
         for (int i = 0; i < 8; i++) {
             harness.request("s" + i, 0, 0);
         }
-        long large =
+        long sessionsAtLargestLink =
                 harness.actions.lastServer.values().stream().filter(h -> h == 9).count();
-        assertTrue(large >= 5, large + " of 8 sessions at the server with three quarters of the link rate");
+        assertTrue(
+                sessionsAtLargestLink >= 5,
+                sessionsAtLargestLink + " of 8 sessions at the server with three quarters of the link rate");
     }
 
     @Test
@@ -68,9 +70,9 @@
         assertTrue(harness.actions.wasAttempted("c"), "the third session still fits under the cap");
         harness.controller.handle(harness.now, harness.newRequest("d", 0, 0));
         assertFalse(harness.actions.wasAttempted("d"));
-        String last = harness.actions.lines.get(harness.actions.lines.size() - 1);
-        double after = Double.parseDouble(last.substring(last.lastIndexOf(' ') + 1));
-        assertTrue(last.startsWith("refuse d") && after > 0 && after <= 1000, last);
+        String lastAction = harness.actions.lines.get(harness.actions.lines.size() - 1);
+        double retryAfterMs = Double.parseDouble(lastAction.substring(lastAction.lastIndexOf(' ') + 1));
+        assertTrue(lastAction.startsWith("refuse d") && retryAfterMs > 0 && retryAfterMs <= 1000, lastAction);
     }
 
     @Test
@@ -199,16 +201,16 @@
         harness.request("a", 0, 3).ended("a", Outcome.TIMEOUT);
         assertEquals(1, harness.actions.count("attempt", "a"), "the cell has no other server");
         assertEquals(1, harness.actions.count("fail", "a"), "the set-up may have run, so the answer is a failure");
-        ControllerHarness everywhere = new ControllerHarness();
-        everywhere.classes = List.of(ControllerHarness.effectClass(Effect.TOKEN, Group.ALL));
-        everywhere.start().addServers(3);
-        everywhere.request("a", 0, 3);
-        everywhere.now += 499;
-        everywhere.ended("a", Outcome.TIMEOUT);
-        assertEquals(2, everywhere.actions.count("attempt", "a"), "the token holds after 499 of 500 ms");
-        everywhere.now += 1;
-        everywhere.ended("a", Outcome.TIMEOUT);
-        assertEquals(2, everywhere.actions.count("attempt", "a"), "the token has expired after 500 ms");
+        ControllerHarness allServersHarness = new ControllerHarness();
+        allServersHarness.classes = List.of(ControllerHarness.effectClass(Effect.TOKEN, Group.ALL));
+        allServersHarness.start().addServers(3);
+        allServersHarness.request("a", 0, 3);
+        allServersHarness.now += 499;
+        allServersHarness.ended("a", Outcome.TIMEOUT);
+        assertEquals(2, allServersHarness.actions.count("attempt", "a"), "the token holds after 499 of 500 ms");
+        allServersHarness.now += 1;
+        allServersHarness.ended("a", Outcome.TIMEOUT);
+        assertEquals(2, allServersHarness.actions.count("attempt", "a"), "the token has expired after 500 ms");
     }
 
     // --- Rule 3: drains ---
@@ -253,15 +255,16 @@
     @Test
     void managersTogetherStayUnderAColdServersPaceInEveryWindow() {
         for (int controllers : new int[] {3, 250}) {
-            List<Double> sends = new ArrayList<>();
+            List<Double> attemptTimes = new ArrayList<>();
             for (int self = 0; self < controllers; self++) {
-                sends.addAll(attemptTimesAtColdServer(self, controllers));
+                attemptTimes.addAll(attemptTimesAtColdServer(self, controllers));
             }
             // 30 streams over 10 s at half pace, times 2: 3 set-ups per second are permitted.
-            assertTrue(sends.size() > 6, "the cold server is used");
-            for (double from : sends) {
-                long within =
-                        sends.stream().filter(t -> t >= from && t < from + 1000).count();
+            assertTrue(attemptTimes.size() > 6, "the cold server is used");
+            for (double from : attemptTimes) {
+                long within = attemptTimes.stream()
+                        .filter(t -> t >= from && t < from + 1000)
+                        .count();
                 assertTrue(within <= 3, within + " set-ups within a second, number of managers " + controllers);
             }
         }
@@ -344,7 +347,7 @@
     }
 
     private static List<Double> attemptTimesAtColdServer(int self, int controllers) {
-        List<Double> sends = new ArrayList<>();
+        List<Double> attemptTimes = new ArrayList<>();
         ControllerHarness harness = new ControllerHarness();
         harness.self = self;
         harness.controllers = controllers;
@@ -356,11 +359,11 @@
             harness.now += 10;
             harness.request("s" + i, 1, 0);
             if (harness.actions.wasAttempted("s" + i)) {
-                sends.add(harness.now);
+                attemptTimes.add(harness.now);
                 harness.started("s" + i).ended("s" + i, Outcome.OK);
             }
         }
-        return sends;
+        return attemptTimes;
     }
 
     @Test
--- a/controller/src/test/java/calicovale/SuspectedTest.java
+++ b/controller/src/test/java/calicovale/SuspectedTest.java
@@ -44,7 +44,7 @@
         SplittableRandom random = new SplittableRandom(20_261_201);
         List<String> pending = new ArrayList<>();
         List<String> playing = new ArrayList<>();
-        List<Integer> drawnFates = new ArrayList<>();
+        List<Integer> outcomeDraws = new ArrayList<>();
         int linesRead = 0;
         for (int step = 0; step < 6000; step++) {
             harness.now += 20;
@@ -55,18 +55,22 @@
                 String line = harness.actions.lines.get(linesRead);
                 if (line.startsWith("attempt ")) {
                     pending.add(line.split(" ")[1]);
-                    drawnFates.add(random.nextInt(100));
+                    outcomeDraws.add(random.nextInt(100));
                 }
             }
             while (!pending.isEmpty()) {
                 String id = pending.remove(0);
-                int fate = drawnFates.remove(0);
+                int outcomeDraw = outcomeDraws.remove(0);
                 long server = harness.actions.lastServer.get(id);
                 // Servers 1 and 2 fail often from step 1000 to step 3000.
-                boolean bad = server <= 2 && step > 1000 && step < 3000;
-                if (bad && fate < 70) {
-                    harness.ended(id, fate < 30 ? Outcome.TIMEOUT : fate < 50 ? Outcome.ERROR : Outcome.CONNECT_FAILED);
-                } else if (fate < 4) {
+                boolean failing = server <= 2 && step > 1000 && step < 3000;
+                if (failing && outcomeDraw < 70) {
+                    harness.ended(
+                            id,
+                            outcomeDraw < 30
+                                    ? Outcome.TIMEOUT
+                                    : outcomeDraw < 50 ? Outcome.ERROR : Outcome.CONNECT_FAILED);
+                } else if (outcomeDraw < 4) {
                     harness.ended(id, Outcome.FULL);
                 } else {
                     harness.started(id);
@@ -76,7 +80,7 @@
                     String line = harness.actions.lines.get(linesRead);
                     if (line.startsWith("attempt ")) {
                         pending.add(line.split(" ")[1]);
-                        drawnFates.add(random.nextInt(100));
+                        outcomeDraws.add(random.nextInt(100));
                     }
                 }
             }
@@ -131,14 +135,14 @@
      */
     private static int countAttemptsAt(
             ControllerHarness harness, long server, int requests, double everyMs, boolean works) {
-        int sent = 0;
+        int attemptsAtServer = 0;
         for (int i = 0; i < requests; i++) {
             harness.now += everyMs;
             String id = "s" + harness.now + "-" + i;
             harness.request(id, 1, 1);
             while (harness.actions.wasAttempted(id) && !harness.actions.wasRefused(id)) {
                 boolean atServer = harness.actions.lastServer.get(id) == server;
-                sent += atServer ? 1 : 0;
+                attemptsAtServer += atServer ? 1 : 0;
                 if (!atServer || works) {
                     harness.started(id);
                     harness.controller.handle(
@@ -156,22 +160,28 @@
                 harness.ended(id, Outcome.ERROR);
             }
         }
-        return sent;
+        return attemptsAtServer;
     }
 
     @Test
     void suspectedServerGetsOnlyTrialsInTurn() {
-        int before = countAttemptsAt(startHarness(), 4, 2400, 20, true);
+        int attemptsWithoutClaims = countAttemptsAt(startHarness(), 4, 2400, 20, true);
         ControllerHarness harness = startHarness();
         harness.controller.handle(harness.now, new Suspected(4, 1));
         int trials = countAttemptsAt(harness, 4, 2400, 20, true);
         // Each of four managers has turns of 4 s, so this one has three or four turns in 48 s.
-        assertTrue(before > 100 && trials >= 2 && trials <= 4, before + " before, " + trials + " trials");
+        assertTrue(
+                attemptsWithoutClaims > 100 && trials >= 2 && trials <= 4,
+                attemptsWithoutClaims + " attempts without claims, " + trials + " trials");
         harness.controller.handle(harness.now, new Suspected(4, 0.2));
-        int more = countAttemptsAt(harness, 4, 2400, 20, true);
-        assertTrue(more > 2 * trials && more < before, more + " trials while the claims are weak");
+        int attemptsUnderWeakClaims = countAttemptsAt(harness, 4, 2400, 20, true);
+        assertTrue(
+                attemptsUnderWeakClaims > 2 * trials && attemptsUnderWeakClaims < attemptsWithoutClaims,
+                attemptsUnderWeakClaims + " attempts while the claims are weak");
         harness.controller.handle(harness.now, new Suspected(4, 0));
-        assertTrue(countAttemptsAt(harness, 4, 2400, 20, true) > before / 2, "the server is used again without claims");
+        assertTrue(
+                countAttemptsAt(harness, 4, 2400, 20, true) > attemptsWithoutClaims / 2,
+                "the server is used again without claims");
     }
 
     @Test
--- a/host/src/main/java/calicovale/host/ControllerHost.java
+++ b/host/src/main/java/calicovale/host/ControllerHost.java
@@ -27,7 +27,7 @@
     /**
      * Creates and starts the controller.
      *
-     * @param clockMs the common clock, in ms
+     * @param clockMs the common clock of all session managers, in ms
      * @param monotonicNanos a monotonic clock in ns, used to measure how long decisions take
      * @param scheduler runs the controller's timers, on the thread that owns this host
      * @param settings the controller's settings
@@ -108,8 +108,8 @@
     /** Runs tasks after a delay. */
     @FunctionalInterface
     public interface Scheduler {
-        /** Runs {@code body} once, after {@code delayMs} ms. */
-        void schedule(double delayMs, Runnable body);
+        /** Runs {@code task} once, after {@code delayMs} ms. */
+        void schedule(double delayMs, Runnable task);
     }
 
     /** Carries out the controller's actions; see {@link Actions}. No method may block. */
--- a/host/src/main/java/calicovale/host/PlatformSettings.java
+++ b/host/src/main/java/calicovale/host/PlatformSettings.java
@@ -32,7 +32,7 @@
         double connectionIdleMs,
         int maxSessions) {
 
-    /** Reads all settings; {@code values} handles invalid values. */
+    /** Reads all settings; invalid values go to {@link KeyedValues#reportFault}. */
     public static PlatformSettings read(KeyedValues values) throws InvalidValueException {
         List<String> classNames = new ArrayList<>();
         for (int i = 0; i < values.nonNegativeInt("profiles.count", 0); i++) {
@@ -48,7 +48,7 @@
                 values.nonNegativeInt("limits.mostHeld", 0));
     }
 
-    /** Reads the settings of the session controller; {@code values} handles invalid values. */
+    /** Reads the settings of the session controller; invalid values go to {@link KeyedValues#reportFault}. */
     public static Settings readController(KeyedValues values) throws InvalidValueException {
         List<SessionClass> classes = readClasses(values);
         List<Tenant> tenants = new ArrayList<>();
