--- a/cli/src/main/java/calicovale/cli/CheckCommand.java
+++ b/cli/src/main/java/calicovale/cli/CheckCommand.java
@@ -21,8 +21,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code calicovale check}, which validates files against the schemas that their members
- * {@code schema} name.
+ * The command {@code calicovale check}, which validates each file against the schema that its member {@code schema}
+ * names.
  */
 @Command(
         name = "check",
--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -98,7 +98,7 @@
             throw e;
         }
         playerServer = new HttpServer(loop, name, playerLimits, manager::handle).crossOrigin(settings.crossOrigin());
-        manager.setWireCounts(() -> {
+        manager.setConnectionCounts(() -> {
             Map<String, Long> counts = new LinkedHashMap<>();
             counts.put("player-connections", (long) playerServer.openConnections());
             counts.put("player-connections-refused", playerServer.counters().connectionsRefused);
--- a/front/src/main/java/calicovale/front/box/BoxClient.java
+++ b/front/src/main/java/calicovale/front/box/BoxClient.java
@@ -58,9 +58,9 @@
          * Called when the event stream is connected.
          *
          * @param attemptKeys attempt keys of this manager's sessions at the box
-         * @param askedAtMs monotonic time, in ms, at which the request for the stream was sent
+         * @param requestedAtMs monotonic time, in ms, at which the request for the stream was sent
          */
-        void onHeld(BoxClient box, Set<String> attemptKeys, double askedAtMs);
+        void onHeld(BoxClient box, Set<String> attemptKeys, double requestedAtMs);
 
         /** Called when all sessions of this manager at the box are considered lost. */
         void onLost(BoxClient box, String reason);
@@ -127,8 +127,8 @@
                 counters,
                 new ReconnectingEventStream.Listener() {
                     @Override
-                    public void onEvent(String type, String data, double askedAtMs) {
-                        onStreamEvent(type, data, askedAtMs);
+                    public void onEvent(String type, String data, double requestedAtMs) {
+                        onStreamEvent(type, data, requestedAtMs);
                     }
 
                     @Override
@@ -314,7 +314,7 @@
         listener.onLost(this, reason);
     }
 
-    private void onStreamEvent(String type, String data, double askedAtMs) {
+    private void onStreamEvent(String type, String data, double requestedAtMs) {
         JsonNode event;
         try {
             event = Documents.MAPPER.readTree(data);
@@ -326,7 +326,7 @@
             case "hello" -> {
                 String newIncarnation = event.path("incarnation").asText();
                 if (incarnation != null && !incarnation.equals(newIncarnation)) {
-                    // the sessions of the previous process are lost as well: they are missing in the list of held ones
+                    // the sessions of the previous process are lost; the list of held sessions below lacks them
                     counters.increment("boxes-restarted");
                     client.closeIdleConnections(address);
                 }
@@ -335,7 +335,7 @@
                 eventStream.resetBackoff();
                 Set<String> keys = new HashSet<>();
                 event.path("held").forEach(key -> keys.add(key.asText()));
-                listener.onHeld(this, keys, askedAtMs);
+                listener.onHeld(this, keys, requestedAtMs);
             }
             case "note" ->
                 listener.onNote(
--- a/front/src/main/java/calicovale/front/directory/DirectoryClient.java
+++ b/front/src/main/java/calicovale/front/directory/DirectoryClient.java
@@ -105,7 +105,7 @@
                 counters,
                 new ReconnectingEventStream.Listener() {
                     @Override
-                    public void onEvent(String type, String data, double askedAtMs) {
+                    public void onEvent(String type, String data, double requestedAtMs) {
                         onStreamEvent(type, data);
                     }
 
--- a/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
+++ b/front/src/main/java/calicovale/front/ledger/SessionLedgerWriter.java
@@ -187,8 +187,8 @@
      * Writes everything pending as one batch, unless a write is in progress or neither a callback nor a note is due.
      */
     private void writePending() {
-        // after a failed write, whenWritten runs callbacks at once, so nothing is written before the
-        // retry sets aliveNoteDue
+        // after a failed write, whenWritten runs callbacks at once, so nothing is written before the retry sets
+        // aliveNoteDue
         if (writeInProgress || !aliveNoteDue && pendingCallbacks.isEmpty()) {
             return;
         }
--- a/front/src/main/java/calicovale/front/operators/ChangeService.java
+++ b/front/src/main/java/calicovale/front/operators/ChangeService.java
@@ -41,8 +41,8 @@
     /** Length of the log, in bytes, above which it is replaced by a snapshot. */
     private static final long SNAPSHOT_MIN_LOG_BYTES = 1 << 20;
     /**
-     * Delay, in ms, before a document of the watched folder is tried again that could not be written to disk. It is
-     * tried until it is written.
+     * Delay, in ms, after which a document of the watched folder that could not be written to disk is tried again. This
+     * is repeated until it is written.
      */
     private static final double RETRY_DELAY_MS = 200;
 
--- a/front/src/main/java/calicovale/front/peers/PeerGossip.java
+++ b/front/src/main/java/calicovale/front/peers/PeerGossip.java
@@ -53,13 +53,13 @@
         return node.start();
     }
 
-    /** Reports an event of the controller to the group as a success or a claim about the event's box, if it is one. */
+    /** Reports an event of the controller to the group as a success of, or a claim about, its box, if it is either. */
     private void reportEvent(Event event) {
-        if (event instanceof Started e) {
-            node.recordOutcome(e.server(), null);
-        } else if (event instanceof AttemptEnded e) {
+        if (event instanceof Started started) {
+            node.recordOutcome(started.server(), null);
+        } else if (event instanceof AttemptEnded ended) {
             Claim.Kind kind =
-                    switch (e.outcome()) {
+                    switch (ended.outcome()) {
                         case TIMEOUT -> Claim.Kind.TIMEOUT;
                         case RESET -> Claim.Kind.RESET;
                         case ERROR, CONNECT_FAILED -> Claim.Kind.FAILED;
@@ -67,12 +67,12 @@
                         case OK, FULL, CANCELLED, MOOT -> null;
                     };
             if (kind != null) {
-                node.recordOutcome(e.server(), kind);
+                node.recordOutcome(ended.server(), kind);
             }
-        } else if (event instanceof Note e
-                && e.kind() == NoteKind.DELIVERED_SHARE
-                && e.value() < settings.gossip().claims().shortDeliveryShare()) {
-            node.recordOutcome(e.server(), Claim.Kind.SHORT);
+        } else if (event instanceof Note note
+                && note.kind() == NoteKind.DELIVERED_SHARE
+                && note.value() < settings.gossip().claims().shortDeliveryShare()) {
+            node.recordOutcome(note.server(), Claim.Kind.SHORT);
         }
     }
 
--- a/front/src/main/java/calicovale/front/player/BoxEventHandler.java
+++ b/front/src/main/java/calicovale/front/player/BoxEventHandler.java
@@ -21,7 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds the links to boxes, and applies events from boxes and lists from the directory to the sessions that play there.
+ * Holds the clients of boxes, and applies events from boxes and lists from the directory to the sessions that play
+ * there.
  */
 final class BoxEventHandler implements BoxClient.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(BoxEventHandler.class);
@@ -113,9 +114,9 @@
     }
 
     @Override
-    public void onHeld(BoxClient box, Set<String> attemptKeys, double askedAtMs) {
+    public void onHeld(BoxClient box, Set<String> attemptKeys, double requestedAtMs) {
         for (Session session : new ArrayList<>(registry.playingByBox.getOrDefault(box, Set.of()))) {
-            if (!attemptKeys.contains(session.attemptKey()) && session.startedAtMs < askedAtMs) {
+            if (!attemptKeys.contains(session.attemptKey()) && session.startedAtMs < requestedAtMs) {
                 placer.loseSession(session, "the box no longer holds the session");
             }
         }
--- a/front/src/main/java/calicovale/front/player/PieceAvailability.java
+++ b/front/src/main/java/calicovale/front/player/PieceAvailability.java
@@ -122,9 +122,9 @@
                     lookup.state = State.MISSING;
                 }
             }
-            List<Runnable> all = lookup.listeners;
+            List<Runnable> listeners = lookup.listeners;
             lookup.listeners = new ArrayList<>(0);
-            all.forEach(Runnable::run);
+            listeners.forEach(Runnable::run);
         });
     }
 
--- a/front/src/main/java/calicovale/front/player/PieceSetUps.java
+++ b/front/src/main/java/calicovale/front/player/PieceSetUps.java
@@ -47,7 +47,7 @@
 
     @Override
     public Session setUpPiece(Session lectureSession, String title, Holders holders, Runnable stateListener) {
-        if (registry.limitReached() != null) {
+        if (registry.reachedLimitCounter() != null) {
             counters.increment("piece-set-ups-held");
             return null;
         }
--- a/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
+++ b/front/src/main/java/calicovale/front/player/PlayerSessionManager.java
@@ -41,7 +41,7 @@
     private final PlaylistRequests playlistRequests;
     private final ProgrammeChanges programmeChanges;
     private final BoxEventHandler boxEvents;
-    private Supplier<Map<String, Long>> wireCounts = Map::of;
+    private Supplier<Map<String, Long>> connectionCounts = Map::of;
 
     /**
      * Creates the manager's session handling and takes over what the ledger recovered.
@@ -104,9 +104,9 @@
         return host;
     }
 
-    /** Sets the source of connection counters that {@code /v1/status} lists after the sessions' counters. */
-    public void setWireCounts(Supplier<Map<String, Long>> counts) {
-        wireCounts = counts;
+    /** Sets the source of the counters of connections that {@code /v1/status} lists after those of sessions. */
+    public void setConnectionCounts(Supplier<Map<String, Long>> counts) {
+        connectionCounts = counts;
     }
 
     /** Returns the number of sessions held, in any state. */
@@ -208,7 +208,7 @@
             exchange.problem(400, "Bad Request", "tenant: unknown");
             return;
         }
-        String limitCounter = registry.limitReached();
+        String limitCounter = registry.reachedLimitCounter();
         if (limitCounter != null) {
             counters.increment(limitCounter);
             responses.refuse(exchange, null, settings.controller().limits().retryAfterMs());
@@ -240,7 +240,7 @@
         root.put("sessions", registry.byToken.size()).put("pending", registry.pendingRequests);
         ObjectNode counts = root.putObject("counters");
         counters.snapshot().forEach(counts::put);
-        wireCounts.get().forEach(counts::put);
+        connectionCounts.get().forEach(counts::put);
         exchange.respond(200, "application/json", root.toString());
     }
 
@@ -254,7 +254,7 @@
      * of that pass in ms.
      */
     public double[] lastChangePass() {
-        return new double[] {programmeChanges.completedPassVersion(), programmeChanges.lastPassMs()};
+        return new double[] {programmeChanges.completedPassVersion(), programmeChanges.lastPassDurationMs()};
     }
 
     /** Returns, as JSON, how many sessions were shown a change, wait for it, left it out, or had it cut short. */
@@ -290,6 +290,7 @@
 
     /** Releases all playing sessions at their boxes, because they end with their manager. */
     public void releaseAllSessions() {
-        registry.playingByBox.forEach((box, there) -> there.forEach(session -> box.release(session.attemptKey())));
+        registry.playingByBox.forEach(
+                (box, sessions) -> sessions.forEach(session -> box.release(session.attemptKey())));
     }
 }
--- a/front/src/main/java/calicovale/front/player/PlaylistRequests.java
+++ b/front/src/main/java/calicovale/front/player/PlaylistRequests.java
@@ -108,7 +108,7 @@
         if (session.state == Session.State.PLAYING) {
             SourcePlaylist lecture = sourceCache.get(session.title, session.rung);
             if (lecture == null && mayFetch) {
-                // this exchange fetches once only: after a failure it gets what can be sent without
+                // fetched once only for this exchange; after a failure the playlist is sent without new segments
                 sourceCache.fetch(session.box, session.title, session.rung, () -> {
                     if (!exchange.clientClosed()) {
                         sendPlaylist(session, exchange, false);
--- a/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
+++ b/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
@@ -68,11 +68,11 @@
         /** Changes that may still be shown in this session. */
         private List<Change> candidates = List.of();
         /** Ids of changes already logged for this session as waiting or left out. */
-        private Set<String> reportedChanges = Set.of();
-        /** Segment before which no piece is put because its piece was not available in time; -1 if none. */
+        private Set<String> reportedChangeIds = Set.of();
+        /** Segment before which no piece is put, because the one due there was not available in time; -1 if none. */
         private int skippedBoundary = -1;
         /** Id of a change whose showing is recorded but not begun; null if none. */
-        private String recordedChange;
+        private String recordedChangeId;
         /** Whether that record is on disk. */
         private boolean recordedChangeDurable;
         /** Set-ups of pieces at other boxes, by change id. */
@@ -115,7 +115,7 @@
     private final Map<String, ChangeCounts> countsByChange = new HashMap<>();
     private long requestedPassVersion = -1;
     private long completedPassVersion = -1;
-    private double lastPassMs;
+    private double lastPassDurationMs;
     private double passStartedAtMs;
 
     /** Creates the handler; {@code commonTimeMs} returns the common clock's time in ms. */
@@ -206,6 +206,7 @@
         }
     }
 
+    /** Updates the candidates of the next sessions of a pass and schedules the rest for the next turn of the loop. */
     private void runPass(Iterator<Session> remaining, long passVersion) {
         for (int count = 0; count < settings.bounds().plansPerTurn() && remaining.hasNext(); count++) {
             Session session = remaining.next();
@@ -221,7 +222,7 @@
             runPass(List.copyOf(sessionOperations.allSessions()).iterator(), requestedPassVersion);
         } else {
             completedPassVersion = passVersion;
-            lastPassMs = nowMs() - passStartedAtMs;
+            lastPassDurationMs = nowMs() - passStartedAtMs;
             counters.increment("changes-passes");
         }
     }
@@ -232,8 +233,8 @@
     }
 
     /** Returns the duration of the last complete pass over all sessions, in ms. */
-    double lastPassMs() {
-        return lastPassMs;
+    double lastPassDurationMs() {
+        return lastPassDurationMs;
     }
 
     /** Looks up the pieces that are due soon and requests set-ups for those that the session's box lacks. */
@@ -267,7 +268,7 @@
     /** Returns the stitcher that selects the pieces put between the segments of a session's lecture. */
     StitchedPiece.Stitcher stitcher(Session session) {
         if (activeChanges.isEmpty()
-                && session.programmeState.recordedChange == null
+                && session.programmeState.recordedChangeId == null
                 && !session.playlist.hasStitchedPieces()) {
             return StitchedPiece.Stitcher.NONE;
         }
@@ -293,10 +294,10 @@
     private StitchedPiece pieceBefore(Session session, int segment, double boundaryS, double boundaryMs) {
         ProgrammeState state = session.programmeState;
         updateCandidates(session);
-        if (state.skippedBoundary == segment || state.candidates.isEmpty() && state.recordedChange == null) {
+        if (state.skippedBoundary == segment || state.candidates.isEmpty() && state.recordedChangeId == null) {
             return null;
         }
-        if (state.recordedChange != null) {
+        if (state.recordedChangeId != null) {
             return state.recordedChangeDurable ? beginPiece(session, segment) : StitchedPiece.WAIT;
         }
         while (true) {
@@ -348,7 +349,7 @@
     /** Records a showing before the player gets it, so that after a crash in between the change counts as shown. */
     private void recordShowing(Session session, Change change, ActiveChanges.SessionFacts facts) {
         ProgrammeState state = session.programmeState;
-        state.recordedChange = change.id();
+        state.recordedChangeId = change.id();
         state.recordedChangeDurable = !ledger.isEnabled();
         List<String> keys = activeChanges.recordShowing(change, facts);
         ledger.recordShowings(change.id(), keys);
@@ -358,7 +359,7 @@
                 .forEach(key -> state.showings.add(new Showing(change.id(), key)));
         if (ledger.isEnabled()) {
             ledger.whenWritten(() -> {
-                if (change.id().equals(state.recordedChange)) {
+                if (change.id().equals(state.recordedChangeId)) {
                     state.recordedChangeDurable = true;
                     runWaitingCallbacks(session);
                 }
@@ -371,10 +372,10 @@
      */
     private StitchedPiece beginPiece(Session session, int segment) {
         ProgrammeState state = session.programmeState;
-        Change change = activeChanges.get(state.recordedChange);
+        Change change = activeChanges.get(state.recordedChangeId);
         if (change == null) {
             // withdrawn while its showing was being written
-            state.recordedChange = null;
+            state.recordedChangeId = null;
             return null;
         }
         StitchedPiece piece = resolvePiece(session, change, segment);
@@ -382,7 +383,7 @@
             state.skippedBoundary = segment;
             return null;
         }
-        state.recordedChange = null;
+        state.recordedChangeId = null;
         state.candidates = state.candidates.stream()
                 .filter(candidate -> candidate != change)
                 .toList();
@@ -397,9 +398,9 @@
 
     /** Logs and counts, once per session and change, that a change waits or is left out. */
     private void reportOnce(Session session, String changeId, String counter, String message) {
-        if (!session.programmeState.reportedChanges.contains(changeId)) {
-            session.programmeState.reportedChanges = new HashSet<>(session.programmeState.reportedChanges);
-            session.programmeState.reportedChanges.add(changeId);
+        if (!session.programmeState.reportedChangeIds.contains(changeId)) {
+            session.programmeState.reportedChangeIds = new HashSet<>(session.programmeState.reportedChangeIds);
+            session.programmeState.reportedChangeIds.add(changeId);
             counters.increment(counter);
             ChangeCounts counts = changeCounts(changeId);
             if (counter.equals("changes-left-out")) {
@@ -571,7 +572,7 @@
                     && session.playlist.listsPiece(changeId);
             session.programmeState.pieceSetUps.remove(changeId);
             if (listed) {
-                // its box was lost or ended it: the rest of the piece is dropped and the lecture continues
+                // its box was lost or ended it, so the rest of the piece is dropped and the lecture continues
                 counters.increment("pieces-lost");
                 session.playlist.dropPiece(session.lecture, changeId, nowMs());
             }
@@ -584,7 +585,7 @@
         if (!state.pieceSetUps.isEmpty()) {
             for (Map.Entry<String, Session> entry : new ArrayList<>(state.pieceSetUps.entrySet())) {
                 boolean stillDue = state.candidates.stream().anyMatch(c -> c.id().equals(entry.getKey()))
-                        || entry.getKey().equals(state.recordedChange);
+                        || entry.getKey().equals(state.recordedChangeId);
                 if (!stillDue && !session.playlist.listsPiece(entry.getKey())) {
                     state.pieceSetUps.remove(entry.getKey());
                     sessionOperations.releasePiece(entry.getValue());
@@ -633,7 +634,7 @@
         setUps.forEach(sessionOperations::releasePiece);
     }
 
-    /** Drops what is known of the pieces at a box that was lost. */
+    /** Drops the cached answers of a box that was lost on which pieces it has. */
     void onBoxLost(BoxClient box) {
         pieceAvailability.onBoxLost(box);
     }
@@ -642,7 +643,7 @@
 
     /**
      * Calls {@code body} once the piece or the record that a session's playlist waits for is available. After a timeout
-     * it is called without, and the boundary is skipped.
+     * {@code body} is called all the same, and no piece is put in at the boundary.
      */
     void whenReady(Session session, Runnable body) {
         ProgrammeState state = session.programmeState;
--- a/front/src/main/java/calicovale/front/player/Session.java
+++ b/front/src/main/java/calicovale/front/player/Session.java
@@ -21,7 +21,7 @@
         PLACING,
         /** A box serves it. */
         PLAYING,
-        /** It has no box: the placement failed, or its box or its place there was lost. */
+        /** It has no box, because the placement failed, its box was lost, or the box no longer holds it. */
         LOST,
         /** Its box ended it. */
         ENDED
@@ -54,7 +54,7 @@
     boolean forPiece;
     /** Session into whose playlist the piece is stitched; null unless this is the set-up of a piece. */
     Session lectureSession;
-    /** Cells that hold its title; null: those of the settings. */
+    /** Cells that hold its title; null for those that the settings name. */
     FrontSettings.Holders holders;
     /** Runs after each state change; used by set-ups of pieces. */
     Runnable stateListener = () -> {};
--- a/front/src/main/java/calicovale/front/player/SessionRegistry.java
+++ b/front/src/main/java/calicovale/front/player/SessionRegistry.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns the name of the counter for the limit that forbids another request now; null if none does. */
-    String limitReached() {
+    String reachedLimitCounter() {
         return draining
                 ? "refused-draining"
                 : pendingRequests >= settings.bounds().pending()
--- a/front/src/main/java/calicovale/front/player/ShownChangesCookie.java
+++ b/front/src/main/java/calicovale/front/player/ShownChangesCookie.java
@@ -27,7 +27,7 @@
      * Upper bound of the value of an accepted cookie, in characters; browsers keep at least 4096 bytes (RFC 6265, 6.1).
      */
     private static final int MAX_COOKIE_CHARS = 4096;
-    /** Upper bound of showings in a cookie, the last ones; 12 with the longest names take about 3 kB. */
+    /** Number of showings that a cookie keeps at most, the last ones; 12 with the longest names take about 3 kB. */
     private static final int MAX_SHOWINGS = 12;
 
     /** Lifetime of the cookie, in seconds. */
--- a/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
+++ b/front/src/main/java/calicovale/front/playlist/SessionPlaylist.java
@@ -10,9 +10,9 @@
  * plays and removed at the front; a listed segment is never altered. A change of rung, box or programme begins a new
  * run, which players see as a discontinuity.
  *
- * <p>The pieces put into a session form its piece list. They relate the lecture's time to the programme's time and
- * keep their boundary, so that a piece that was listed and then lost with its box is listed again when the lecture
- * reaches that boundary again.
+ * <p>The pieces put into a session form its piece list, in the order of the lecture. It is used to find the position in
+ * the lecture that plays at a given time. Each piece keeps its boundary, so that a piece that was listed and then lost
+ * with its box is listed again when the lecture reaches that boundary again.
  */
 public final class SessionPlaylist {
 
@@ -89,7 +89,7 @@
     private StitchedPiece currentPiece;
     /** The current piece's segment that is added next. */
     private int nextPieceSegment;
-    /** Segment at which the next piece begins, because the ones before were listed until its box was lost. */
+    /** Segment at which the next piece begins; above 0 if those before were listed when its box was lost. */
     private int resumePieceSegment;
     /** Highest media sequence number that a box reported as delivered since the last interruption; -1 if none. */
     private long lastServedSequence = -1;
@@ -400,7 +400,7 @@
         return true;
     }
 
-    /** Begins a piece at the current boundary; {@code piece} is null if one of the list is not available any more. */
+    /** Begins a piece at the current boundary; {@code piece} is null if one of the piece list is unavailable now. */
     private void beginPiece(SourcePlaylist source, StitchedPiece piece, boolean alreadyStitched) {
         if (piece == null) {
             // it was withdrawn, or no box that this session can use has it
--- a/front/src/main/java/calicovale/front/stream/ReconnectingEventStream.java
+++ b/front/src/main/java/calicovale/front/stream/ReconnectingEventStream.java
@@ -26,9 +26,9 @@
         /**
          * Called for each event.
          *
-         * @param askedAtMs monotonic time, in ms, at which the request for the present connection's stream was sent
+         * @param requestedAtMs monotonic time, in ms, at which the request for the present connection's stream was sent
          */
-        void onEvent(String type, String data, double askedAtMs);
+        void onEvent(String type, String data, double requestedAtMs);
 
         /**
          * Called when the stream has ended or could not be opened; another attempt follows.
@@ -37,7 +37,7 @@
          */
         void onDisconnected(Failure failure);
 
-        /** Called while the stream is started, every third of the silence timeout, connected or not. */
+        /** Called at intervals of a third of the silence timeout while the stream is started, connected or not. */
         default void onPeriodicCheck() {}
     }
 
@@ -145,12 +145,12 @@
     }
 
     private void connect() {
-        double askedAtMs = nowMs();
-        lastByteAtMs = askedAtMs;
+        double requestedAtMs = nowMs();
+        lastByteAtMs = requestedAtMs;
         HttpClient.Call[] thisCall = new HttpClient.Call[1];
         EventStream parser = new EventStream(maxEventBytes, (type, data) -> {
             if (currentCall == thisCall[0]) {
-                listener.onEvent(type, data, askedAtMs);
+                listener.onEvent(type, data, requestedAtMs);
             }
         });
         thisCall[0] = currentCall = client.stream(
--- a/front/src/test/java/calicovale/front/SessionPlaylistTest.java
+++ b/front/src/test/java/calicovale/front/SessionPlaylistTest.java
@@ -106,11 +106,12 @@
         SourcePlaylist source = source(10);
         SourcePlaylist pieceSource = source(3);
         SessionPlaylist playlist = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
-        StitchedPiece.Stitcher before2 = (n, s, ms) ->
+        StitchedPiece.Stitcher stormBeforeSegment2 = (n, s, ms) ->
                 n == 2 && ms == 4000 ? new StitchedPiece("storm", 1, "http://a/p/1/", pieceSource, 2, 2, null) : null;
         List<String> listedUris = new ArrayList<>();
         for (double nowMs = 0; nowMs < 12_000; nowMs += 1000) {
-            playlist.extend(source, 3, "http://a/3/", nowMs, nowMs < 1500 ? before2 : StitchedPiece.Stitcher.NONE);
+            playlist.extend(
+                    source, 3, "http://a/3/", nowMs, nowMs < 1500 ? stormBeforeSegment2 : StitchedPiece.Stitcher.NONE);
             uris(playlist.render()).stream()
                     .filter(u -> !listedUris.contains(u))
                     .forEach(listedUris::add);
@@ -134,8 +135,8 @@
         assertTrue(afterPiece.has("EXT-X-DISCONTINUITY") && afterPiece.has("EXT-X-MAP"));
         // the box is lost during the piece: the lecture continues at the segment before which the piece was put
         SessionPlaylist interrupted = new SessionPlaylist(SHAPE, 0, START_DATE_MS);
-        interrupted.extend(source, 3, "http://a/3/", 0, before2);
-        interrupted.extend(source, 3, "http://a/3/", 3000, before2);
+        interrupted.extend(source, 3, "http://a/3/", 0, stormBeforeSegment2);
+        interrupted.extend(source, 3, "http://a/3/", 3000, stormBeforeSegment2);
         interrupted.resume(source, 5000, 9000);
         interrupted.extend(source, 3, "http://b/3/", 9000);
         List<String> urisAfterLoss = uris(interrupted.render());
@@ -183,8 +184,8 @@
     }
 
     /**
-     * Guards against altering a listed segment or its discontinuity number, over random rungs, losses,
-     * pieces and times.
+     * Guards against altering a listed segment or its discontinuity number, over random rungs, losses, pieces and
+     * times.
      */
     @Test
     void listedSegmentsAreNeverAltered() throws HlsException {
--- a/front/src/test/java/calicovale/front/player/ShownChangesCookieTest.java
+++ b/front/src/test/java/calicovale/front/player/ShownChangesCookieTest.java
@@ -50,8 +50,8 @@
         for (int i = 0; i < 50; i++) {
             many.add(new Showing("c".repeat(97) + (100 + i), "v ann"));
         }
-        String set = cookie.toSetCookie("ann", many);
-        assertTrue(pair(set).length() <= 4096, pair(set).length() + " characters");
-        assertEquals(many.subList(38, 50), cookie.read("ann", List.of(pair(set))));
+        String setCookie = cookie.toSetCookie("ann", many);
+        assertTrue(pair(setCookie).length() <= 4096, pair(setCookie).length() + " characters");
+        assertEquals(many.subList(38, 50), cookie.read("ann", List.of(pair(setCookie))));
     }
 }
--- a/standin/src/main/java/calicovale/standin/BoxContent.java
+++ b/standin/src/main/java/calicovale/standin/BoxContent.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 
 /**
- * Content of a stand-in box. Either generated from its settings, or files of a folder, which are read at each request.
+ * Content of a stand-in box, either generated from its settings or read from the files of a folder at each request.
  */
 final class BoxContent {
     private final BoxSettings settings;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Returns the number of a generated segment from its file name; -1 for the initialization section, -2 for
-     * no such file.
+     * Returns the number of a generated segment from its file name; -1 for the initialization section, -2 for no such
+     * file.
      */
     private int segmentNumber(String title, String file) {
         if (file.equals("init.mp4")) {
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns the bytes of a file, or null if there is none. A generated segment has the size
-     * for {@code rateKb}, in kB/s.
+     * Returns the bytes of a file, or null if there is none. A generated segment has the size that {@code rateKb}, in
+     * kB/s, gives for its duration.
      */
     byte[] bytes(String title, int rung, String file, double rateKb) throws IOException {
         if (!holds(title)) {
--- a/standin/src/main/java/calicovale/standin/BoxModel.java
+++ b/standin/src/main/java/calicovale/standin/BoxModel.java
@@ -49,7 +49,7 @@
     private final double startedMs;
     private final Map<String, BoxSession> sessionsByKey = new LinkedHashMap<>();
     private final Map<String, BoxSession> sessionsByToken = new LinkedHashMap<>();
-    private final ArrayDeque<Double> coldSetUpTimes = new ArrayDeque<>();
+    private final ArrayDeque<Double> coldSetUpTimesMs = new ArrayDeque<>();
     private double linkDivisor = 1;
     private double demandKb;
 
@@ -88,12 +88,12 @@
         if (!isCold(nowMs)) {
             return true;
         }
-        coldSetUpTimes.addLast(nowMs);
-        while (coldSetUpTimes.peekFirst() < nowMs - settings.tipMs()) {
-            coldSetUpTimes.removeFirst();
+        coldSetUpTimesMs.addLast(nowMs);
+        while (coldSetUpTimesMs.peekFirst() < nowMs - settings.tipMs()) {
+            coldSetUpTimesMs.removeFirst();
         }
         // one set-up more than the rate allows, because arrivals vary by chance
-        return coldSetUpTimes.size() <= settings.tipMultiple() * sustainedSetUpsPerMs(nowMs) * settings.tipMs() + 1;
+        return coldSetUpTimesMs.size() <= settings.tipMultiple() * sustainedSetUpsPerMs(nowMs) * settings.tipMs() + 1;
     }
 
     /** Returns whether set-ups are refused now. */
--- a/standin/src/main/java/calicovale/standin/BoxSettings.java
+++ b/standin/src/main/java/calicovale/standin/BoxSettings.java
@@ -29,7 +29,7 @@
  * @param reportEveryMs interval at which the load in response headers is refreshed, in ms
  * @param noteEveryMs interval between notes of the link's ratio of demand to capacity, in ms
  * @param noteDelayMs delay of notes, in ms
- * @param uplinkNotes whether notes of that ratio of the rack's uplink are sent too
+ * @param uplinkNotes whether notes of the ratio of demand to capacity of the rack's uplink are sent too
  * @param segmentS duration of a generated segment, in seconds
  * @param segments number of segments of a generated lecture
  * @param idleMs time without a segment request or transfer after which a session ends, in ms
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -45,7 +45,7 @@
     private static final double SERVED_EVENT_INTERVAL_MS = 250;
     /** Interval between checks for sessions that end, in ms. */
     private static final double EXPIRY_CHECK_INTERVAL_MS = 200;
-    /** Interval between notes of the delivered share, in ms. */
+    /** Interval between checks whether a note of the delivered share is due, in ms. */
     private static final double SHARE_NOTE_INTERVAL_MS = 1000;
     /** Maximum number of load reports kept for delayed reporting. */
     private static final int MAX_LOAD_REPORTS = 100;
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Starts the process, on the same port as before after a crash. Does nothing if it is running or
-     * crashed by overload.
+     * Starts the process, on the same port as before after a crash. Does nothing if it is running or crashed by
+     * overload.
      *
      * @param cold whether the box has to warm up
      * @return the address that the box listens on
@@ -634,12 +634,12 @@
             if (faults.silentEventStreams || faults.hang) {
                 return;
             }
-            servedPaths.forEach((manager, last) -> {
+            servedPaths.forEach((manager, paths) -> {
                 BodyStream stream = streams.get(manager);
                 if (stream != null) {
                     ObjectNode message = Documents.MAPPER.createObjectNode();
                     ObjectNode pathsBySession = message.putObject("last");
-                    last.forEach(pathsBySession::put);
+                    paths.forEach(pathsBySession::put);
                     stream.write(EventStream.event("served", message.toString()));
                 }
             });
@@ -665,6 +665,7 @@
             }
         }
 
+        /** Sends a note of the delivered share if it is noticeably below 1. */
         private void sendShareNote() {
             double share = model.rateShare();
             if (share < 0.98) {
@@ -673,8 +674,8 @@
         }
 
         /**
-         * Sends a note to each manager with confirmed sessions, after a delay. A note names the
-         * manager's oldest session.
+         * Sends a note to each manager with confirmed sessions, after a delay. A note names the manager's oldest
+         * session.
          */
         private void sendNote(String kind, double value) {
             Map<String, String> oldestSessions = new LinkedHashMap<>();
--- a/stitch/src/main/java/calicovale/stitch/ActiveChanges.java
+++ b/stitch/src/main/java/calicovale/stitch/ActiveChanges.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Returns a version that increases when a change is added, withdrawn or expires. Older candidate lists
-     * are then stale.
+     * Returns a version that increases when a change is added, withdrawn or expires. Older candidate lists are then
+     * stale.
      */
     public long version() {
         return version;
@@ -153,13 +153,13 @@
 
     /** Returns whether a change was shown to this session, or to its viewer if the change is shown once per viewer. */
     public boolean wasShown(Change change, SessionFacts session) {
-        Set<String> keysShownTo = showingKeysByChange.get(change.id());
-        if (keysShownTo == null) {
+        Set<String> shownKeys = showingKeysByChange.get(change.id());
+        if (shownKeys == null) {
             return false;
         }
         for (String key : showingKeys(change, session)) {
             // a viewer that restarts a lecture instead of continuing it counts as another session
-            if (keysShownTo.contains(key) && (session.returning() || !key.startsWith("r "))) {
+            if (shownKeys.contains(key) && (session.returning() || !key.startsWith("r "))) {
                 return true;
             }
         }
--- a/stitch/src/main/java/calicovale/stitch/ChangeStore.java
+++ b/stitch/src/main/java/calicovale/stitch/ChangeStore.java
@@ -16,7 +16,7 @@
 public final class ChangeStore implements AutoCloseable {
     private final RecordLog log;
     private final RecordLog.Recovery recovery;
-    private final long snapshotBytes;
+    private final long snapshotMinLogBytes;
     private final Map<String, String> documents = new LinkedHashMap<>();
     /** Names of the watched files from which documents were read, by document id. */
     private final Map<String, String> sourceFiles = new LinkedHashMap<>();
@@ -24,14 +24,14 @@
     /**
      * Opens or creates the store in a folder.
      *
-     * @param snapshotBytes length of the log, in bytes, above which it is replaced by a snapshot
+     * @param snapshotMinLogBytes length of the log, in bytes, above which it is replaced by a snapshot
      * @throws IOException if the files cannot be read or are damaged
      */
-    public ChangeStore(Path folder, long snapshotBytes) throws IOException {
+    public ChangeStore(Path folder, long snapshotMinLogBytes) throws IOException {
         RecordLog.Opened opened = RecordLog.open(folder, "changes");
         log = opened.log();
         recovery = opened.recovery();
-        this.snapshotBytes = snapshotBytes;
+        this.snapshotMinLogBytes = snapshotMinLogBytes;
         for (String record : recovery.records()) {
             JsonNode node = Documents.MAPPER.readTree(record);
             if (node.has("withdraw")) {
@@ -97,7 +97,7 @@
     }
 
     private void replaceLongLog() throws IOException {
-        if (log.length() > snapshotBytes) {
+        if (log.length() > snapshotMinLogBytes) {
             List<String> records = new ArrayList<>();
             documents.forEach((id, json) -> records.add(addRecord(json, sourceFiles.get(id))));
             log.snapshot(records);
--- a/stitch/src/main/java/calicovale/stitch/SessionLedger.java
+++ b/stitch/src/main/java/calicovale/stitch/SessionLedger.java
@@ -23,7 +23,7 @@
 public final class SessionLedger implements AutoCloseable {
 
     /**
-     * State of one session, up to which its playlist may have been delivered.
+     * Recorded state of one session, which bounds how far its playlist may have been delivered.
      *
      * @param token secret part of the session's URL
      * @param sessionClass name of the session's class
@@ -74,12 +74,12 @@
     public record Update(
             Collection<Entry> entries, Collection<String> endedTokens, Collection<Showing> showings, double aliveMs) {}
 
-    /** Minimum length of the log per session, in bytes, to replace it; about twice a session's size in a snapshot. */
+    /** Minimum length of the log to replace it, in bytes per session; about twice a session's size in a snapshot. */
     private static final long SNAPSHOT_BYTES_PER_SESSION = 400L;
 
     private final RecordLog log;
     private final RecordLog.Recovery recovery;
-    private final long snapshotBytes;
+    private final long snapshotMinLogBytes;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, Set<String>> showings = new LinkedHashMap<>();
     private double aliveMs;
@@ -87,15 +87,15 @@
     /**
      * Opens or creates the ledger in a folder.
      *
-     * @param snapshotBytes minimum length of the log, in bytes, to replace it by a snapshot. It must also be longer
-     *     than twice the estimated size of a snapshot.
+     * @param snapshotMinLogBytes minimum length of the log, in bytes, to replace it by a snapshot. It must also be
+     *     longer than twice the estimated size of a snapshot.
      * @throws IOException if the files cannot be read or are damaged
      */
-    public SessionLedger(Path folder, long snapshotBytes) throws IOException {
+    public SessionLedger(Path folder, long snapshotMinLogBytes) throws IOException {
         RecordLog.Opened opened = RecordLog.open(folder, "sessions");
         log = opened.log();
         recovery = opened.recovery();
-        this.snapshotBytes = snapshotBytes;
+        this.snapshotMinLogBytes = snapshotMinLogBytes;
         for (String record : recovery.records()) {
             applyRecord(Documents.MAPPER.readTree(record));
         }
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Returns the last time on the common clock, in ms, at which the process that wrote the ledger is known
-     * to have run.
+     * Returns the last time on the common clock, in ms, at which the process that wrote the ledger is known to have
+     * run; 0 if none is recorded.
      */
     public double aliveMs() {
         return aliveMs;
@@ -166,7 +166,7 @@
         update.entries().forEach(e -> entries.put(e.token(), e));
         entries.keySet().removeAll(update.endedTokens());
         update.showings().forEach(this::addShowing);
-        if (log.length() > Math.max(snapshotBytes, SNAPSHOT_BYTES_PER_SESSION * entries.size())) {
+        if (log.length() > Math.max(snapshotMinLogBytes, SNAPSHOT_BYTES_PER_SESSION * entries.size())) {
             showings.keySet().retainAll(activeChanges);
             log.snapshot(records(new Update(entries.values(), List.of(), showings(), aliveMs)));
         }
