--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -37,7 +37,7 @@
  */
 public final class FrontProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FrontProcess.class);
-    /** Time in which the last answers and messages to boxes are sent at a shutdown, in ms. */
+    /** Time in which the last responses and messages to boxes are sent at a shutdown, in ms. */
     private static final double LAST_MESSAGES_MS = 200;
 
     private final EventLoop loop;
@@ -284,7 +284,7 @@
             manager.drain(() -> {
                 manager.releaseAllSessions();
                 playerServer.drain();
-                // the last answers and messages to boxes are sent in the following turns of the loop
+                // the last responses and messages to boxes are sent in the following turns of the loop
                 loop.schedule(LAST_MESSAGES_MS, () -> drained.complete(null));
             });
         });
--- a/front/src/main/java/calicovale/front/box/BoxClient.java
+++ b/front/src/main/java/calicovale/front/box/BoxClient.java
@@ -74,7 +74,7 @@
         /** The box answered with another status; {@code load} is the load reported with it, or empty. */
         void answered(int status, Map<String, Double> load);
 
-        /** There was no answer, or a malformed one. */
+        /** There was no response, or a malformed one. */
         void failed(Failure failure);
     }
 
@@ -205,16 +205,16 @@
                         return;
                     }
                     try {
-                        JsonNode answer = Documents.MAPPER.readTree(content);
-                        String base = answer.path("base").asText("");
+                        JsonNode response = Documents.MAPPER.readTree(content);
+                        String base = response.path("base").asText("");
                         if (!base.matches("/s/[A-Za-z0-9._~-]+/")) {
-                            throw new IllegalArgumentException("the answer has no valid base");
+                            throw new IllegalArgumentException("the response has no valid base");
                         }
                         setUpListener.started(
                                 "http://" + address.getHostString() + ":" + address.getPort() + base, head);
                     } catch (java.io.IOException | IllegalArgumentException e) {
                         counters.increment("box-answers-malformed");
-                        LOG.warn("box {} sent a malformed answer to a set-up; the set-up is released", id);
+                        LOG.warn("box {} sent a malformed response to a set-up; the set-up is released", id);
                         release(key);
                         setUpListener.failed(Failure.MALFORMED);
                     }
--- a/front/src/main/java/calicovale/front/player/PlayerResponses.java
+++ b/front/src/main/java/calicovale/front/player/PlayerResponses.java
@@ -6,7 +6,7 @@
 import calicovale.protocols.http.Headers;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the headers and bodies of answers to players. */
+/** Writes the headers and bodies of responses to players. */
 final class PlayerResponses {
     /** Media type of HLS playlists (RFC 8216, 10). */
     static final String HLS_CONTENT_TYPE = "application/vnd.apple.mpegurl";
@@ -19,12 +19,12 @@
         this.counters = counters;
     }
 
-    /** Returns headers with the request id, so that answers can be matched with logs; none if the id is null. */
+    /** Returns headers with the request id, so that responses can be matched with logs; none if the id is null. */
     static Headers sessionHeaders(String requestId) {
         return requestId == null ? new Headers() : new Headers().add("Calicovale-Session", requestId);
     }
 
-    /** Answers 503 with a Retry-After to a request that is refused; returns whether the answer could be written. */
+    /** Answers 503 with a Retry-After to a request that is refused; returns whether the response could be written. */
     boolean refuse(Exchange exchange, String requestId, double retryAfterMs) {
         counters.increment("refused");
         long seconds = Math.max(1, (long) Math.ceil(retryAfterMs / 1000));
@@ -36,7 +36,7 @@
                 ",\"retryAfterMs\":" + Math.round(retryAfterMs));
     }
 
-    /** Sends the multivariant playlist, the first answer of a session; returns whether it could be written. */
+    /** Sends the multivariant playlist, the first response of a session; returns whether it could be written. */
     boolean sendMultivariantPlaylist(Session session, Exchange exchange) {
         var sessionClass = settings.controller().classes().get(session.sessionClass);
         int topRung = Math.min(session.topRung, sessionClass.highestRung());
--- a/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
+++ b/front/src/main/java/calicovale/front/player/ProgrammeChanges.java
@@ -35,7 +35,8 @@
     /** Number of target durations before a change is due at which its piece is looked up. */
     private static final int LEAD_SEGMENTS = 3;
     /**
-     * Time in ms after a showing during which every reload's answer carries the cookie, because an answer may be lost.
+     * Time in ms after a showing during which the response to every reload carries the cookie, because a response may
+     * be lost.
      */
     private static final double COOKIE_RESEND_MS = 30_000;
 
@@ -83,7 +84,7 @@
         private List<Runnable> waitingCallbacks = List.of();
         /** Showings that the viewer's cookie carries. */
         private List<Showing> showings = List.of();
-        /** Monotonic time until which answers carry the cookie, in ms. */
+        /** Monotonic time until which responses carry the cookie, in ms. */
         private double cookieUntilMs;
         /**
          * Delivery rung last reported to the controller and the box: the rung whose rate the session takes from its
@@ -686,7 +687,7 @@
         }
     }
 
-    /** Returns the value of the Set-Cookie header for an answer to a session; null if it needs none. */
+    /** Returns the value of the Set-Cookie header for a response to a session's player; null if it needs none. */
     String cookieHeader(Session session) {
         return cookie == null
                         || session.viewer.isEmpty()
--- a/front/src/main/java/calicovale/front/player/SessionPlacer.java
+++ b/front/src/main/java/calicovale/front/player/SessionPlacer.java
@@ -29,7 +29,7 @@
 /**
  * Places sessions: raises requests to the controller, executes the controller's actions (set-up attempts,
  * cancellations, rung changes, moves, refusals) and follows each session until it leaves its box. Each waiting exchange
- * gets exactly one answer: the outcome of the placement, or 504 at the deadline.
+ * gets exactly one response: the outcome of the placement, or 504 at the deadline.
  */
 final class SessionPlacer implements ControllerHost.ActionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SessionPlacer.class);
@@ -171,13 +171,13 @@
         }
     }
 
-    /** Writes the answer to one exchange. */
+    /** Writes the response to one exchange. */
     private interface ResponseWriter {
-        /** Returns whether the answer could be written. */
+        /** Returns whether the response could be written. */
         boolean write(Exchange exchange);
     }
 
-    /** Answers all waiting exchanges that are still connected; returns whether at least one answer was written. */
+    /** Answers all waiting exchanges that are still connected; returns whether at least one response was written. */
     private boolean respondToAll(Session session, ResponseWriter writer) {
         boolean answered = false;
         List<Exchange> exchanges = new ArrayList<>(session.waitingExchanges);
@@ -284,7 +284,7 @@
                     return true;
                 });
         if (!answered) {
-            // no answer could be written, so no player has the playlist's URL
+            // no response could be written, so no player has the playlist's URL
             leaveBox(session, Outcome.OK, Map.of());
             box.release(key);
             registry.remove(session);
--- a/front/src/main/java/calicovale/front/player/package-info.java
+++ b/front/src/main/java/calicovale/front/player/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Serves players over HTTP: session requests, answers and session playlists. It must not choose a box or rung, which is
- * left to the controller.
+ * Serves players over HTTP: session requests, responses and session playlists. It must not choose a box or rung, which
+ * is left to the controller.
  */
 package calicovale.front.player;
--- a/standin/src/main/java/calicovale/standin/MediaBox.java
+++ b/standin/src/main/java/calicovale/standin/MediaBox.java
@@ -415,11 +415,11 @@
                 exchange.connection().reset(new IOException("injected fault"));
                 return;
             }
-            ObjectNode answer = Documents.MAPPER.createObjectNode().put("base", "/s/" + session.token + "/");
+            ObjectNode response = Documents.MAPPER.createObjectNode().put("base", "/s/" + session.token + "/");
             exchange.respond(
                     201,
                     loadHeaders().add("Content-Type", "application/json"),
-                    answer.toString().getBytes(StandardCharsets.UTF_8));
+                    response.toString().getBytes(StandardCharsets.UTF_8));
         }
 
         private void updateSession(Exchange exchange, String key) {
