--- a/front/src/main/java/calicovale/front/FrontProcess.java
+++ b/front/src/main/java/calicovale/front/FrontProcess.java
@@ -37,7 +37,7 @@
  */
 public final class FrontProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FrontProcess.class);
-    /** Time in which the last answers and messages to boxes are sent at a shutdown, in ms. */
+    /** Time in which the last responses and messages to boxes are sent at a shutdown, in ms. */
     private static final double LAST_MESSAGES_MS = 200;
 
     private final EventLoop loop;
@@ -98,7 +98,7 @@
             throw e;
         }
         playerServer = new HttpServer(loop, name, playerLimits, manager::handle).crossOrigin(settings.crossOrigin());
-        manager.setWireCounts(() -> {
+        manager.setConnectionCounts(() -> {
             Map<String, Long> counts = new LinkedHashMap<>();
             counts.put("player-connections", (long) playerServer.openConnections());
             counts.put("player-connections-refused", playerServer.counters().connectionsRefused);
@@ -284,7 +284,7 @@
             manager.drain(() -> {
                 manager.releaseAllSessions();
                 playerServer.drain();
-                // the last answers and messages to boxes are sent in the following turns of the loop
+                // the last responses and messages to boxes are sent in the following turns of the loop
                 loop.schedule(LAST_MESSAGES_MS, () -> drained.complete(null));
             });
         });
