--- a/manager/src/main/java/calicovale/manager/ManagerProcess.java
+++ b/manager/src/main/java/calicovale/manager/ManagerProcess.java
@@ -76,17 +76,19 @@
     private volatile boolean drained;
     private Timer rereadTimer;
     private final Path file;
-    /** Modification time and size of the file when it was last read; empty: unknown. */
+    /** Modification time and size of the file when it was last read; empty: unknown, or there is no file. */
     private String fileStamp;
 
-    /** Starts a manager, which listens when this returns. */
+    /** Starts a manager, which listens when this returns. Throws {@link IOException} if the start fails. */
     public ManagerProcess(ManagerConfig config, Clock clock) throws IOException {
         this(config, null, clock);
     }
 
     /**
      * Starts a manager, which listens when this returns and reads {@code file} again if it has changed when the bus
-     * is lost.
+     * is lost. Throws {@link IOException} if the start fails.
+     *
+     * @param file file of the configuration; null: none is read again
      */
     public ManagerProcess(ManagerConfig config, Path file, Clock clock) throws IOException {
         this.config = config;
@@ -95,7 +97,8 @@
         loop = new EventLoop("manager", clock, LOOP_LIMITS, Tap.NONE).start();
         // ends the process if the loop fails, so that the platform starts it again
         loop.whenEnded(ended::countDown);
-        // events during the start count as received, so no set-up is accepted before they are known
+        // events of the bus during the start count as received by this manager, so set-ups are accepted only once
+        // these events are known
         CompletableFuture<Void> caughtUp = new CompletableFuture<>();
         loop.whenEnded(() -> caughtUp.complete(null));
         try {
--- a/manager/src/main/java/calicovale/manager/RateLimitedLog.java
+++ b/manager/src/main/java/calicovale/manager/RateLimitedLog.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.slf4j.Logger;
 
-/** Counts and logs events that peers can cause at any rate: counts all of them, and logs one a second of each kind. */
+/** Counts all events that peers can cause at any rate, and logs at most one a second of each kind. */
 public final class RateLimitedLog {
     /** Shortest interval, in ms, between log lines of one kind. */
     private static final double MIN_INTERVAL_MS = 1000;
@@ -15,7 +15,7 @@
     private final Counters counters;
     private final Clock clock;
     /** For each kind: the clock time of the last line, in ms, and the number of events since without a line. */
-    private final Map<String, double[]> lastByKind = new HashMap<>();
+    private final Map<String, double[]> timeAndUnloggedByKind = new HashMap<>();
 
     /** Creates a log that counts with {@code counters}. */
     public RateLimitedLog(Logger log, Counters counters, Clock clock) {
@@ -36,13 +36,18 @@
     public void warn(String kind, Object detail) {
         counters.increment(kind);
         double nowMs = clock.millis();
-        double[] seen = lastByKind.computeIfAbsent(kind, k -> new double[] {Double.NEGATIVE_INFINITY, 0});
-        if (nowMs - seen[0] < MIN_INTERVAL_MS) {
-            seen[1]++;
+        double[] timeAndUnlogged =
+                timeAndUnloggedByKind.computeIfAbsent(kind, k -> new double[] {Double.NEGATIVE_INFINITY, 0});
+        if (nowMs - timeAndUnlogged[0] < MIN_INTERVAL_MS) {
+            timeAndUnlogged[1]++;
             return;
         }
-        log.warn("{}: {}{}", kind, detail, seen[1] > 0 ? " (and " + (long) seen[1] + " more)" : "");
-        seen[0] = nowMs;
-        seen[1] = 0;
+        log.warn(
+                "{}: {}{}",
+                kind,
+                detail,
+                timeAndUnlogged[1] > 0 ? " (and " + (long) timeAndUnlogged[1] + " more)" : "");
+        timeAndUnlogged[0] = nowMs;
+        timeAndUnlogged[1] = 0;
     }
 }
--- a/manager/src/main/java/calicovale/manager/SessionCoordinator.java
+++ b/manager/src/main/java/calicovale/manager/SessionCoordinator.java
@@ -69,7 +69,8 @@
     /** Upper bound of unanswered set-ups on one connection; 90 set-ups a second with a hung server stay below it. */
     private static final int MAX_SET_UPS_PER_LINK = 128;
     /**
-     * Time, in ms, in which a connection must bring a valid message; faulty clients must be disconnected within 3 s.
+     * Time, in ms, within which a valid message must arrive on a new connection; faulty clients must be disconnected
+     * within 3 s.
      */
     private static final double VALID_MESSAGE_TIMEOUT_MS = 2000;
     /** Largest accepted wait of a viewer as a multiple of its class's deadline; longer ones are rejected as invalid. */
@@ -92,9 +93,12 @@
     private final ServerPool servers;
     private final ViewerGateway viewers;
     private final ControllerHost host;
-    /** Time, in ms, for answers after the last set-up of a drain: the longest deadline of a class, with a bound. */
+    /**
+     * Time, in ms, for answers after the last set-up of a drain: the longest deadline of all classes, at most
+     * {@link #MAX_ANSWER_MS}.
+     */
     private final double drainAnswerMs;
-    /** Sessions handed over at servers that the list has not named yet. The controller gets them when it has. */
+    /** Sessions handed over at servers that the list has not named yet; raised to the controller once it does. */
     private final Map<Session, Takeover> unlisted = new LinkedHashMap<>();
     /**
      * Ids of the latest sessions that were released while not held here, because their hand-over may still come; true
@@ -334,7 +338,8 @@
                 host.raise(takeover);
                 servers.ensureLink(serverNumber);
             } else {
-                // the list is late: the session is held, and released if the list does not name its server in time
+                // the list may be late, so the session is held; it is released if the list does not name its server in
+                // time
                 counters.increment("handed-over.unlisted");
                 unlisted.put(session, takeover);
             }
@@ -376,7 +381,7 @@
                     && !viewers.answer(
                             session,
                             Message.of(MessageType.ANM, session.id()).with(Parameter.DESCRIPTION, description))) {
-                // its viewer has left, so nobody else would end it
+                // its viewer has left, so no later event of the viewer would end it
                 endPlayingSession(session);
             }
         }
@@ -418,13 +423,13 @@
 
     /** Carries out the controller's actions. */
     private final class ControllerActions implements ControllerHost.ActionHandler {
-        private Session held(String id) {
+        private Session heldSession(String id) {
             return sessions.get(Long.parseUnsignedLong(id, 16));
         }
 
         @Override
         public void attempt(String id, long server, double timeoutMs) {
-            Session session = held(id);
+            Session session = heldSession(id);
             if (session != null && session.state() == State.REQUESTED) {
                 counters.increment("attempts");
                 servers.startAttempt(session, server, timeoutMs);
@@ -433,7 +438,7 @@
 
         @Override
         public void cancel(String id, int attempt) {
-            Session session = held(id);
+            Session session = heldSession(id);
             if (session != null && session.state() == State.ATTEMPTING && session.attemptNumber() == attempt) {
                 servers.cancel(session);
             }
@@ -441,7 +446,7 @@
 
         @Override
         public void rung(String id, int rung) {
-            Session session = held(id);
+            Session session = heldSession(id);
             if (session != null) {
                 session.rung(rung);
                 if (session.state() == State.PLAYING) {
@@ -453,7 +458,7 @@
 
         @Override
         public void move(String id) {
-            Session session = held(id);
+            Session session = heldSession(id);
             if (session != null && session.state() == State.PLAYING) {
                 counters.increment("moves");
                 viewers.notifyViewer(session, Message.of(MessageType.FAC, session.id()));
@@ -463,7 +468,7 @@
 
         @Override
         public void refuse(String id, double retryAfterMs) {
-            Session session = held(id);
+            Session session = heldSession(id);
             if (session != null && session.state() == State.REQUESTED) {
                 counters.increment("refused");
                 Message refusal = Message.release(session.id(), Cause.CONGESTION);
@@ -477,7 +482,7 @@
 
         @Override
         public void fail(String id) {
-            Session session = held(id);
+            Session session = heldSession(id);
             if (session != null && session.state() == State.REQUESTED) {
                 counters.increment("failed");
                 viewers.answer(session, Message.release(session.id(), Cause.TEMPORARY_FAILURE));
--- a/manager/src/main/java/calicovale/manager/bus/Addresses.java
+++ b/manager/src/main/java/calicovale/manager/bus/Addresses.java
@@ -14,7 +14,7 @@
 
     private Addresses() {}
 
-    /** Parses {@code a.b.c.d:port}. */
+    /** Parses {@code a.b.c.d:port}. Throws {@link InvalidValueException} if the text has another form. */
     public static InetSocketAddress parse(String text) throws InvalidValueException {
         Matcher matcher = IPV4_AND_PORT.matcher(text);
         byte[] host = new byte[4];
--- a/manager/src/main/java/calicovale/manager/bus/BusEvent.java
+++ b/manager/src/main/java/calicovale/manager/bus/BusEvent.java
@@ -30,8 +30,11 @@
      * One video server.
      *
      * @param id name of the server
-     * @param address null: it has none, which only a terminated server may
+     * @param address address for links to it; null: none, which is accepted only of a terminated server
+     * @param zone name of its zone; empty: not stated
      * @param kind kind of server, one of the {@code kinds} in the settings
+     * @param cell number of its cell, from 0
+     * @param lifecycle its state
      * @param weight size in relation to other servers
      * @param startedAtMs clock time of its start, in ms, if it started recently; else 0
      */
@@ -45,7 +48,7 @@
             double weight,
             double startedAtMs) {}
 
-    /** Parses a line. Returns null if it is not an event, as a line with the last offset alone. */
+    /** Parses a line. Returns null if it is not an event, such as a line that holds only the last offset. */
     public static BusEvent parseLine(String line) throws InvalidValueException {
         try {
             JsonNode node = Documents.MAPPER.readTree(line);
@@ -69,7 +72,7 @@
         throw new InvalidValueException("line has neither a number nor a numeric 'offset'");
     }
 
-    /** Parses an event. */
+    /** Parses an event. Throws {@link InvalidValueException} if a field is missing or invalid. */
     public static BusEvent parse(JsonNode node) throws InvalidValueException {
         JsonNode topology = node.path("topology");
         JsonNode list = topology.path("instances");
--- a/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
+++ b/manager/src/main/java/calicovale/manager/bus/EventBusClient.java
@@ -39,13 +39,14 @@
     private static final double MAX_RECONNECT_DELAY_MS = 500;
     /**
      * Fraction of a drain's grace time to which {@link #CONNECT_TIMEOUT_MS}, {@link #FIRST_RECONNECT_DELAY_MS} and
-     * {@link #MAX_RECONNECT_DELAY_MS} are each limited. A drain counts as announced once the bus is back, so a connect
-     * that failed just before and the delay until the next one must leave time to follow it.
+     * {@link #MAX_RECONNECT_DELAY_MS} are each limited. A drain counts as announced once the bus is back. A connect
+     * that fails just before that, and the delay until the next one, must leave enough of the grace time to follow the
+     * drain.
      */
     private static final double MAX_GRACE_FRACTION = 0.25;
 
-    /** Least value, in ms, to which the grace time limits these three, however short it is. */
-    private static final double MIN_RECONNECT_STEP_MS = 25;
+    /** Lower bound, in ms, of the limit that {@link #MAX_GRACE_FRACTION} gives, however short the grace time is. */
+    private static final double MIN_RECONNECT_LIMIT_MS = 25;
     /** Time, in ms, after a request in which the bus has written all missed events; it writes them at once. */
     private static final double CATCH_UP_MS = 250;
     /**
@@ -91,12 +92,12 @@
         this.address = address;
         this.lastOffset = lastOffset;
         this.listener = listener;
-        double maxReconnectStepMs =
-                graceMs <= 0 ? MAX_RECONNECT_DELAY_MS : Math.max(MIN_RECONNECT_STEP_MS, MAX_GRACE_FRACTION * graceMs);
-        connectTimeoutMs = Math.min(CONNECT_TIMEOUT_MS, maxReconnectStepMs);
+        double reconnectLimitMs =
+                graceMs <= 0 ? MAX_RECONNECT_DELAY_MS : Math.max(MIN_RECONNECT_LIMIT_MS, MAX_GRACE_FRACTION * graceMs);
+        connectTimeoutMs = Math.min(CONNECT_TIMEOUT_MS, reconnectLimitMs);
         backoff = new Backoff(
-                Math.min(FIRST_RECONNECT_DELAY_MS, maxReconnectStepMs),
-                Math.min(MAX_RECONNECT_DELAY_MS, maxReconnectStepMs),
+                Math.min(FIRST_RECONNECT_DELAY_MS, reconnectLimitMs),
+                Math.min(MAX_RECONNECT_DELAY_MS, reconnectLimitMs),
                 random);
         silenceTimeoutMs = SILENCE_TIMEOUT_MS + SILENCE_JITTER_MS * random.nextDouble();
     }
@@ -107,11 +108,11 @@
      */
     public void open(Runnable caughtUp) {
         caughtUpCallback = caughtUp;
-        loop.schedule(START_TIMEOUT_MS, this::caughtUp);
+        loop.schedule(START_TIMEOUT_MS, this::notifyCaughtUp);
         connect();
     }
 
-    private void caughtUp() {
+    private void notifyCaughtUp() {
         Runnable callback = caughtUpCallback;
         caughtUpCallback = null;
         if (callback != null) {
@@ -181,7 +182,7 @@
             opened.write(ByteBuffer.wrap(("from " + lastOffset + "\n").getBytes(StandardCharsets.US_ASCII)));
             loop.schedule(CATCH_UP_MS, () -> {
                 if (currentConnection == this) {
-                    caughtUp();
+                    notifyCaughtUp();
                 }
             });
         }
@@ -218,12 +219,12 @@
                                 "the last event on the bus is " + offset + ", the last one received is " + lastOffset);
                     } else {
                         backoff.reset();
-                        caughtUp();
+                        notifyCaughtUp();
                     }
                     return;
                 }
-                // events may come out of order; a gap that remains after a second request is in the bus's own
-                // numbering
+                // events may come out of order, so missing ones are requested again; a gap that remains after that is
+                // in the numbering of the bus
                 if (event.offset() > lastOffset + 1 && !event.complete() && gapRequestedAfter != lastOffset) {
                     gapRequestedAfter = lastOffset;
                     reconnect("bus.gap", "event " + event.offset() + " received after event " + lastOffset);
--- a/manager/src/main/java/calicovale/manager/servers/Attempt.java
+++ b/manager/src/main/java/calicovale/manager/servers/Attempt.java
@@ -3,7 +3,10 @@
 import calicovale.manager.sessions.Session;
 import calicovale.protocols.net.Timer;
 
-/** One attempt in progress: its session, its link (null: none was available), its start and its timeout. */
+/**
+ * One attempt in progress: its session, its link (null: none was available), its start as a clock time in ms, and its
+ * timeout (null without a link).
+ */
 final class Attempt {
     final Session session;
     final ServerLink link;
--- a/manager/src/main/java/calicovale/manager/servers/ServerLink.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerLink.java
@@ -20,7 +20,10 @@
     Connection connection;
     /** Whether the connection is open and the queued messages have been written. */
     boolean open;
-    /** Whether the link must not be used any more: it brought a malformed message, or leads to a previous process. */
+    /**
+     * Whether the link must not be used any more, because a malformed message was received on it or it leads to a
+     * previous process.
+     */
     boolean unusable;
 
     /** Clock time, in ms, when the link began to be opened. */
@@ -69,7 +72,8 @@
 
     @Override
     public void onOpen(Connection opened) {
-        // sent with the decisions of this turn, because a viewer's close may be unread on another connection
+        // the queued messages are sent with the decisions of this turn, because a viewer's close may be unread on
+        // another connection
         pool.deferDecision(() -> markOpen(opened));
     }
 
@@ -119,7 +123,7 @@
         }
     }
 
-    /** Makes the link fail, once; whatever it brought after the fault is ignored. */
+    /** Marks the link as failed and resets it, once. What was received after the fault is ignored. */
     void fail(String reason) {
         if (!failed) {
             failed = true;
--- a/manager/src/main/java/calicovale/manager/servers/ServerNumbers.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerNumbers.java
@@ -7,7 +7,7 @@
 
 /**
  * Assigns the numbers by which the controller identifies video servers. A number is a checksum of the server's
- * name, so that all managers use the same one; they take turns at cold servers by it.
+ * name, so that all managers use the same one; by it they take turns at cold servers.
  */
 final class ServerNumbers {
     private final Map<String, Long> numbers = new HashMap<>();
--- a/manager/src/main/java/calicovale/manager/servers/ServerPool.java
+++ b/manager/src/main/java/calicovale/manager/servers/ServerPool.java
@@ -35,7 +35,7 @@
  * session ends when its server releases it or is considered dead.
  */
 public final class ServerPool {
-    /** Kind that the event loop gets for links to video servers. */
+    /** Kind of connection, as stated to the event loop, of links to video servers. */
     private static final String CONNECTION_KIND = "server";
     /** Interval, in ms, between checks for idle links, incomplete messages and silent servers. */
     private static final double SWEEP_INTERVAL_MS = 100;
@@ -152,7 +152,7 @@
 
     // --- Server list ---
 
-    /** Applies an event of the bus and returns the list to report to the controller. */
+    /** Applies an event of the bus and returns the list, of the given scope, to report to the controller. */
     public ServerList apply(BusEvent event, ListScope scope) {
         List<ServerEntry> entries = new ArrayList<>();
         List<VideoServer> named = new ArrayList<>();
@@ -200,7 +200,7 @@
             server.startedAtMs = Math.max(server.startedAtMs, entry.startedAtMs());
             double startMs = moved ? Double.MAX_VALUE : entry.startedAtMs();
             endSessionsBefore(server, startMs);
-            // links to the previous process lead to nobody, or to another process at the same address
+            // links to the previous process are dead, or reach another process at the same address
             for (ServerLink link : List.copyOf(server.links)) {
                 if (link.openedAtMs < startMs) {
                     link.unusable = true;
@@ -352,7 +352,7 @@
         boolean linkSilent = link.lastReceivedAtMs < attempt.sentAtMs;
         endAttempt(attempt, Outcome.TIMEOUT, Map.of());
         if (linkSilent) {
-            // closing the link gives up its other attempts too, so that no late answer comes for a viewer that has left
+            // closing the link ends its other attempts too, so that no late answer comes for a viewer that has left
             log.count("server.link-silent");
             link.connection.close();
         }
@@ -572,7 +572,7 @@
         linkCount--;
     }
 
-    /** Resets a link that brought a malformed or incomplete message. */
+    /** Resets a link on which a malformed or incomplete message was received. */
     void linkFailed(ServerLink link, String reason) {
         log.warn("server.spoilt", link.server + ": " + reason);
         link.connection.reset(new IOException(reason));
--- a/manager/src/main/java/calicovale/manager/servers/VideoServer.java
+++ b/manager/src/main/java/calicovale/manager/servers/VideoServer.java
@@ -6,18 +6,22 @@
 import java.util.Set;
 
 /**
- * State of one video server: its address, its links and when it was last heard or failed to answer. Times are clock
- * times in ms.
+ * State of one video server: its address, its links and when it last sent something or failed to answer. Times are
+ * clock times in ms.
  */
 final class VideoServer {
     final long number;
     final String name;
+    /** Null: it is not known, or belongs to another server now. */
     InetSocketAddress address;
     /** Whether the server list has named it; if not, a session that was handed over did. */
     boolean listed;
 
+    /** Whether it is terminated, missing in the complete list, or replaced by another server at its address. */
     boolean gone;
+    /** Latest start of its process that the list has stated; 0: none. */
     double startedAtMs;
+
     final Set<ServerLink> links = new LinkedHashSet<>();
     final double firstKnownAtMs;
     double lastReceivedAtMs;
@@ -26,15 +30,15 @@
     final double silenceJitter;
     /** Number of consecutive refused connections. */
     int consecutiveRefusals;
-    /** When the first of them was refused. */
+    /** Time at which the first of them was refused. */
     double refusedSinceMs;
-    /** Since when connections time out; 0: they do not, or none was tried. */
+    /** Time since which connections have timed out and none has opened; 0: none has timed out. */
     double unreachableSinceMs;
 
     Timer reconnectTimer;
-    /** Reconnect attempts since the last message. */
+    /** Number of reconnect attempts since something was last received from it. */
     int reconnectAttempts;
-    /** Consecutive links that never opened and had releases queued. */
+    /** Number of consecutive links that were lost before their queued releases were sent. */
     int releaseResends;
 
     VideoServer(long number, String name, double nowMs, double silenceJitter) {
--- a/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
+++ b/manager/src/main/java/calicovale/manager/viewers/SetUpRequest.java
@@ -70,7 +70,7 @@
                     "class must be one of " + String.join(", ", settings.classes()) + ", not '" + excerpt(sessionClass)
                             + "'");
         }
-        if (!isName(title)) {
+        if (!isValidTitle(title)) {
             return rejected(
                     Cause.INVALID_CONTENTS,
                     "title must have 1 to " + MAX_TEXT_CHARS + " characters, without spaces and control characters");
@@ -144,7 +144,7 @@
                 playingAt);
     }
 
-    private static boolean isName(String text) {
+    private static boolean isValidTitle(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_TEXT_CHARS
                 && text.chars().allMatch(c -> c > ' ' && c != 0x7f);
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerGateway.java
@@ -23,7 +23,7 @@
  * connections are not affected.
  */
 public final class ViewerGateway {
-    /** Kind that the event loop gets for viewers' connections. */
+    /** Kind of connection, as stated to the event loop, of viewers' connections. */
     private static final String CONNECTION_KIND = "viewer";
     /** Interval, in ms, between checks for connections without valid messages. */
     private static final double SWEEP_INTERVAL_MS = 200;
@@ -63,6 +63,7 @@
      * The parameters of a set-up for the controller.
      *
      * @param classIndex index of the class in the settings
+     * @param viewer key of the viewer; empty: unknown
      * @param giveUpMs clock time at which the viewer gives up, in ms
      * @param homeCell first cell that holds the title
      * @param span number of consecutive cells that hold it
@@ -201,7 +202,10 @@
         link.validMessages++;
     }
 
-    /** Counts a playing session of this connection, which shows that it belongs to a viewers' front. */
+    /**
+     * Counts a playing session of a connection and sends the queued releases on it, because the session shows that the
+     * connection belongs to a viewers' front.
+     */
     private void countPlayingSession(ViewerLink link) {
         link.sessionsPlayed++;
         sendQueuedReleases(link);
@@ -347,7 +351,7 @@
 
     /**
      * Sends a message to the viewer of a session that was playing: on the session's own connection or, if that is
-     * closed, on another one that brought playing sessions, at once or when there is one. Connections without playing
+     * closed, on another one with playing sessions, at once or when there is one. Connections without playing
      * sessions are not used, because a message sent on them may reach no viewer.
      */
     public void notifyViewer(Session session, Message message) {
--- a/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
+++ b/manager/src/main/java/calicovale/manager/viewers/ViewerSettings.java
@@ -9,7 +9,7 @@
  * @param maxSetUpsPerLink upper bound of unanswered set-ups on one connection
  * @param retryAfterMs time, in ms, after which a viewer refused by a bound may come back; 0: viewers take no such
  *     advice
- * @param validMessageTimeoutMs time, in ms, after which a connection is closed that brought no valid message, or that
+ * @param validMessageTimeoutMs time, in ms, after which a connection is closed that has sent no valid message, or that
  *     has an incomplete message and no set-up that waits for its answer; also the time after which an incomplete
  *     message no longer delays the end of a drain
  * @param classes names of the session classes, in the settings' order
--- a/manager/src/test/java/calicovale/manager/EventOrderTest.java
+++ b/manager/src/test/java/calicovale/manager/EventOrderTest.java
@@ -86,24 +86,25 @@
             harness.clock.stop();
             remainingViewer.send(ManagerHarness.setUp(1));
             FakeServer first = harness.serverWithMessage();
-            FakeServer.Received one = first.next();
+            FakeServer.Received firstSetUp = first.next();
             harness.clock.advance(10);
             leavingViewer.send(ManagerHarness.setUp(2));
             harness.awaitCount("attempts", 2);
-            FakeServer.Received two = harness.serverWithMessage().next();
+            FakeServer.Received secondSetUp = harness.serverWithMessage().next();
             harness.clock.advance(10);
             harness.inOneLoopTurn(() -> {
-                two.peer().send(Message.release(2, Cause.UNAVAILABLE));
-                one.peer().send(Message.release(1, Cause.UNAVAILABLE));
+                secondSetUp.peer().send(Message.release(2, Cause.UNAVAILABLE));
+                firstSetUp.peer().send(Message.release(1, Cause.UNAVAILABLE));
                 leavingViewer.disconnect();
             });
             harness.awaitCount("departed", 1);
-            FakeServer.Received again;
+            FakeServer.Received repeatedSetUp;
             do {
-                again = harness.serverWithMessage().next();
-            } while (again.message().type() != MessageType.IAM);
-            assertEquals(1, again.message().sessionId());
-            again.peer()
+                repeatedSetUp = harness.serverWithMessage().next();
+            } while (repeatedSetUp.message().type() != MessageType.IAM);
+            assertEquals(1, repeatedSetUp.message().sessionId());
+            repeatedSetUp
+                    .peer()
                     .send(Message.of(MessageType.ANM, 1)
                             .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
             assertEquals(MessageType.ANM, remainingViewer.next().type());
@@ -212,10 +213,11 @@
             FakeServer.Received setUp = harness.serverWithMessage().next();
             // the attempt times out right after this pause, and its link is reset before the release is written
             harness.afterDecisions(() -> {}, 300, () -> setUp.peer().reset());
-            FakeServer next = harness.serverWithMessage();
-            FakeServer.Received again = next.next();
-            assertEquals(MessageType.IAM, again.message().type());
-            again.peer()
+            FakeServer nextServer = harness.serverWithMessage();
+            FakeServer.Received repeatedSetUp = nextServer.next();
+            assertEquals(MessageType.IAM, repeatedSetUp.message().type());
+            repeatedSetUp
+                    .peer()
                     .send(Message.of(MessageType.ANM, 1)
                             .with(Parameter.DESCRIPTION, ManagerHarness.SERVER_DESCRIPTION));
             assertEquals(MessageType.ANM, viewer.next().type());
@@ -279,9 +281,9 @@
                 viewer.send(Message.release(1, Cause.NORMAL));
             });
             harness.awaitCount("server.release-again", 1);
-            try (FakeServer again = new FakeServer(port)) {
+            try (FakeServer restartedServer = new FakeServer(port)) {
                 harness.clock.advance(200);
-                FakeServer.Received release = again.next();
+                FakeServer.Received release = restartedServer.next();
                 assertEquals(MessageType.REL, release.message().type());
                 assertEquals(1, release.message().sessionId());
             }
@@ -297,16 +299,16 @@
     @Test
     void aHandOverAtAnUnlistedServerWaitsForTheList() throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
-                FakeServer late = new FakeServer();
+                FakeServer lateServer = new FakeServer();
                 Peer viewer = harness.acceptedViewer()) {
             harness.bus.nextRequest();
             viewer.send(handOver(1, "s-late"));
             harness.awaitCount("handed-over.unlisted", 1);
             harness.bus.write(
-                    ManagerHarness.event(2, ManagerHarness.entry("s-late", late.port(), "in_service", 0)) + "\n");
-            harness.waitUntil(() -> !late.peers.isEmpty());
+                    ManagerHarness.event(2, ManagerHarness.entry("s-late", lateServer.port(), "in_service", 0)) + "\n");
+            harness.waitUntil(() -> !lateServer.peers.isEmpty());
             viewer.send(Message.release(1, Cause.NORMAL));
-            assertEquals(Cause.NORMAL, late.next().message().cause(), "the release is sent to its server");
+            assertEquals(Cause.NORMAL, lateServer.next().message().cause(), "the release is sent to its server");
             awaitNoSessions(harness);
         }
     }
@@ -333,9 +335,9 @@
             setUp.peer().send(Message.release(1, Cause.NORMAL));
             harness.awaitCount("server.release-of-none", 1);
             viewer.send(handOver(1, "s-0"));
-            Message over = viewer.next();
-            assertEquals(1, over.sessionId());
-            assertEquals(MessageType.REL, over.type());
+            Message release = viewer.next();
+            assertEquals(1, release.sessionId());
+            assertEquals(MessageType.REL, release.type());
             assertEquals(1, count(harness, "held.standing"));
         }
     }
@@ -356,7 +358,7 @@
     @Test
     void linksToAPreviousAddressOfAServerAreNotUsedAgain() throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
-                FakeServer moved = new FakeServer();
+                FakeServer movedServer = new FakeServer();
                 Peer viewer = harness.acceptedViewer()) {
             harness.bus.nextRequest();
             viewer.send(ManagerHarness.setUp(1));
@@ -365,10 +367,10 @@
             setUp.peer().send(Message.release(1, Cause.NORMAL));
             assertEquals(MessageType.REL, viewer.next().type());
             harness.bus.write(
-                    ManagerHarness.event(2, ManagerHarness.entry("s-0", moved.port(), "in_service", 0)) + "\n");
+                    ManagerHarness.event(2, ManagerHarness.entry("s-0", movedServer.port(), "in_service", 0)) + "\n");
             harness.waitUntil(() -> harness.process.counts().get("links.servers") == 0);
             viewer.send(ManagerHarness.setUp(2));
-            moved.acceptSetUp();
+            movedServer.acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
         }
     }
@@ -377,13 +379,14 @@
     void eventsOutOfOrderAreRequestedAgainAndACompleteListIsTakenDespiteAGap() throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
                 FakeServer other = new FakeServer()) {
-            String two = ManagerHarness.event(2, ManagerHarness.entry("s-2", other.port(), "in_service", 0)) + "\n";
-            String three =
+            String secondEvent =
+                    ManagerHarness.event(2, ManagerHarness.entry("s-2", other.port(), "in_service", 0)) + "\n";
+            String thirdEvent =
                     ManagerHarness.event(3, ManagerHarness.entry("s-3", other.port() + 1, "in_service", 0)) + "\n";
             assertEquals("from 1", harness.bus.nextRequest());
-            harness.bus.write(three + two);
+            harness.bus.write(thirdEvent + secondEvent);
             assertEquals("from 1", harness.bus.nextRequest());
-            harness.bus.write(two + three);
+            harness.bus.write(secondEvent + thirdEvent);
             harness.waitUntil(() -> harness.process.counts().get("servers") == 3);
             harness.bus.write("{\"offset\":9,\"topology\":{\"generation\":9,\"reset\":true,\"instances\":["
                     + ManagerHarness.entry("s-0", harness.servers.get(0).port(), "in_service", 0) + "]}}\n");
@@ -451,9 +454,9 @@
     @Test
     void aHalfWrittenConfigurationIsReadAgain(@TempDir Path folder) throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
-                ManagerHarness.FakeBus next = new ManagerHarness.FakeBus()) {
+                ManagerHarness.FakeBus newBus = new ManagerHarness.FakeBus()) {
             assertEquals("from 1", harness.bus.nextRequest());
-            String whole = harness.config(next.port(), 256);
+            String whole = harness.config(newBus.port(), 256);
             Path file = folder.resolve("config.json");
             Files.writeString(file, whole.substring(0, whole.length() / 2));
             harness.inOneLoopTurn(() -> {
@@ -461,7 +464,7 @@
             });
             harness.process.counts();
             Files.writeString(file, whole);
-            assertEquals("from 1", next.nextRequest(), "without another signal");
+            assertEquals("from 1", newBus.nextRequest(), "without another signal");
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/ManagerHarness.java
+++ b/manager/src/test/java/calicovale/manager/ManagerHarness.java
@@ -68,7 +68,7 @@
                         config(bus.port(), sockets)
                                 .replace("\"drainGraceMs\":" + DRAIN_GRACE_MS, "\"drainGraceMs\":" + graceMs)),
                 clock);
-        // the worst order: connections that may cause an attempt are read before those of viewers
+        // connections that may cause an attempt are read before those of viewers, which is the worst order
         process.loop().execute(() -> process.loop().readOrder(Comparator.comparing(Connection::accepted)));
     }
 
@@ -244,7 +244,7 @@
         bytesReadAtMark = bytesRead();
     }
 
-    /** Waits until the manager has read so many bytes since {@link #markBytesRead}. */
+    /** Waits until the manager has read at least {@code bytes} bytes since {@link #markBytesRead}. */
     void awaitBytesRead(long bytes) throws InterruptedException {
         waitUntil(() -> bytesRead() >= bytesReadAtMark + bytes);
     }
@@ -485,9 +485,9 @@
             startDaemon(() -> {
                 while (true) {
                     Socket socket = listeningSocket.accept();
-                    InputStream in = socket.getInputStream();
+                    InputStream input = socket.getInputStream();
                     StringBuilder line = new StringBuilder();
-                    for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
+                    for (int c = input.read(); c >= 0 && c != '\n'; c = input.read()) {
                         line.append((char) c);
                     }
                     newestConnection = socket;
--- a/manager/src/test/java/calicovale/manager/ManagerTest.java
+++ b/manager/src/test/java/calicovale/manager/ManagerTest.java
@@ -38,9 +38,9 @@
             assertEquals(MessageType.ANM, answer.type());
             assertArrayEquals(ManagerHarness.SERVER_DESCRIPTION, answer.value(Parameter.DESCRIPTION));
             setUp.peer().send(Message.release(1, Cause.NORMAL));
-            Message over = viewer.next();
-            assertEquals(MessageType.REL, over.type());
-            assertEquals(Cause.NORMAL, over.cause());
+            Message release = viewer.next();
+            assertEquals(MessageType.REL, release.type());
+            assertEquals(Cause.NORMAL, release.cause());
             harness.awaitCount("outcome.OK", 1);
         }
     }
@@ -157,11 +157,11 @@
             }
             harness.awaitCount("server.refused", 4);
             setUp.peer().send(Message.release(1, Cause.NORMAL));
-            Message over;
+            Message release;
             do {
-                over = viewer.next();
-            } while (over.sessionId() != 1);
-            assertEquals(Cause.NORMAL, over.cause());
+                release = viewer.next();
+            } while (release.sessionId() != 1);
+            assertEquals(Cause.NORMAL, release.cause());
         }
     }
 
@@ -178,13 +178,13 @@
             harness.servers.get(0).peers.get(1).send(Message.release(1, Cause.NORMAL));
             harness.awaitCount("outcome.OK", 1);
             try (Peer viewerWithoutSessions = harness.viewer();
-                    Peer next = harness.viewer()) {
+                    Peer viewerWithSession = harness.viewer()) {
                 // the release is not sent on a connection without sessions, but on one with a playing session
                 viewerWithoutSessions.send(Message.of(MessageType.UPT, 7));
                 assertEquals(MessageType.UPA, viewerWithoutSessions.next().type());
-                next.send(ManagerHarness.setUp(2));
+                viewerWithSession.send(ManagerHarness.setUp(2));
                 harness.servers.get(0).acceptSetUp();
-                assertEquals(1, next.next(MessageType.REL).sessionId());
+                assertEquals(1, viewerWithSession.next(MessageType.REL).sessionId());
             }
         }
     }
@@ -380,15 +380,15 @@
             viewer.send(ManagerHarness.setUp(1));
             FakeServer.Received setUp = harness.servers.get(0).acceptSetUp();
             assertEquals(MessageType.ANM, viewer.next().type());
-            Peer[] stay = new Peer[40];
-            for (int i = 0; i < stay.length; i++) {
-                stay[i] = harness.viewer();
-                stay[i].send(Message.of(MessageType.UPT, 100 + i));
+            Peer[] viewersWithoutSessions = new Peer[40];
+            for (int i = 0; i < viewersWithoutSessions.length; i++) {
+                viewersWithoutSessions[i] = harness.viewer();
+                viewersWithoutSessions[i].send(Message.of(MessageType.UPT, 100 + i));
             }
             harness.awaitCount("viewer.evicted", 20);
             setUp.peer().send(Message.release(1, Cause.NORMAL));
             assertEquals(Cause.NORMAL, viewer.next().cause());
-            for (Peer peer : stay) {
+            for (Peer peer : viewersWithoutSessions) {
                 peer.close();
             }
         }
@@ -419,14 +419,14 @@
     @Test
     void aReplacedConfigurationChangesTheAddressOfTheBus(@TempDir Path folder) throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1);
-                ManagerHarness.FakeBus next = new ManagerHarness.FakeBus()) {
+                ManagerHarness.FakeBus newBus = new ManagerHarness.FakeBus()) {
             assertEquals("from 1", harness.bus.nextRequest());
             Path file = folder.resolve("config.json");
             Files.writeString(file, "{");
             harness.process.reload(file);
-            Files.writeString(file, harness.config(next.port(), 256));
+            Files.writeString(file, harness.config(newBus.port(), 256));
             harness.process.reload(file);
-            assertEquals("from 1", next.nextRequest());
+            assertEquals("from 1", newBus.nextRequest());
         }
     }
 
--- a/manager/src/test/java/calicovale/manager/ProcessTest.java
+++ b/manager/src/test/java/calicovale/manager/ProcessTest.java
@@ -55,18 +55,18 @@
         Path config = folder.resolve("config.json");
         try (ManagerHarness configSource = new ManagerHarness(1);
                 FakeBus first = new FakeBus();
-                FakeBus next = new FakeBus()) {
+                FakeBus newBus = new FakeBus()) {
             Files.writeString(config, configSource.config(first.port(), 256));
             Process process = startProcess(config);
             try {
                 assertEquals("from 1", first.nextRequest());
-                Files.writeString(config, configSource.config(next.port(), 256));
+                Files.writeString(config, configSource.config(newBus.port(), 256));
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
                                 .start()
                                 .waitFor());
-                assertEquals("from 1", next.nextRequest());
+                assertEquals("from 1", newBus.nextRequest());
                 assertTrue(process.isAlive());
                 process.destroy();
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -84,19 +84,19 @@
         Path config = folder.resolve("config.json");
         try (ManagerHarness configSource = new ManagerHarness(1);
                 FakeBus first = new FakeBus();
-                FakeBus next = new FakeBus()) {
+                FakeBus newBus = new FakeBus()) {
             Files.writeString(config, configSource.config(first.port(), 256));
             Process process = startProcess(config, "unlimited", System.getProperty("java.class.path"), "trap '' HUP; ");
             try {
                 assertEquals("from 1", first.nextRequest());
-                Files.writeString(config, configSource.config(next.port(), 256));
+                Files.writeString(config, configSource.config(newBus.port(), 256));
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
                                 .start()
                                 .waitFor());
                 first.disconnect();
-                assertEquals("from 1", next.nextRequest());
+                assertEquals("from 1", newBus.nextRequest());
             } finally {
                 process.destroyForcibly();
             }
@@ -108,8 +108,8 @@
             throws Exception {
         Path config = folder.resolve("config.json");
         int port;
-        try (FakeBus none = new FakeBus()) {
-            port = none.port();
+        try (FakeBus closedBus = new FakeBus()) {
+            port = closedBus.port();
         }
         List<Peer> idle = new ArrayList<>();
         try (ManagerHarness configSource = new ManagerHarness(1)) {
--- a/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
+++ b/manager/src/test/java/calicovale/manager/ResourceBoundsTest.java
@@ -23,35 +23,36 @@
     @Test
     void tablesTimersAndLinksStayBoundedAfterAnHourOfNewIdsAndAddresses() throws Exception {
         try (ManagerHarness harness = new ManagerHarness(1)) {
-            String before = ManagerHarness.entry("s-0", harness.servers.get(0).port(), "terminated", 0);
+            String previousEntry =
+                    ManagerHarness.entry("s-0", harness.servers.get(0).port(), "terminated", 0);
             for (int i = 1; i <= ROUNDS; i++) {
                 harness.bus.nextRequest();
                 try (FakeServer server = new FakeServer();
                         Peer viewer = harness.acceptedViewer()) {
-                    String now = ManagerHarness.entry("s-new-" + i, server.port(), "in_service", 0);
-                    harness.bus.write(ManagerHarness.event(i + 1, before, now) + "\n");
+                    String newEntry = ManagerHarness.entry("s-new-" + i, server.port(), "in_service", 0);
+                    harness.bus.write(ManagerHarness.event(i + 1, previousEntry, newEntry) + "\n");
                     harness.waitUntil(() -> harness.process.counts().get("servers") == 1);
                     viewer.send(ManagerHarness.setUp(i));
                     FakeServer.Received setUp = server.acceptSetUp();
                     assertEquals(i, viewer.next(MessageType.ANM).sessionId());
-                    // one session has an unlisted server, two releases are of unknown sessions, one timeout is
-                    // cancelled, one session ends normally
+                    // in each round one session has an unlisted server, two releases are of unknown sessions, one
+                    // timeout is cancelled and one session ends normally
                     viewer.send(ManagerHarness.setUp(
                             1_000_000 + i, "talk", "home:0;copies:12;top:2;viewer:00a1;at:s-nowhere-" + i));
                     viewer.send(Message.release(2_000_000 + i, Cause.NORMAL));
                     setUp.peer().send(Message.release(3_000_000 + i, Cause.NORMAL), Message.release(i, Cause.NORMAL));
-                    // releases of earlier rounds, which had no connection then, come as well
-                    Message over;
+                    // releases of earlier rounds, which waited for a connection, come as well
+                    Message release;
                     do {
-                        over = viewer.next(MessageType.REL);
-                    } while (over.sessionId() != i);
-                    before = ManagerHarness.entry("s-new-" + i, server.port(), "terminated", 0);
+                        release = viewer.next(MessageType.REL);
+                    } while (release.sessionId() != i);
+                    previousEntry = ManagerHarness.entry("s-new-" + i, server.port(), "terminated", 0);
                 }
                 // the bus is silent during this time, so the client connects again
                 harness.clock.advance(ROUND_MS);
             }
             harness.bus.nextRequest();
-            harness.bus.write(ManagerHarness.event(ROUNDS + 2, before) + "\n");
+            harness.bus.write(ManagerHarness.event(ROUNDS + 2, previousEntry) + "\n");
             harness.waitUntil(() -> {
                 Map<String, Long> counts = harness.process.counts();
                 return counts.get("servers") == 0
--- a/manager/src/test/java/calicovale/manager/servers/ServerReportParserTest.java
+++ b/manager/src/test/java/calicovale/manager/servers/ServerReportParserTest.java
@@ -19,13 +19,13 @@
 
     @Test
     void numbersDependOnNamesOnlyAndAreUnique() {
-        ServerNumbers one = new ServerNumbers();
-        ServerNumbers two = new ServerNumbers();
-        two.numberOf("s-other");
-        assertEquals(one.numberOf("s-19023c84"), two.numberOf("s-19023c84"));
+        ServerNumbers numbers = new ServerNumbers();
+        ServerNumbers otherNumbers = new ServerNumbers();
+        otherNumbers.numberOf("s-other");
+        assertEquals(numbers.numberOf("s-19023c84"), otherNumbers.numberOf("s-19023c84"));
         // two names with the same checksum
-        assertNotEquals(one.numberOf("plumless"), one.numberOf("buckeroo"));
-        one.forget("s-19023c84");
-        assertEquals(2, one.size());
+        assertNotEquals(numbers.numberOf("plumless"), numbers.numberOf("buckeroo"));
+        numbers.forget("s-19023c84");
+        assertEquals(2, numbers.size());
     }
 }
--- a/manager/src/test/java/calicovale/manager/sessions/SessionTableTest.java
+++ b/manager/src/test/java/calicovale/manager/sessions/SessionTableTest.java
@@ -91,12 +91,12 @@
                     all.stream().filter(s -> s.state() == state).count(), testedTable.count(state), state.toString());
         }
         for (long server = 0; server < 2; server++) {
-            long at = server;
+            long serverNumber = server;
             assertEquals(
                     all.stream()
-                            .filter(s -> s.state() == State.PLAYING && s.server() == at)
+                            .filter(s -> s.state() == State.PLAYING && s.server() == serverNumber)
                             .count(),
-                    testedTable.playingCountAt(at));
+                    testedTable.playingCountAt(serverNumber));
         }
         assertEquals(all.stream().filter(s -> s.state() != State.ENDED).count(), testedTable.size());
     }
