--- a/gossip/src/main/java/calicovale/gossip/claims/BoxOutcomes.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/BoxOutcomes.java
@@ -89,7 +89,7 @@
             }
         }
         double strength = failures / (double) outcomes.size();
-        // A box that has worked since its last failure is no longer claimed.
+        // No claim is made on a box that has worked since its last failure.
         if (lastFailure == null
                 || strength < settings.minStrength()
                 || outcomes.peekLast().kind() == null) {
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimEvaluator.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimEvaluator.java
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 
 /**
- * Evaluates the statements of all members into evidence from 0 to 1 against each box. Evidence begins at a quorum of
- * members and is kept down to half of it. Toward the quorum of a box a member counts with its weight, at most 1,
- * however many statements it sends; the evidence that it contributes is divided among the boxes that it claims. A
- * recent own success at a box overrides all claims. A member whose claims are contradicted by own observations loses
- * weight, which it recovers over time.
+ * Evaluates the statements of all members into evidence from 0 to 1 against each box. Evidence begins when a quorum of
+ * members claims trouble at the box, and is kept until fewer than half of the quorum do. Toward the quorum of a box a
+ * member counts with its weight, at most 1, however many statements it sends; the evidence that it contributes is
+ * divided among the boxes that it has claims on. A recent success of this member at a box overrides all claims. A
+ * member whose claims are contradicted by this member's observations loses weight, which it recovers over time.
  */
 public final class ClaimEvaluator {
     /**
@@ -87,8 +87,8 @@
     private long contradictions;
 
     /**
-     * Creates the evaluation of one member; {@code self} is its id, {@code maxBoxes} the largest number of boxes with
-     * own outcomes.
+     * Creates the evaluation of one member; {@code self} is its id, {@code maxBoxes} the largest number of boxes whose
+     * outcomes at this member are remembered.
      */
     public ClaimEvaluator(ClaimSettings settings, String self, int maxBoxes) {
         this.settings = settings;
@@ -96,7 +96,7 @@
         this.maxBoxes = maxBoxes;
     }
 
-    /** Returns the number of other members' claims that own observations contradicted. */
+    /** Returns the number of other members' claims that this member's observations contradicted. */
     public long contradictions() {
         return contradictions;
     }
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Records an own set-up that succeeded or failed; repeated success lowers the weight of the members that claim
-     * trouble at the box.
+     * Records a set-up of this member that succeeded or failed; repeated success lowers the weight of the members that
+     * claim trouble at the box.
      */
     public void recordOutcome(
             double nowMs, long box, boolean success, Collection<StatementStore.StoredStatement> statements) {
--- a/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
@@ -9,7 +9,8 @@
 
 /**
  * The latest statement of each member, including this one, and the queue of those still to be disseminated. A statement
- * is stored only once its proof was verified, so that a relaying member can neither change nor repeat it as new.
+ * is stored only once its proof was verified, so that a relaying member can neither change a statement nor pass off an
+ * old one as new.
  */
 public final class StatementStore {
     /** Least change of a claim's strength for which a new statement is made before the refresh interval is over. */
--- a/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
@@ -21,8 +21,8 @@
  * @param buddySystem whether each ping to a suspected member carries the suspicion (Lifeguard's buddy system)
  * @param maxUpdatesPerMessage largest number of updates in one message other than a push-pull
  * @param maxMembers largest number of members known, and of indirect probes made for others at a time
- * @param maxFalseSuspicions number of suspicions that a member raised alone and that were refuted, from which on its
- *     suspicions need a second reporter
+ * @param maxFalseSuspicions number of refuted suspicions, raised by a member alone, at which its further suspicions
+ *     need a second reporter
  * @param deadRetentionMs time for which a member that is dead or has left is remembered
  */
 public record MemberSettings(
--- a/gossip/src/main/java/calicovale/gossip/member/Membership.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Membership.java
@@ -45,7 +45,8 @@
         private double sinceMs;
         private Suspicion suspicion;
         private Update lastOwnUpdate;
-        private String untrustedReporter;
+        /** Distrusted member whose suspicion of this one needs a second reporter; null if there is none. */
+        private String distrustedReporter;
 
         private Member(String id) {
             this.id = id;
@@ -116,9 +117,7 @@
      * requester's time.
      */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
-    /**
-     * Half-life of counted false suspicions, in ms. The network faults that cause some of them last about as long.
-     */
+    /** Half-life of counted false suspicions, in ms; about as long as the network faults that cause some of them. */
     private static final double FALSE_SUSPICION_HALF_LIFE_MS = 60_000;
 
     private final MemberSettings settings;
@@ -149,7 +148,7 @@
      *
      * @param incarnation above that of any earlier process of this member if that is known; otherwise the member learns
      *     of the earlier one from the others
-     * @param seeds addresses by which it joins; contacted again whenever it knows no present member
+     * @param seeds addresses of members through which it joins; contacted again whenever it knows no present member
      */
     public Membership(
             MemberSettings settings,
@@ -241,7 +240,7 @@
                     .append(member.address)
                     .append(member.incarnation)
                     .append(member.state)
-                    .append(member.untrustedReporter);
+                    .append(member.distrustedReporter);
             target.append(member.suspicion == null ? "" : Double.toString(member.suspicion.endMs()));
         }
         target.append(probeOrder)
@@ -268,7 +267,7 @@
 
     // --- Time ---
 
-    /** Starts the timers and joins the group by the seeds. */
+    /** Starts the timers and joins the group through the seeds. */
     public void start(double nowMs) {
         self.sinceMs = nowMs;
         nextProbeMs = nowMs + settings.probeIntervalMs() * random.nextDouble();
@@ -594,17 +593,17 @@
             }
             return;
         }
-        if (member.state != State.ALIVE || update.reporter().equals(member.untrustedReporter) || !verify(update)) {
+        if (member.state != State.ALIVE || update.reporter().equals(member.distrustedReporter) || !verify(update)) {
             return;
         }
         String reporter = update.reporter();
         if (!reporter.equals(self.id) && isDistrusted(reporter, nowMs)) {
-            if (member.untrustedReporter == null) {
-                member.untrustedReporter = reporter;
+            if (member.distrustedReporter == null) {
+                member.distrustedReporter = reporter;
                 return;
             }
         }
-        String earlierReporter = member.untrustedReporter;
+        String earlierReporter = member.distrustedReporter;
         setState(member, State.SUSPECT, update.incarnation(), nowMs);
         int possibleConfirmers = presentCount() - 2;
         double minTimeoutMs = settings.suspicionMultiplier()
@@ -689,7 +688,7 @@
         State before = member.state;
         member.incarnation = incarnation;
         member.suspicion = null;
-        member.untrustedReporter = null;
+        member.distrustedReporter = null;
         if (member.state != state) {
             member.state = state;
             member.sinceMs = nowMs;
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -398,7 +398,7 @@
         });
     }
 
-    /** Records an own set-up or delivery at a box; {@code kind} is null for a success. */
+    /** Records the outcome of this member's set-up or delivery at a box; {@code kind} is null for a success. */
     public void recordOutcome(long box, Claim.Kind kind) {
         double nowMs = nowMs();
         outcomes.recordOutcome(nowMs, box, kind);
--- a/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
@@ -19,7 +19,7 @@
  * @param group name of the group, part of everything that is signed
  * @param member id of this member
  * @param listen address for datagrams and connections
- * @param seeds addresses by which the member joins
+ * @param seeds addresses of members through which this one joins
  * @param keyFile file with the private key; read again periodically
  * @param rosterFolder folder with keys, certificates and revocations
  * @param authority the operators' key that certifies members, or null if keys in the folder are valid without being
--- a/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
+++ b/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
@@ -55,10 +55,12 @@
     }
 
     /** Returns the fault of a folder whose files could not be listed: what is expected, and the reason. */
-    static String unreadableFault(Path folder, IOException e) {
-        String reason = e instanceof NoSuchFileException
+    static String unreadableFault(Path folder, IOException exception) {
+        String reason = exception instanceof NoSuchFileException
                 ? "the folder does not exist"
-                : e instanceof NotDirectoryException ? "it is not a folder" : Documents.unreadableReason(e);
+                : exception instanceof NotDirectoryException
+                        ? "it is not a folder"
+                        : Documents.unreadableReason(exception);
         return folder + ": /: a readable folder is expected (" + reason + ")";
     }
 
--- a/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
+++ b/gossip/src/main/java/calicovale/gossip/sim/GroupSimulator.java
@@ -165,8 +165,8 @@
     }
 
     /**
-     * Starts {@code count} members that join by the first. Messages to the first {@code slowMembers} of them take up to
-     * {@code maxExtraDelayMs} longer.
+     * Starts {@code count} members that join through the first. Messages to the first {@code slowMembers} of them take
+     * up to {@code maxExtraDelayMs} longer.
      */
     public void start(int count, int slowMembers, double maxExtraDelayMs) {
         for (int i = 0; i < count; i++) {
@@ -199,7 +199,7 @@
         nodes.get(id).running = false;
     }
 
-    /** Restarts a member's process with an incarnation, as taken from a clock or from the start value. */
+    /** Restarts a member's process, whose first incarnation is given: 1 as at the start, or one taken from a clock. */
     public void restart(String id, long incarnation) {
         nodes.get(id).start(incarnation, List.of("m0", "m1"));
     }
--- a/gossip/src/main/java/calicovale/gossip/wire/Codec.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Codec.java
@@ -31,7 +31,7 @@
      * of its key.
      */
     private static final int MAX_PROOF_BYTES = 400;
-    /** Units of a strength of 1 on the wire, where strengths are whole per cents. */
+    /** Value on the wire of a strength of 1; strengths are sent as integer percentages. */
     private static final double STRENGTH_UNITS = 100;
     /** Largest age or validity of a claim, in ms; one day is far above any setting. */
     private static final long MAX_CLAIM_MS = 86_400_000;
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -142,7 +142,8 @@
      * @param receiver the address that the sender must have sent to, or the reference of the message that this one
      *     replies to
      * @param source where the message came from; each key has a rate of its own at the sources from which its messages
-     *     were verified, and all other sources share one rate, so that a flood from there does not silence the member
+     *     were verified, and all other sources share one rate, so that a flood from them does not block the messages of
+     *     members
      */
     public Opened open(double nowMs, double wallMs, String receiver, String source, byte[] bytes, int length) {
         if (length < OVERHEAD_BYTES || bytes[0] != 'c' || bytes[1] != 'v') {
--- a/gossip/src/main/java/calicovale/gossip/wire/MalformedMessageException.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package calicovale.gossip.wire;
 
-/** A message does not follow the wire format; the text says what was expected. */
+/** Thrown for a message that does not follow the wire format; the text says what was expected. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/gossip/src/main/java/calicovale/gossip/wire/ReplayGuard.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/ReplayGuard.java
@@ -5,8 +5,8 @@
 
 /**
  * Rejects replayed messages. For each key it accepts only the latest epoch, and each sequence number of that epoch only
- * once, by a sliding window (RFC 4303, section 3.4.3). When there is no room for a new sender, those are removed that
- * were silent for longer than an old message passes for new.
+ * once, by a sliding window (RFC 4303, section 3.4.3). When there is no room for a new sender, senders are removed
+ * that were silent for the retention time, after which their recorded messages are too old to be accepted.
  */
 final class ReplayGuard {
     /** Length of the window in sequence numbers; a message that is that far behind the highest is rejected. */
--- a/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ClaimsTest.java
@@ -153,9 +153,9 @@
                 evaluator.reporterWeight("false-reporter", 27_100) < 0.1,
                 evaluator.reporterWeight("false-reporter", 27_100) + "");
         assertEquals(1, evaluator.reporterWeight("honest", 27_100));
-        // Three reporters with such weights don't amount to two members.
         assertTrue(
                 evaluator.contradictions() >= 9 && evaluator.contradictions() <= 10, evaluator.contradictions() + "");
+        // With such a weight, the reporter and one other member are below the quorum of two.
         receive(27_200, "honest", 8);
         receive(27_200, "false-reporter", 8);
         assertEquals(0, evidence(27_300, 5, 8));
--- a/gossip/src/test/java/calicovale/gossip/GroupTest.java
+++ b/gossip/src/test/java/calicovale/gossip/GroupTest.java
@@ -176,16 +176,17 @@
 
     @Test
     void lifeguardLowersFalseDetectionsUnderLossAndStallsAndTheGroupConverges() {
-        for (double[] trouble : new double[][] {{0.3, 0}, {0, 8000}}) {
+        for (double[] lossAndMaxStallMs : new double[][] {{0.3, 0}, {0, 8000}}) {
             long with = 0;
             long without = 0;
             for (long seed = 1; seed <= 2; seed++) {
-                with += falseDetections(LAN, seed, trouble[0], trouble[1]);
-                without += falseDetections(LAN.withoutLifeguard(), seed, trouble[0], trouble[1]);
+                with += falseDetections(LAN, seed, lossAndMaxStallMs[0], lossAndMaxStallMs[1]);
+                without += falseDetections(LAN.withoutLifeguard(), seed, lossAndMaxStallMs[0], lossAndMaxStallMs[1]);
             }
             assertTrue(
                     2 * with < without,
-                    "loss " + trouble[0] + ", stalls " + trouble[1] + ": " + with + " with, " + without + " without");
+                    "loss " + lossAndMaxStallMs[0] + ", stalls " + lossAndMaxStallMs[1] + ": " + with + " with, "
+                            + without + " without");
         }
     }
 
--- a/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
+++ b/gossip/src/test/java/calicovale/gossip/ModelCheckTest.java
@@ -110,8 +110,8 @@
             runFairly(1500);
             inFlight.clear();
             for (int i = 0; i < 3; i++) {
-                for (int of = 0; of < 3; of++) {
-                    assertEquals(State.ALIVE, members[i].state("m" + of));
+                for (int other = 0; other < 3; other++) {
+                    assertEquals(State.ALIVE, members[i].state("m" + other));
                 }
             }
         }
@@ -337,8 +337,8 @@
                             .map(update ->
                                     update.memberId() + update.incarnation() + update.state() + update.reporter())
                             .toList()
-                    + (message instanceof Message.Claims c
-                            ? c.statements().toString().replaceAll("\\[B@[0-9a-f]+", "")
+                    + (message instanceof Message.Claims claims
+                            ? claims.statements().toString().replaceAll("\\[B@[0-9a-f]+", "")
                             : "");
         }
     }
--- a/gossip/src/test/java/calicovale/gossip/net/GossipNodesTest.java
+++ b/gossip/src/test/java/calicovale/gossip/net/GossipNodesTest.java
@@ -292,9 +292,9 @@
     }
 
     /** Runs the group under network faults, in which no member may be declared dead; afterwards all agree. */
-    private static void assertNoDeathsUnderFaults(Group group, NetworkConditions conditions, long ms) {
+    private static void assertNoDeathsUnderFaults(Group group, NetworkConditions conditions, long durationMs) {
         group.setNetworkConditions(conditions);
-        Group.pause(ms);
+        Group.pause(durationMs);
         assertEquals(0, group.deadTransitions());
         group.setNetworkConditions(NetworkConditions.NO_FAULTS);
         group.awaitAgreement();
--- a/gossip/src/test/java/calicovale/gossip/net/Group.java
+++ b/gossip/src/test/java/calicovale/gossip/net/Group.java
@@ -27,7 +27,7 @@
 
 /** A group of members with sockets, keys and a roster of their own, each on its own event loop. */
 final class Group implements AutoCloseable {
-    /** Generous, because no verdict depends on it; only a failing test waits that long. */
+    /** Upper bound of a wait, in ms. It is long because no passing test depends on it. */
     private static final long AWAIT_TIMEOUT_MS = 40_000;
 
     /** One member's process. */
@@ -190,7 +190,7 @@
         return instances.get("m" + number);
     }
 
-    /** Starts all members that are not running; they join by those that are, or by the first. */
+    /** Starts all members that are not running; they join through those that are, or through the first. */
     void startAll() {
         List<String> seeds = new ArrayList<>();
         instances.values().stream()
@@ -273,9 +273,9 @@
     }
 
     /** Lets the group run on for a time; what is checked afterwards must hold however long it was. */
-    static void pause(long ms) {
+    static void pause(long durationMs) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(durationMs);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
--- a/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
+++ b/gossip/src/test/java/calicovale/gossip/wire/WireTest.java
@@ -72,8 +72,8 @@
     private final Ed25519.TextKeyPair keyA = pair();
     private final Ed25519.TextKeyPair keyB = pair();
     private final List<Roster.Entry> both = List.of(entry("a", keyA), entry("b", keyB));
-    private final TestMember a = new TestMember("g", keyA, 100, both);
-    private final TestMember b = new TestMember("g", keyB, 100, both);
+    private final TestMember memberA = new TestMember("g", keyA, 100, both);
+    private final TestMember memberB = new TestMember("g", keyB, 100, both);
 
     private static List<Message> oneMessageOfEachForm() {
         byte[] proof = new byte[72];
@@ -195,16 +195,16 @@
     @Test
     void anEnvelopeIsOpenedOnceAndOnlyByItsReceiver() {
         byte[] message = {1, 2, 3};
-        byte[] sealed = a.envelopes.seal(WALL_MS, "b:1", message, false);
-        Opened opened = b.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length);
+        byte[] sealed = memberA.envelopes.seal(WALL_MS, "b:1", message, false);
+        Opened opened = memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length);
         assertEquals("a", opened.sender());
         assertArrayEquals(message, Arrays.copyOfRange(sealed, opened.messageOffset(), sealed.length));
-        assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length));
-        assertEquals(1, b.dropped(Drop.REPLAYED));
+        assertNull(memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length));
+        assertEquals(1, memberB.dropped(Drop.REPLAYED));
         // Redirected to another member, whose replay guard has not seen it.
-        TestMember c = new TestMember("g", pair(), 100, both);
-        assertNull(c.envelopes.open(0, WALL_MS, "c:1", "a:1", sealed, sealed.length));
-        assertEquals(1, c.dropped(Drop.SIGNATURE));
+        TestMember memberC = new TestMember("g", pair(), 100, both);
+        assertNull(memberC.envelopes.open(0, WALL_MS, "c:1", "a:1", sealed, sealed.length));
+        assertEquals(1, memberC.dropped(Drop.SIGNATURE));
         // Redirected into another group.
         TestMember other = new TestMember("h", keyB, 100, both);
         assertNull(other.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, sealed.length));
@@ -213,105 +213,106 @@
 
     @Test
     void invalidEnvelopesAreDroppedEachForItsReason() {
-        byte[] sealed = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1, 2, 3}, false);
+        byte[] sealed = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1, 2, 3}, false);
         for (int cut = 0; cut < sealed.length; cut++) {
-            assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, cut));
+            assertNull(memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", sealed, cut));
         }
-        int signed = 0;
+        int forgedCount = 0;
         for (int i = 0; i < sealed.length; i++) {
             byte[] forged = sealed.clone();
             forged[i] ^= 1;
-            assertNull(b.envelopes.open(10_000.0 * i, WALL_MS, "b:1", "a:1", forged, forged.length), "byte " + i);
-            signed++;
+            assertNull(memberB.envelopes.open(10_000.0 * i, WALL_MS, "b:1", "a:1", forged, forged.length), "byte " + i);
+            forgedCount++;
         }
-        assertEquals(sealed.length, signed);
+        assertEquals(sealed.length, forgedCount);
         assertTrue(
-                b.dropped(Drop.SIGNATURE) > 64
-                        && b.dropped(Drop.UNKNOWN_KEY) >= 8
-                        && b.dropped(Drop.VERSION) > 0
-                        && b.dropped(Drop.SKEWED) > 0,
-                b.envelopes.drops().toString());
-        assertNull(b.envelopes.open(0, WALL_MS + 30_001, "b:1", "a:1", sealed, sealed.length));
-        assertNull(b.envelopes.open(0, WALL_MS - 30_001, "b:1", "a:1", sealed, sealed.length));
+                memberB.dropped(Drop.SIGNATURE) > 64
+                        && memberB.dropped(Drop.UNKNOWN_KEY) >= 8
+                        && memberB.dropped(Drop.VERSION) > 0
+                        && memberB.dropped(Drop.SKEWED) > 0,
+                memberB.envelopes.drops().toString());
+        assertNull(memberB.envelopes.open(0, WALL_MS + 30_001, "b:1", "a:1", sealed, sealed.length));
+        assertNull(memberB.envelopes.open(0, WALL_MS - 30_001, "b:1", "a:1", sealed, sealed.length));
         // Signed with a key that no roster lists.
         TestMember unlistedMember = new TestMember("g", pair(), 100, both);
         byte[] own = unlistedMember.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
-        long unknown = b.dropped(Drop.UNKNOWN_KEY);
-        assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", own, own.length));
-        assertEquals(unknown + 1, b.dropped(Drop.UNKNOWN_KEY));
+        long unknown = memberB.dropped(Drop.UNKNOWN_KEY);
+        assertNull(memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", own, own.length));
+        assertEquals(unknown + 1, memberB.dropped(Drop.UNKNOWN_KEY));
         // None of these has used up the sequence number of the genuine message.
-        assertNotNull(b.envelopes.open(1e9, WALL_MS, "b:1", "a:1", sealed, sealed.length));
+        assertNotNull(memberB.envelopes.open(1e9, WALL_MS, "b:1", "a:1", sealed, sealed.length));
     }
 
     @Test
     void theReplayWindowAcceptsLateMessagesOnceAndEarlierEpochsNever() {
         List<byte[]> sent = new ArrayList<>();
         for (int i = 0; i < 1500; i++) {
-            sent.add(a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false));
+            sent.add(memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false));
         }
         double nowMs = 0;
         for (int i : new int[] {0, 1400, 1399, 500, 1499}) {
             assertNotNull(
-                    b.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", sent.get(i), sent.get(i).length),
+                    memberB.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", sent.get(i), sent.get(i).length),
                     "number " + i);
         }
         // Too far behind the window, or received before.
         for (int i : new int[] {1, 0, 1400, 500}) {
             assertNull(
-                    b.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", sent.get(i), sent.get(i).length),
+                    memberB.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", sent.get(i), sent.get(i).length),
                     "number " + i);
         }
-        assertEquals(4, b.dropped(Drop.REPLAYED));
+        assertEquals(4, memberB.dropped(Drop.REPLAYED));
         TestMember later = new TestMember("g", keyA, 101, both);
         byte[] next = later.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
-        assertNotNull(b.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", next, next.length));
-        assertNull(b.envelopes.open(nowMs + 1000, WALL_MS, "b:1", "a:1", sent.get(1498), sent.get(1498).length));
-        assertEquals(5, b.dropped(Drop.REPLAYED));
+        assertNotNull(memberB.envelopes.open(nowMs += 1000, WALL_MS, "b:1", "a:1", next, next.length));
+        assertNull(memberB.envelopes.open(nowMs + 1000, WALL_MS, "b:1", "a:1", sent.get(1498), sent.get(1498).length));
+        assertEquals(5, memberB.dropped(Drop.REPLAYED));
     }
 
     @Test
     void aFloodFromUnknownSourcesDoesNotSilenceAMember() {
-        byte[] first = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
-        assertNotNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", first, first.length));
-        byte[] forged = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        byte[] first = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNotNull(memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", first, first.length));
+        byte[] forged = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         forged[40] ^= 1;
         int accepted = 0;
         for (int ms = 0; ms < 5000; ms++) {
             for (int i = 0; i < 20; i++) {
-                assertNull(b.envelopes.open(ms, WALL_MS, "b:1", "x:" + i, forged, forged.length));
+                assertNull(memberB.envelopes.open(ms, WALL_MS, "b:1", "x:" + i, forged, forged.length));
             }
             if (ms % 100 == 0) {
-                byte[] good = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
-                accepted += b.envelopes.open(ms, WALL_MS, "b:1", "a:1", good, good.length) != null ? 1 : 0;
+                byte[] good = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+                accepted += memberB.envelopes.open(ms, WALL_MS, "b:1", "a:1", good, good.length) != null ? 1 : 0;
             }
         }
         assertEquals(50, accepted);
         // Of 100,000 messages, only a burst of two seconds' worth and then the rate are verified.
         assertTrue(
-                b.dropped(Drop.SIGNATURE) <= LIMITS.unknownSourceRatePerS() * 7 + 1,
-                b.envelopes.drops().toString());
-        assertTrue(b.dropped(Drop.RATE) > 90_000);
+                memberB.dropped(Drop.SIGNATURE) <= LIMITS.unknownSourceRatePerS() * 7 + 1,
+                memberB.envelopes.drops().toString());
+        assertTrue(memberB.dropped(Drop.RATE) > 90_000);
     }
 
     @Test
     void aKeyIsReplacedWhileTheOldOneIsValidAndARevokedKeyIsRejected() {
         Ed25519.TextKeyPair next = pair();
-        b.roster.replaceListed(List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
-        byte[] old = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
-        assertNotNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", old, old.length));
-        a.signer.replaceKey(
+        memberB.roster.replaceListed(
+                List.of(entry("a", keyA), entry("a", next), entry("b", keyB)), List.of(), Set.of());
+        byte[] old = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNotNull(memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", old, old.length));
+        memberA.signer.replaceKey(
                 Ed25519.privateKey(next.privateKey()), Ed25519.rawPublicKey(Ed25519.publicKey(next.publicKey())), null);
-        byte[] renewed = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        byte[] renewed = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
         assertEquals(
                 "a",
-                b.envelopes
+                memberB.envelopes
                         .open(0, WALL_MS, "b:1", "a:1", renewed, renewed.length)
                         .sender());
         long id = Ed25519.keyId(Ed25519.rawPublicKey(Ed25519.publicKey(next.publicKey())));
-        b.roster.replaceListed(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
-        byte[] revoked = a.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
-        assertNull(b.envelopes.open(0, WALL_MS, "b:1", "a:1", revoked, revoked.length));
-        assertEquals(1, b.dropped(Drop.UNKNOWN_KEY));
+        memberB.roster.replaceListed(List.of(entry("a", next), entry("b", keyB)), List.of(), Set.of(id));
+        byte[] revoked = memberA.envelopes.seal(WALL_MS, "b:1", new byte[] {1}, false);
+        assertNull(memberB.envelopes.open(0, WALL_MS, "b:1", "a:1", revoked, revoked.length));
+        assertEquals(1, memberB.dropped(Drop.UNKNOWN_KEY));
     }
 
     @Test
@@ -326,7 +327,7 @@
         Certificate expired = Certificate.sign(authorityKey, "g", "a", rawA, 0, (long) WALL_MS);
         for (Certificate certificate : List.of(selfSigned, ofAnotherGroup, expired, good)) {
             Roster roster = new Roster("g", Ed25519.publicKey(authority.publicKey()), 10);
-            Envelopes receiver = new Envelopes(roster, b.signer, LIMITS, 1, 0);
+            Envelopes receiver = new Envelopes(roster, memberB.signer, LIMITS, 1, 0);
             Roster own = new Roster("g", Ed25519.publicKey(authority.publicKey()), 10);
             Signer signer = new Signer(own, () -> WALL_MS, Ed25519.privateKey(keyA.privateKey()), rawA, certificate);
             Envelopes sender = new Envelopes(own, signer, LIMITS, 1, 0);
@@ -350,8 +351,8 @@
     @Test
     void proofsHoldOnlyForTheirContentAndAuthor() {
         Update update = Update.withoutProof("a", "a:1", 5, State.ALIVE, "a");
-        update = update.withProof(a.signer.prove(update));
-        assertTrue(b.signer.verify(update));
+        update = update.withProof(memberA.signer.prove(update));
+        assertTrue(memberB.signer.verify(update));
         for (Update forged : List.of(
                 new Update("a", "x:1", 5, State.ALIVE, "a", update.proof()),
                 new Update("a", "a:1", 6, State.ALIVE, "a", update.proof()),
@@ -359,27 +360,27 @@
                 new Update("b", "a:1", 5, State.ALIVE, "b", update.proof()),
                 new Update("a", "a:1", 5, State.ALIVE, "a", new byte[0]),
                 new Update("a", "a:1", 5, State.ALIVE, "a", new byte[72]))) {
-            assertFalse(b.signer.verify(forged), forged.toString());
+            assertFalse(memberB.signer.verify(forged), forged.toString());
         }
         // Another member signs in its name.
         Update inItsName = Update.withoutProof("a", "b:1", 6, State.ALIVE, "a");
-        assertFalse(a.signer.verify(inItsName.withProof(b.signer.prove(inItsName))));
+        assertFalse(memberA.signer.verify(inItsName.withProof(memberB.signer.prove(inItsName))));
         Statement statement =
                 new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
-        statement = new Statement("a", 1, statement.claims(), a.signer.prove(statement));
-        assertTrue(b.signer.verify(statement));
-        assertFalse(b.signer.verify(new Statement("a", 2, statement.claims(), statement.proof())));
-        assertFalse(b.signer.verify(new Statement("a", 1, List.of(), statement.proof())));
+        statement = new Statement("a", 1, statement.claims(), memberA.signer.prove(statement));
+        assertTrue(memberB.signer.verify(statement));
+        assertFalse(memberB.signer.verify(new Statement("a", 2, statement.claims(), statement.proof())));
+        assertFalse(memberB.signer.verify(new Statement("a", 1, List.of(), statement.proof())));
     }
 
     @Test
     void aStatementsProofHoldsAfterEncodingAndDecoding() throws MalformedMessageException {
         Statement statement =
                 new Statement("a", 1, List.of(new Claim(3, Claim.Kind.FAILED, 0.333, 17.4, 6000)), new byte[0]);
-        statement = new Statement("a", 1, statement.claims(), a.signer.prove(statement));
+        statement = new Statement("a", 1, statement.claims(), memberA.signer.prove(statement));
         Codec codec = new Codec(LIMITS);
         byte[] bytes = codec.encode(new Message.Claims(List.of(statement)));
-        assertTrue(b.signer.verify(((Message.Claims) codec.decode(bytes, 0, bytes.length))
+        assertTrue(memberB.signer.verify(((Message.Claims) codec.decode(bytes, 0, bytes.length))
                 .statements()
                 .get(0)));
     }
--- a/protocols/src/main/java/calicovale/protocols/hls/Attributes.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Attributes.java
@@ -9,7 +9,11 @@
 public final class Attributes {
     private final Map<String, String> values = new LinkedHashMap<>();
 
-    /** Parses a list; {@code lineNumber}, from 1, is the line named in error messages. */
+    /**
+     * Parses a list; {@code lineNumber}, from 1, is the line named in error messages.
+     *
+     * @throws HlsException if the list is malformed or has an attribute twice
+     */
     public static Attributes parse(String text, int lineNumber) throws HlsException {
         Attributes result = new Attributes();
         int position = 0;
--- a/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
+++ b/protocols/src/main/java/calicovale/protocols/hls/Playlist.java
@@ -106,7 +106,11 @@
         return value("EXT-X-ENDLIST") != null;
     }
 
-    /** Parses a media or multivariant playlist; lines may end with LF or CR LF. */
+    /**
+     * Parses a media or multivariant playlist; lines may end with LF or CR LF.
+     *
+     * @throws HlsException if the text is not a playlist or is longer than {@link #MAX_CHARS}
+     */
     public static Playlist parse(String text) throws HlsException {
         if (text.length() > MAX_CHARS) {
             throw new HlsException(1, "the playlist has more than " + MAX_CHARS + " characters");
--- a/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
+++ b/protocols/src/main/java/calicovale/protocols/http/CrossOrigin.java
@@ -5,7 +5,8 @@
 
 /**
  * Cross-origin resource sharing (CORS, Fetch standard 3.2): which origins may read this server's responses, including
- * error responses, and how preflight requests are answered. Other origins get no access headers and no reason.
+ * error responses, and how preflight requests are answered. Responses to
+ * other origins have no access headers and do not say why.
  */
 public final class CrossOrigin {
     /** Allows no origin: no header is added, and preflights are handled like any other request. */
@@ -61,7 +62,7 @@
             return ANY;
         }
         List<String> originHeaders = head == null ? List.of() : head.headers().getAll("Origin");
-        // several Origin fields are ambiguous; "null" is the origin of pages that hide theirs and is never in the list
+        // several Origin fields are ambiguous; browsers send "null" for opaque origins, and it is never in the list
         return originHeaders.size() == 1 && origins.contains(originHeaders.get(0)) ? originHeaders.get(0) : null;
     }
 
--- a/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpClient.java
@@ -164,8 +164,8 @@
             private boolean tooLong;
 
             @Override
-            public void onHead(HttpHead h) {
-                head = h;
+            public void onHead(HttpHead responseHead) {
+                head = responseHead;
             }
 
             @Override
--- a/protocols/src/main/java/calicovale/protocols/http/HttpCounters.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpCounters.java
@@ -2,7 +2,7 @@
 
 /** Counters of one server or client since its start. Only its loop's thread writes them. */
 public final class HttpCounters {
-    /** Requests received whole by a server, or calls made of a client, also those that failed before the sending. */
+    /** Requests that a server received whole, or calls of a client, including those that failed before being sent. */
     public long requests;
     /** Responses written whole by a server, or received whole by a client. */
     public long responses;
--- a/protocols/src/main/java/calicovale/protocols/http/HttpLimits.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpLimits.java
@@ -7,10 +7,12 @@
  * @param headerCount maximum number of header fields of a message
  * @param headerBytes maximum size in bytes of all header fields of a message
  * @param bodyBytes maximum size in bytes of a body that is buffered whole
- * @param pipelinedBytes size in bytes of buffered later requests from which on a connection is not read while a
- *     request is being answered
- * @param headMs time in ms for a request's head, from its first byte; a server then responds with 408
- * @param bodyMs time in ms for a request with a body, from its first byte; a server then responds with 408
+ * @param pipelinedBytes number of buffered bytes of pipelined requests at which reading of a connection stops until
+ *     the current request is answered
+ * @param headMs maximum time in ms from the first byte of a request to the end of its head; a server responds with 408
+ *     when it is exceeded
+ * @param bodyMs maximum time in ms from the first byte of a request to the end of its body; a server responds with 408
+ *     when it is exceeded
  * @param idleMs time in ms without a request after which a connection is closed
  * @param connections maximum number of connections of a server; further ones get 503 and are closed
  */
--- a/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
+++ b/protocols/src/main/java/calicovale/protocols/http/HttpWriter.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Serializer of HTTP/1.1 heads and chunks. Field values with control characters are refused. */
+/**
+ * Serializer of HTTP/1.1 heads and chunks. Field values with control characters are refused with an
+ * {@link IllegalArgumentException}.
+ */
 public final class HttpWriter {
     private static final Map<Integer, String> REASON_PHRASES = new HashMap<>();
 
--- a/protocols/src/main/java/calicovale/protocols/json/Documents.java
+++ b/protocols/src/main/java/calicovale/protocols/json/Documents.java
@@ -33,9 +33,9 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
-    /** A location in the parser's messages, which names the parser's option for showing the source. */
+    /** Matches a location in the parser's messages; the text before the group of line and column names an option. */
     private static final Pattern SOURCE_IN_MESSAGE = Pattern.compile("\\[Source: [^;]*; (line: \\d+, column: \\d+)]");
-    /** A part of the parser's messages that names the method of a limit that was exceeded. */
+    /** Matches the part of the parser's messages that names the parser's method for an exceeded limit. */
     private static final Pattern SETTING_IN_MESSAGE = Pattern.compile(", from `[^`]*`");
 
     private static final Map<String, Schema> SCHEMAS = new ConcurrentHashMap<>();
@@ -87,43 +87,46 @@
     }
 
     /** Returns the fault of a file that could not be read: what is expected, and why it could not be read. */
-    public static String unreadableFault(IOException e) {
-        return "a readable text file in UTF-8 is expected (" + unreadableReason(e) + ")";
+    public static String unreadableFault(IOException exception) {
+        return "a readable text file in UTF-8 is expected (" + unreadableReason(exception) + ")";
     }
 
-    /** Returns why a file could not be read. The messages of the exceptions below name only the file or internals. */
-    public static String unreadableReason(IOException e) {
-        if (e instanceof NoSuchFileException) {
+    /**
+     * Returns why a file could not be read. The messages of the exceptions below have only the name of the file or
+     * internal names.
+     */
+    public static String unreadableReason(IOException exception) {
+        if (exception instanceof NoSuchFileException) {
             return "the file does not exist";
         }
-        if (e instanceof AccessDeniedException) {
+        if (exception instanceof AccessDeniedException) {
             return "access is denied";
         }
-        if (e instanceof CharacterCodingException) {
+        if (exception instanceof CharacterCodingException) {
             return "the text is not UTF-8";
         }
-        if (e instanceof FileSystemException fileFault && fileFault.getReason() != null) {
+        if (exception instanceof FileSystemException fileFault && fileFault.getReason() != null) {
             return fileFault.getReason();
         }
-        return e.getMessage() == null ? "reading failed" : e.getMessage();
+        return exception.getMessage() == null ? "reading failed" : exception.getMessage();
     }
 
     /** Returns the fault of a text that is not JSON: the number of the line, what is expected, and the reason. */
-    public static String notJsonFault(JsonProcessingException e) {
-        var location = e.getLocation();
-        return "line " + (location == null ? "?" : location.getLineNr()) + ": JSON is expected (" + notJsonReason(e)
-                + ")";
+    public static String notJsonFault(JsonProcessingException exception) {
+        var location = exception.getLocation();
+        return "line " + (location == null ? "?" : location.getLineNr()) + ": JSON is expected ("
+                + notJsonReason(exception) + ")";
     }
 
     /**
-     * Returns why a text is not JSON. Names of classes are removed from the parser's messages. A mismatch can only be
-     * text after the document; its own message describes it as a fault of the reading program.
+     * Returns why a text is not JSON. Names of classes are removed from the parser's messages. The parser reports a
+     * mismatch only for text after the document, in a message that names a class and a parser option.
      */
-    public static String notJsonReason(JsonProcessingException e) {
-        if (e instanceof MismatchedInputException) {
+    public static String notJsonReason(JsonProcessingException exception) {
+        if (exception instanceof MismatchedInputException) {
             return "more text follows the document";
         }
-        String text = SOURCE_IN_MESSAGE.matcher(e.getOriginalMessage()).replaceAll("$1");
+        String text = SOURCE_IN_MESSAGE.matcher(exception.getOriginalMessage()).replaceAll("$1");
         return SETTING_IN_MESSAGE.matcher(text).replaceAll("");
     }
 
--- a/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
+++ b/protocols/src/main/java/calicovale/protocols/net/EventLoop.java
@@ -381,8 +381,8 @@
         queueExpiredTimers();
         runDeferred();
         for (SelectionKey key : ready) {
-            if (key.isValid() && key.attachment() instanceof Connection c && key.isWritable()) {
-                runForConnection(c, c::handleWritable);
+            if (key.isValid() && key.attachment() instanceof Connection connection && key.isWritable()) {
+                runForConnection(connection, connection::handleWritable);
             }
         }
     }
@@ -402,8 +402,8 @@
     private void readReady(List<SelectionKey> ready) {
         List<Connection> readyConnections = new ArrayList<>(ready.size());
         for (SelectionKey key : ready) {
-            if (key.attachment() instanceof Connection c) {
-                readyConnections.add(c);
+            if (key.attachment() instanceof Connection connection) {
+                readyConnections.add(connection);
             } else if (key.isValid() && key.attachment() instanceof UdpSocket datagrams) {
                 runGuarded(() -> datagrams.handleReadable(readBuffer));
             }
--- a/protocols/src/main/java/calicovale/protocols/net/SkewedClock.java
+++ b/protocols/src/main/java/calicovale/protocols/net/SkewedClock.java
@@ -11,9 +11,9 @@
         this.offsetMs = offsetMs;
     }
 
-    /** Steps the wall time by {@code ms}. The monotonic time does not change, as on a real machine. */
-    public void step(double ms) {
-        offsetMs += ms;
+    /** Steps the wall time by {@code deltaMs}. The monotonic time does not change, as on a real machine. */
+    public void step(double deltaMs) {
+        offsetMs += deltaMs;
     }
 
     @Override
--- a/protocols/src/test/java/calicovale/protocols/http/CrossOriginTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/CrossOriginTest.java
@@ -27,21 +27,22 @@
     }
 
     private String exchange(CrossOrigin permitted, String request) throws IOException {
-        HttpServer server = new HttpServer(loop, "server", HttpLimits.DEFAULT, x -> {
-                    switch (x.head().path()) {
+        HttpServer server = new HttpServer(loop, "server", HttpLimits.DEFAULT, exchange -> {
+                    switch (exchange.head().path()) {
                         case "/fail" -> throw new IllegalStateException("handler error");
                         case "/refused" ->
-                            x.problem(503, new Headers().add("Retry-After", "2"), "Service Unavailable", "no room", "");
+                            exchange.problem(
+                                    503, new Headers().add("Retry-After", "2"), "Service Unavailable", "no room", "");
                         case "/stream" -> {
-                            BodyStream out = x.stream(200, new Headers(), 2);
+                            BodyStream out = exchange.stream(200, new Headers(), 2);
                             out.write(new byte[] {'o', 'k'});
                             out.end();
                         }
                         case "/broken" -> {
-                            x.stream(200, new Headers(), 99).write(new byte[] {'o'});
+                            exchange.stream(200, new Headers(), 99).write(new byte[] {'o'});
                             throw new IllegalStateException("handler error after the response has begun");
                         }
-                        default -> x.respond(200, "text/plain", "ok");
+                        default -> exchange.respond(200, "text/plain", "ok");
                     }
                 })
                 .crossOrigin(permitted);
--- a/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
+++ b/protocols/src/test/java/calicovale/protocols/http/HttpServerTest.java
@@ -318,8 +318,8 @@
     private static final class ManualClock implements Clock {
         private volatile long nowNanos;
 
-        void setMs(long ms) {
-            nowNanos = TimeUnit.MILLISECONDS.toNanos(ms);
+        void setMs(long nowMs) {
+            nowNanos = TimeUnit.MILLISECONDS.toNanos(nowMs);
         }
 
         @Override
--- a/protocols/src/test/java/calicovale/protocols/json/DocumentsTest.java
+++ b/protocols/src/test/java/calicovale/protocols/json/DocumentsTest.java
@@ -29,10 +29,10 @@
 
     /** Returns the only fault of a file, without the file's name in front. */
     private static String faultOf(Path file) {
-        InvalidDocumentException e = assertThrows(
+        InvalidDocumentException exception = assertThrows(
                 InvalidDocumentException.class, () -> Documents.read(file, DocumentsTest.class, UNUSED_SCHEMA));
-        assertEquals(1, e.faults().size(), e.faults().toString());
-        String fault = e.faults().get(0);
+        assertEquals(1, exception.faults().size(), exception.faults().toString());
+        String fault = exception.faults().get(0);
         String prefix = file + ": ";
         assertTrue(fault.startsWith(prefix), fault);
         String text = fault.substring(prefix.length());
