--- a/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/calicovale/rehearsal/HardCasesTest.java
@@ -78,6 +78,17 @@
         }
     }
 
+    /** The counter's name is put together from the outcome's name, so renaming the outcome would change it. */
+    @Test
+    void failedSetUpIsCountedUnderItsOutcome() throws Exception {
+        try (RehearsalHarness harness = new RehearsalHarness(state)) {
+            applyToAllBoxesBut(harness, -1, box -> box.faults().setUpErrorShare = 1);
+            assertNotEquals(200, harness.requestLecture("talk", "v1").statusCode());
+            RehearsalHarness.await("the failed attempt is counted", () -> harness.counter("attempts-error") > 0);
+            harness.finishAndAssertRulesKept();
+        }
+    }
+
     @Test
     void crashedBoxIsReplacedAtNextPlaylistReload() throws Exception {
         try (RehearsalHarness harness = new RehearsalHarness(state)) {
