--- a/gossip/src/main/java/calicovale/gossip/claims/BoxOutcomes.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/BoxOutcomes.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Recent outcomes that this member observed at boxes, from which it makes its claims. Times are in ms of one monotonic
- * clock.
+ * Recent outcomes that this member observed at boxes, from which it makes its claims. All times are in ms of one
+ * monotonic clock.
  */
 public final class BoxOutcomes {
     /** Number of outcomes kept for each box, enough for a strength in steps of a few per cent. */
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimEvaluator.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimEvaluator.java
@@ -9,10 +9,11 @@
 import java.util.TreeMap;
 
 /**
- * Evaluates the statements of all members into evidence from 0 to 1 against each box. There is evidence only from a
- * quorum of members on. Each member has a total weight of at most 1, which is divided among the boxes that it claims,
- * however many statements it sends. A recent own success at a box overrides all claims. A member whose claims are
- * contradicted by own observations loses weight, which it recovers over time.
+ * Evaluates the statements of all members into evidence from 0 to 1 against each box. Evidence begins at a quorum of
+ * members and is kept down to half of it. Toward the quorum of a box a member counts with its weight, at most 1,
+ * however many statements it sends; the evidence that it contributes is divided among the boxes that it claims. A
+ * recent own success at a box overrides all claims. A member whose claims are contradicted by own observations loses
+ * weight, which it recovers over time.
  */
 public final class ClaimEvaluator {
     /**
@@ -34,12 +35,12 @@
     private static final double WEIGHT_RECOVERY_PER_S = 0.015;
     /**
      * Lower bound of a reporter's weight, so that a member that was wrong still counts when it is right together with
-     * others.
+     * other members.
      */
     private static final double MIN_WEIGHT = 0.05;
     /**
-     * Fraction of a claim's validity after which its weight fades, so that the members that rely on it do not all
-     * return to the box at the same moment.
+     * Fraction of a claim's validity after which its part of the evidence fades, so that the members that rely on it
+     * do not all return to the box at the same moment.
      */
     private static final double FADE_START_FRACTION = 0.5;
     /**
@@ -52,7 +53,7 @@
      * together, and if all came back to the box at once, all would fail together again.
      */
     private static final double EVIDENCE_HALF_LIFE_MS = 3000;
-    /** Evidence below this counts as none. */
+    /** Decayed evidence below this is dropped. */
     private static final double MIN_EVIDENCE = 0.05;
 
     private static final class OwnOutcomes {
@@ -61,7 +62,13 @@
         int consecutiveSuccesses;
     }
 
-    private static final class ReporterWeight {
+    /** Weights and evidence of the valid claims on one box, each summed over the reporters. */
+    private static final class BoxClaims {
+        double weight;
+        double evidence;
+    }
+
+    private static final class ReporterState {
         double weight = 1;
         double updatedMs;
         final Map<Long, Double> lastContradictionMs = new HashMap<>();
@@ -71,8 +78,10 @@
     private final String self;
     private final int maxBoxes;
     private final Map<Long, OwnOutcomes> ownOutcomes = new LinkedHashMap<>();
-    private final Map<String, ReporterWeight> reporterWeights = new HashMap<>();
-    private final Set<Long> quorumReached = new HashSet<>();
+    private final Map<String, ReporterState> reporterStates = new HashMap<>();
+    /** Boxes whose claims have reached the quorum and not fallen below its retained fraction since. */
+    private final Set<Long> boxesWithQuorum = new HashSet<>();
+
     private final Map<Long, Double> fadingEvidence = new TreeMap<>();
     private double lastDecayMs;
     private long contradictions;
@@ -94,14 +103,14 @@
 
     /** Returns the weight of a member's claims at this time, from 0 to 1. */
     public double reporterWeight(String member, double nowMs) {
-        ReporterWeight weight = reporterWeights.get(member);
-        return weight == null ? 1 : recoveredWeight(weight, nowMs);
+        ReporterState state = reporterStates.get(member);
+        return state == null ? 1 : recoveredWeight(state, nowMs);
     }
 
-    private static double recoveredWeight(ReporterWeight reporter, double nowMs) {
-        reporter.weight = Math.min(1, reporter.weight + WEIGHT_RECOVERY_PER_S * (nowMs - reporter.updatedMs) / 1000);
-        reporter.updatedMs = nowMs;
-        return reporter.weight;
+    private static double recoveredWeight(ReporterState state, double nowMs) {
+        state.weight = Math.min(1, state.weight + WEIGHT_RECOVERY_PER_S * (nowMs - state.updatedMs) / 1000);
+        state.updatedMs = nowMs;
+        return state.weight;
     }
 
     /**
@@ -154,24 +163,23 @@
     }
 
     private void contradict(String reporter, long box, double nowMs) {
-        if (!reporterWeights.containsKey(reporter) && reporterWeights.size() >= settings.maxMembers()) {
+        if (!reporterStates.containsKey(reporter) && reporterStates.size() >= settings.maxMembers()) {
             return;
         }
-        ReporterWeight weight = reporterWeights.computeIfAbsent(reporter, key -> new ReporterWeight());
-        if (nowMs - weight.lastContradictionMs.getOrDefault(box, Double.NEGATIVE_INFINITY)
-                < CONTRADICTION_INTERVAL_MS) {
+        ReporterState state = reporterStates.computeIfAbsent(reporter, key -> new ReporterState());
+        if (nowMs - state.lastContradictionMs.getOrDefault(box, Double.NEGATIVE_INFINITY) < CONTRADICTION_INTERVAL_MS) {
             return;
         }
-        weight.lastContradictionMs.values().removeIf(at -> nowMs - at >= CONTRADICTION_INTERVAL_MS);
-        weight.lastContradictionMs.put(box, nowMs);
-        weight.weight = Math.max(MIN_WEIGHT, recoveredWeight(weight, nowMs) * CONTRADICTION_FACTOR);
+        state.lastContradictionMs.values().removeIf(at -> nowMs - at >= CONTRADICTION_INTERVAL_MS);
+        state.lastContradictionMs.put(box, nowMs);
+        state.weight = Math.max(MIN_WEIGHT, recoveredWeight(state, nowMs) * CONTRADICTION_FACTOR);
         contradictions++;
     }
 
     /** Returns the evidence against each box for which there is any, in a group of {@code presentMembers}. */
     public Map<Long, Double> evidence(
             double nowMs, int presentMembers, Collection<StatementStore.StoredStatement> statements) {
-        Map<Long, double[]> votes = new TreeMap<>();
+        Map<Long, BoxClaims> claimsByBox = new TreeMap<>();
         for (StatementStore.StoredStatement stored : statements) {
             String reporter = stored.statement().reporter();
             double ageMs = nowMs - stored.receivedMs();
@@ -185,27 +193,27 @@
                 }
                 double freshness =
                         Math.min(1, (claim.validityMs() - ageMs) / ((1 - FADE_START_FRACTION) * claim.validityMs()));
-                double[] weightAndEvidence = votes.computeIfAbsent(claim.box(), key -> new double[2]);
-                weightAndEvidence[0] += weight;
-                weightAndEvidence[1] += weight * claim.strength() * freshness / validClaims;
+                BoxClaims boxClaims = claimsByBox.computeIfAbsent(claim.box(), key -> new BoxClaims());
+                boxClaims.weight += weight;
+                boxClaims.evidence += weight * claim.strength() * freshness / validClaims;
             }
         }
         int quorum = settings.quorum(presentMembers);
-        quorumReached.retainAll(votes.keySet());
+        boxesWithQuorum.retainAll(claimsByBox.keySet());
         Map<Long, Double> result = new TreeMap<>();
-        votes.forEach((box, weightAndEvidence) -> {
+        claimsByBox.forEach((box, boxClaims) -> {
             OwnOutcomes outcomes = ownOutcomes.get(box);
             boolean recentlyWorked = outcomes != null
                     && outcomes.lastSuccessMs > outcomes.lastFailureMs
                     && nowMs - outcomes.lastSuccessMs < settings.ownSuccessPriorityMs();
-            if (weightAndEvidence[0]
-                    < (quorumReached.contains(box) ? RETENTION_QUORUM_FRACTION * quorum : quorum) - 1e-9) {
-                quorumReached.remove(box);
+            if (boxClaims.weight
+                    < (boxesWithQuorum.contains(box) ? RETENTION_QUORUM_FRACTION * quorum : quorum) - 1e-9) {
+                boxesWithQuorum.remove(box);
                 return;
             }
-            quorumReached.add(box);
+            boxesWithQuorum.add(box);
             if (!recentlyWorked) {
-                result.put(box, Math.min(1, weightAndEvidence[1] / quorum));
+                result.put(box, Math.min(1, boxClaims.evidence / quorum));
             }
         });
         mergeFadingEvidence(nowMs, result);
--- a/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/ClaimSettings.java
@@ -15,8 +15,8 @@
  * @param shortDeliveryShare delivered share below which a delivery counts as a failure
  * @param minQuorum least number of members that must claim trouble at a box before there is evidence
  * @param quorumFraction the same as a fraction of the present members; the larger of the two counts
- * @param ownSuccessPriorityMs time for which this member's own successful set-up at a box overrides the claims of
- *     others
+ * @param ownSuccessPriorityMs time for which this member's own successful set-up at a box overrides the claims of all
+ *     other members
  * @param evaluationIntervalMs time between two evaluations of the claims
  */
 public record ClaimSettings(
--- a/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
+++ b/gossip/src/main/java/calicovale/gossip/claims/StatementStore.java
@@ -12,6 +12,8 @@
  * is stored only once its proof was verified, so that a relaying member can neither change nor repeat it as new.
  */
 public final class StatementStore {
+    /** Least change of a claim's strength for which a new statement is made before the refresh interval is over. */
+    private static final double MIN_STRENGTH_CHANGE = 0.25;
 
     /** A statement and the time of its receipt, in ms of the local clock. */
     public record StoredStatement(Statement statement, double receivedMs) {}
@@ -66,8 +68,8 @@
     }
 
     /**
-     * Returns whether both lists make the same claims on the same boxes, apart from ages and strengths that differ by
-     * less than 0.25.
+     * Returns whether both lists make the same claims on the same boxes, apart from ages and from differences in
+     * strength below {@link #MIN_STRENGTH_CHANGE}.
      */
     private static boolean sameClaims(List<Claim> first, List<Claim> second) {
         if (first.size() != second.size()) {
@@ -77,7 +79,7 @@
             if (second.stream()
                     .noneMatch(other -> other.box() == claim.box()
                             && Objects.equals(other.kind(), claim.kind())
-                            && Math.abs(other.strength() - claim.strength()) < 0.25)) {
+                            && Math.abs(other.strength() - claim.strength()) < MIN_STRENGTH_CHANGE)) {
                 return false;
             }
         }
@@ -126,8 +128,8 @@
     }
 
     /**
-     * Returns the least-sent pending statements for one message; each one is returned {@code maxTransmissions} times in
-     * all.
+     * Returns the least-sent pending statements for one message. In all, each one is returned
+     * {@code maxTransmissions} times.
      */
     public List<Statement> take(int maxTransmissions) {
         List<String> leastSentFirst = new ArrayList<>(transmissions.keySet());
--- a/gossip/src/main/java/calicovale/gossip/member/DisseminationQueue.java
+++ b/gossip/src/main/java/calicovale/gossip/member/DisseminationQueue.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns up to {@code maxUpdates} updates for one message; an update is removed once it was sent {@code
-     * maxTransmissions} times.
+     * Returns up to {@code maxUpdates} updates for one message; an update is removed once it was sent
+     * {@code maxTransmissions} times.
      */
     List<Update> take(int maxUpdates, int maxTransmissions) {
         if (pending.isEmpty() || maxUpdates <= 0) {
--- a/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/member/MemberSettings.java
@@ -6,15 +6,16 @@
  * @param probeIntervalMs time between two probes (SWIM's protocol period)
  * @param probeTimeoutMs time to wait for an ack before other members are asked to probe
  * @param indirectProbes number of members asked for an indirect probe
- * @param suspicionMultiplier the shortest suspicion timeout is this, times log10 of the number of present members (at
- *     least 1), times {@code probeIntervalMs}
+ * @param suspicionMultiplier the shortest suspicion timeout is this, times max(1, log10(present members)), times
+ *     {@code probeIntervalMs}
  * @param maxSuspicionTimeoutMultiplier factor by which the timeout of a suspicion without independent confirmation is
  *     longer than the shortest
- * @param retransmitMultiplier each member sends an update this many times log10 of the number of present members plus 1
+ * @param retransmitMultiplier the number of times that each member sends an update is this, times
+ *     log10(present members + 1), rounded up
  * @param disseminationIntervalMs time between two sendings of updates that are not piggybacked on probes
  * @param disseminationFanout number of members that each of those sendings goes to
- * @param pushPullIntervalMs mean time between two anti-entropy rounds: a digest to a present member and the full state
- *     to one that is taken for dead
+ * @param antiEntropyIntervalMs mean time between two anti-entropy rounds: a digest to a present member and the full
+ *     state to one that is taken for dead
  * @param maxHealthMultiplier largest local health multiplier, that is, health score plus 1; with 1 a member never slows
  *     its own probes
  * @param buddySystem whether each ping to a suspected member carries the suspicion (Lifeguard's buddy system)
@@ -33,14 +34,14 @@
         double retransmitMultiplier,
         double disseminationIntervalMs,
         int disseminationFanout,
-        double pushPullIntervalMs,
+        double antiEntropyIntervalMs,
         int maxHealthMultiplier,
         boolean buddySystem,
         int maxUpdatesPerMessage,
         int maxMembers,
         int maxFalseSuspicions,
         double deadRetentionMs) {
-    /** Settings for a local network: those of memberlist, the push-pull interval included. */
+    /** Settings for a local network: those of memberlist, with its push-pull interval for anti-entropy. */
     public static final MemberSettings LAN =
             new MemberSettings(1000, 500, 3, 4, 6, 4, 200, 3, 30_000, 8, true, 8, 1000, 6, 3_600_000);
 
@@ -55,7 +56,7 @@
                 retransmitMultiplier,
                 disseminationIntervalMs,
                 disseminationFanout,
-                pushPullIntervalMs,
+                antiEntropyIntervalMs,
                 1,
                 false,
                 maxUpdatesPerMessage,
--- a/gossip/src/main/java/calicovale/gossip/member/Membership.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Membership.java
@@ -101,8 +101,18 @@
     /** An indirect probe made for another member that requested it by ping-req. */
     private record RelayedProbe(String requesterAddress, long requesterSequenceNumber, double nackAtMs, double endMs) {}
 
+    /** Number of refuted suspicions by one reporter, decayed up to {@code decayedAtMs}. */
+    private static final class FalseSuspicionCount {
+        double count;
+        double decayedAtMs;
+
+        FalseSuspicionCount(double nowMs) {
+            decayedAtMs = nowMs;
+        }
+    }
+
     /**
-     * Fraction of the probe time-out after which a helper sends a nack, so that the nack still arrives within the
+     * Fraction of the probe timeout after which a helper sends a nack, so that the nack still arrives within the
      * requester's time.
      */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
@@ -128,14 +138,11 @@
     private boolean leaving;
     private double nextProbeMs;
     private double nextDisseminationMs;
-    private double nextPushPullMs;
+    private double nextAntiEntropyMs;
     private long rejectedOverBound;
     private long rejectedUpdates;
-    /**
-     * For each reporter, the decayed number of suspicions that it raised alone and that were refuted, and the time of
-     * the last decay in ms.
-     */
-    private final Map<String, double[]> falseSuspicions = new LinkedHashMap<>();
+    /** For each reporter, the suspicions that it raised alone and that were refuted. */
+    private final Map<String, FalseSuspicionCount> falseSuspicions = new LinkedHashMap<>();
 
     /**
      * Creates a member that knows only itself.
@@ -215,8 +222,8 @@
     }
 
     /**
-     * Returns the addresses of up to {@code limit} present members in random order, without repetition and without this
-     * member.
+     * Returns the addresses of up to {@code limit} present members other than this one, in random order and each at
+     * most once.
      */
     public List<String> randomAddresses(int limit) {
         List<String> result = new ArrayList<>();
@@ -266,7 +273,7 @@
         self.sinceMs = nowMs;
         nextProbeMs = nowMs + settings.probeIntervalMs() * random.nextDouble();
         nextDisseminationMs = nowMs + settings.disseminationIntervalMs() * random.nextDouble();
-        nextPushPullMs = nowMs + settings.pushPullIntervalMs() * (0.5 + 0.5 * random.nextDouble());
+        nextAntiEntropyMs = nowMs + settings.antiEntropyIntervalMs() * (0.5 + 0.5 * random.nextDouble());
         join();
     }
 
@@ -304,11 +311,11 @@
                 transport.send(member.address, new Message.Dissemination(piggybackedUpdates(null)));
             }
         }
-        if (nowMs >= nextPushPullMs) {
-            nextPushPullMs = nowMs + settings.pushPullIntervalMs() * (0.75 + 0.5 * random.nextDouble());
-            startPushPull(nowMs);
+        if (nowMs >= nextAntiEntropyMs) {
+            nextAntiEntropyMs = nowMs + settings.antiEntropyIntervalMs() * (0.75 + 0.5 * random.nextDouble());
+            startAntiEntropy(nowMs);
         }
-        double next = Math.min(Math.min(nextProbeMs, nextDisseminationMs), nextPushPullMs);
+        double next = Math.min(Math.min(nextProbeMs, nextDisseminationMs), nextAntiEntropyMs);
         if (probe != null) {
             next = Math.min(next, probe.indirect ? probe.endMs : Math.min(probe.indirectAtMs, probe.endMs));
         }
@@ -321,7 +328,7 @@
         return next;
     }
 
-    private void startPushPull(double nowMs) {
+    private void startAntiEntropy(double nowMs) {
         removeExpiredMembers(nowMs);
         List<Member> present = randomMembers(1, null);
         present.forEach(
@@ -387,8 +394,8 @@
     }
 
     /**
-     * Returns the next member to probe: each one once per round, in an order shuffled anew each round (SWIM, section
-     * 4.3).
+     * Returns the next member to probe, or null if no other member is present. Each member is probed once per round, in
+     * an order that is shuffled anew for each round (SWIM, section 4.3).
      */
     private Member nextProbeTarget() {
         for (int attempt = 0; attempt <= 1; attempt++) {
@@ -636,23 +643,22 @@
                 || !falseSuspicions.containsKey(reporter) && falseSuspicions.size() >= settings.maxMembers()) {
             return;
         }
-        decayedFalseSuspicions(reporter, nowMs)[0]++;
+        decayedFalseSuspicions(reporter, nowMs).count++;
     }
 
-    private double[] decayedFalseSuspicions(String reporter, double nowMs) {
-        double[] countAndTimeMs = falseSuspicions.computeIfAbsent(reporter, id -> new double[] {0, nowMs});
-        countAndTimeMs[0] *= Math.pow(0.5, (nowMs - countAndTimeMs[1]) / FALSE_SUSPICION_HALF_LIFE_MS);
-        countAndTimeMs[1] = nowMs;
-        return countAndTimeMs;
+    private FalseSuspicionCount decayedFalseSuspicions(String reporter, double nowMs) {
+        FalseSuspicionCount decayed = falseSuspicions.computeIfAbsent(reporter, id -> new FalseSuspicionCount(nowMs));
+        decayed.count *= Math.pow(0.5, (nowMs - decayed.decayedAtMs) / FALSE_SUSPICION_HALF_LIFE_MS);
+        decayed.decayedAtMs = nowMs;
+        return decayed;
     }
 
     /**
-     * Returns whether too many recent suspicions that a member raised alone were refuted, so that it no longer counts
-     * alone.
+     * Returns whether so many of a reporter's recent suspicions were refuted that another one needs a second reporter.
      */
     private boolean isDistrusted(String reporter, double nowMs) {
         return falseSuspicions.containsKey(reporter)
-                && decayedFalseSuspicions(reporter, nowMs)[0] >= settings.maxFalseSuspicions();
+                && decayedFalseSuspicions(reporter, nowMs).count >= settings.maxFalseSuspicions();
     }
 
     private void expireSuspicions(double nowMs) {
@@ -691,7 +697,7 @@
         }
     }
 
-    // --- What goes out ---
+    // --- Contents of messages ---
 
     /**
      * Returns the updates for one message. A message to a suspected member begins with the member's last own update,
@@ -741,8 +747,8 @@
         for (Member member : members.values()) {
             result.add(member.lastOwnUpdate);
             if (member.state == State.SUSPECT || member.state == State.DEAD) {
-                // A dead member is sent as a suspicion because it may be alive on the other side of a network
-                // partition.
+                // A dead member is sent as a suspicion, because it may be alive on the other side of a network
+                // partition and then refutes the suspicion.
                 result.add(signedUpdate(member, State.SUSPECT));
             }
         }
@@ -750,8 +756,8 @@
     }
 
     /**
-     * Returns up to {@code limit} present members in random order, without repetition, this member and {@code
-     * excluded}.
+     * Returns up to {@code limit} present members in random order, each at most once; neither this member nor
+     * {@code excluded} is among them.
      */
     private List<Member> randomMembers(int limit, Member excluded) {
         List<Member> result = new ArrayList<>();
--- a/gossip/src/main/java/calicovale/gossip/member/Suspicion.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Suspicion.java
@@ -16,8 +16,9 @@
     private final String firstReporter;
 
     /**
-     * Creates a suspicion whose timeout shrinks from {@code maxTimeoutMs} to {@code minTimeoutMs} with {@code
-     * expectedConfirmations} confirmations beside the first reporter; with 0 it is {@code minTimeoutMs} from the start.
+     * Creates a suspicion whose timeout shrinks from {@code maxTimeoutMs} to {@code minTimeoutMs} with
+     * {@code expectedConfirmations} confirmations beside the first reporter; with 0 it is {@code minTimeoutMs} from the
+     * start of the suspicion.
      */
     Suspicion(
             String firstReporter, double startMs, double minTimeoutMs, double maxTimeoutMs, int expectedConfirmations) {
@@ -51,7 +52,7 @@
         if (expectedConfirmations < 1) {
             return startMs + minTimeoutMs;
         }
-        double shortened = Math.log(confirmers.size() + 1.0) / Math.log(expectedConfirmations + 1.0);
-        return startMs + Math.max(minTimeoutMs, maxTimeoutMs - shortened * (maxTimeoutMs - minTimeoutMs));
+        double shorteningFraction = Math.log(confirmers.size() + 1.0) / Math.log(expectedConfirmations + 1.0);
+        return startMs + Math.max(minTimeoutMs, maxTimeoutMs - shorteningFraction * (maxTimeoutMs - minTimeoutMs));
     }
 }
--- a/gossip/src/main/java/calicovale/gossip/member/Update.java
+++ b/gossip/src/main/java/calicovale/gossip/member/Update.java
@@ -1,8 +1,8 @@
 package calicovale.gossip.member;
 
 /**
- * What one member reports about a member. Because updates are relayed by others, each carries a proof that {@code
- * reporter} made it; otherwise a single member could report in the name of all.
+ * What one member reports about a member. Because updates are relayed by others, each carries a proof that
+ * {@code reporter} made it; otherwise a single member could report in the name of all.
  *
  * @param memberId id of the member that the update is about
  * @param address address at which that member is reached; empty in a suspicion
--- a/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipNode.java
@@ -60,6 +60,7 @@
      */
     private static final double MIN_EVIDENCE_CHANGE = 0.05;
 
+    /** Least delay of the timer in ms, also when something is due already. */
     private static final double MIN_TIMER_DELAY_MS = 1;
     /** Number of ports tried when the settings leave the port to the system. */
     private static final int MAX_BIND_ATTEMPTS = 20;
@@ -79,7 +80,7 @@
     private final Roster roster;
     private final Codec codec;
     private final ThreadPoolExecutor rosterReader;
-    private final Map<String, Long> counts = new TreeMap<>();
+    private final Map<String, Long> counters = new TreeMap<>();
     private final Map<String, PendingReply> pendingReplies = new LinkedHashMap<>();
     private final Map<Long, Double> reportedEvidence = new TreeMap<>();
     private final BoxOutcomes outcomes;
@@ -155,13 +156,14 @@
     }
 
     private void count(String name) {
-        counts.merge(name, 1L, Long::sum);
+        counters.merge(name, 1L, Long::sum);
     }
 
     /** Opens the sockets and joins the group. Returns the bound address, the same for datagrams and connections. */
     public InetSocketAddress start() throws IOException {
         InetSocketAddress bound = bind();
         localAddress = formatAddress(bound);
+        // The start time serves as the epoch of envelopes and as the first incarnation.
         long epoch = (long) wallMs();
         signer = new Signer(
                 roster, this::wallMs, keyPair.privateKey(), keyPair.publicKey(), ownCertificate(keyPair.publicKey()));
@@ -268,7 +270,8 @@
                 try {
                     loop.execute(() -> applyKeys(readContents, readPair, readError));
                 } catch (RejectedExecutionException e) {
-                    LOG.debug("event loop stopped or full; keys are read again at the next interval");
+                    LOG.debug(
+                            "event loop has stopped or its mailbox is full; keys are read again at the next interval");
                 }
             });
         } catch (RejectedExecutionException e) {
@@ -281,9 +284,13 @@
             return;
         }
         if (error != null) {
-            // The keys read last stay in use, because an unreadable folder must not dissolve the group.
+            // What was read before stays in use, because an unreadable folder must not dissolve the group.
             count("roster-unreadable");
-            LOG.warn("keys or roster could not be read, the previous ones stay in use: {}", error);
+            LOG.warn(
+                    "key file {} or roster folder {} could not be read; what was read from it before stays in use: {}",
+                    settings.keyFile(),
+                    settings.rosterFolder(),
+                    error);
         }
         if (contents != null) {
             List<String> loggedErrors = rosterContents.errors();
@@ -295,9 +302,21 @@
                     || roster.find(Ed25519.keyId(newPair.publicKey()), wallMs()) == null
                             && (!roster.usesCertificates() || ownCertificate(newPair.publicKey()) == null)) {
                 count("keys-not-listed");
-                LOG.warn(
-                        "new key in the key file is not listed for member {} in the roster; the old key stays in use",
-                        settings.member());
+                if (!newPair.member().equals(settings.member())) {
+                    LOG.warn(
+                            "key file {} has a key of member {}, but one of member {} is expected; the old key stays "
+                                    + "in use",
+                            settings.keyFile(),
+                            newPair.member(),
+                            settings.member());
+                } else {
+                    LOG.warn(
+                            "new key in {} has no valid entry or certificate for member {} in roster folder {}; the "
+                                    + "old key stays in use",
+                            settings.keyFile(),
+                            settings.member(),
+                            settings.rosterFolder());
+                }
                 return;
             }
             keyPair = newPair;
@@ -370,7 +389,7 @@
                 reportedEvidence.put(box, strength);
                 if (reported == null) {
                     count("evidence-begun");
-                    LOG.info("evidence against box {} from members' claims, strength {}", box, strength);
+                    LOG.info("evidence against box {} has begun, strength {} (members' claims)", box, strength);
                 }
                 listener.evidenceChanged(box, strength);
             }
@@ -381,6 +400,7 @@
     public void recordOutcome(long box, Claim.Kind kind) {
         double nowMs = nowMs();
         outcomes.recordOutcome(nowMs, box, kind);
+        // A short delivery is no outcome of a set-up, so it changes no reporter's weight.
         if (kind != Claim.Kind.SHORT) {
             claimEvaluator.recordOutcome(
                     nowMs, box, kind == null, statementStore == null ? List.of() : statementStore.statements());
@@ -403,8 +423,7 @@
     // --- Messages out ---
 
     private static String formatAddress(InetSocketAddress address) {
-        // Never the host name, which a lookup may have left in the address, because the text is part of what is
-        // signed.
+        // Never the host name, which a lookup may have left in the address, because the signature covers the text.
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -470,7 +489,7 @@
             return;
         }
         count("sent");
-        counts.merge("sent-bytes", (long) bytes.length, Long::sum);
+        counters.merge("sent-bytes", (long) bytes.length, Long::sum);
         if (delayMs > 0) {
             loop.schedule(delayMs, () -> datagrams.send(address, ByteBuffer.wrap(bytes)));
         } else {
@@ -536,7 +555,7 @@
         outgoingConnections++;
         byte[] sealed = envelopes.seal(wallMs(), receiver, codec.encode(message), true);
         count("connected");
-        counts.merge("sent-bytes", (long) sealed.length, Long::sum);
+        counters.merge("sent-bytes", (long) sealed.length, Long::sum);
         loop.schedule(
                 delayMs,
                 () -> loop.connect(
@@ -564,7 +583,7 @@
             return;
         }
         byte[] sealed = envelopes.seal(wallMs(), reply.request().reference(), codec.encode(message), true);
-        counts.merge("sent-bytes", (long) sealed.length, Long::sum);
+        counters.merge("sent-bytes", (long) sealed.length, Long::sum);
         reply.connection().write(frame(sealed));
         reply.connection().closeWhenDrained();
     }
@@ -728,11 +747,11 @@
         }
     }
 
-    // --- What operators see ---
+    // --- Status and counters ---
 
     /** Returns the counters by name. */
     public Map<String, Long> counters() {
-        Map<String, Long> result = new TreeMap<>(counts);
+        Map<String, Long> result = new TreeMap<>(counters);
         if (envelopes == null) {
             // Not started yet.
             return result;
@@ -786,8 +805,8 @@
         ObjectNode evidence = view.putObject("evidence");
         reportedEvidence.forEach(
                 (box, strength) -> evidence.put(Long.toString(box), Math.round(100 * strength) / 100.0));
-        ObjectNode counters = view.putObject("counters");
-        counters().forEach(counters::put);
+        ObjectNode countersNode = view.putObject("counters");
+        counters().forEach(countersNode::put);
         return view;
     }
 
--- a/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
+++ b/gossip/src/main/java/calicovale/gossip/net/GossipSettings.java
@@ -22,8 +22,8 @@
  * @param seeds addresses by which the member joins
  * @param keyFile file with the private key; read again periodically
  * @param rosterFolder folder with keys, certificates and revocations
- * @param authority the operators' key that certifies members, or null if keys in the folder are valid without a
- *     certificate
+ * @param authority the operators' key that certifies members, or null if keys in the folder are valid without being
+ *     certified
  * @param rosterReadIntervalMs time between two readings of the roster folder and the key file
  * @param membership settings of the membership protocol
  * @param claims settings of claims
@@ -45,6 +45,9 @@
         WireLimits wireLimits,
         int maxConnections,
         double connectionTimeoutMs) {
+    private static final double DEFAULT_ROSTER_READ_INTERVAL_MS = 5000;
+    private static final int DEFAULT_MAX_CONNECTIONS = 64;
+    private static final double DEFAULT_CONNECTION_TIMEOUT_MS = 2000;
 
     /** Validates and parses a settings document; {@code name} precedes each reported error. */
     public static GossipSettings parse(String name, JsonNode document) throws InvalidDocumentException {
@@ -60,7 +63,7 @@
                 numberOr(root, "retransmitMult", memberDefaults.retransmitMultiplier()),
                 numberOr(root, "newsMs", memberDefaults.disseminationIntervalMs()),
                 root.path("newsTo").asInt(memberDefaults.disseminationFanout()),
-                numberOr(root, "exchangeMs", memberDefaults.pushPullIntervalMs()),
+                numberOr(root, "exchangeMs", memberDefaults.antiEntropyIntervalMs()),
                 root.path("healthMost").asInt(memberDefaults.maxHealthMultiplier()),
                 memberDefaults.buddySystem(),
                 root.path("updatesMost").asInt(memberDefaults.maxUpdatesPerMessage()),
@@ -130,12 +133,12 @@
                 Path.of(root.get("keyFile").asText()),
                 Path.of(root.get("rosterFolder").asText()),
                 authority,
-                numberOr(root, "rosterMs", 5000),
+                numberOr(root, "rosterMs", DEFAULT_ROSTER_READ_INTERVAL_MS),
                 membership,
                 claims,
                 wireLimits,
-                root.path("connections").asInt(64),
-                numberOr(root, "connectionMs", 2000));
+                root.path("connections").asInt(DEFAULT_MAX_CONNECTIONS),
+                numberOr(root, "connectionMs", DEFAULT_CONNECTION_TIMEOUT_MS));
     }
 
     private static double numberOr(JsonNode node, String key, double defaultValue) {
--- a/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
+++ b/gossip/src/main/java/calicovale/gossip/net/KeyDocuments.java
@@ -58,6 +58,10 @@
         JsonNode document = Documents.read(file, KeyDocuments.class, "key.schema.json");
         try {
             Ed25519.publicKey(document.get("publicKey").asText());
+        } catch (IllegalArgumentException e) {
+            throw new InvalidDocumentException(List.of(file + ": /publicKey: " + e.getMessage()));
+        }
+        try {
             MemberKeyPair pair = new MemberKeyPair(
                     document.get("member").asText(),
                     decodeBytes(document, "publicKey"),
--- a/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
+++ b/gossip/src/main/java/calicovale/gossip/net/RosterFolder.java
@@ -16,6 +16,7 @@
 
 /** Reads the JSON files of the roster folder; invalid files are reported and skipped. */
 final class RosterFolder {
+    /** Upper bound of a file's size in bytes; a larger file is reported as an error and not read. */
     private static final int MAX_FILE_BYTES = 4096;
 
     /** Contents of the folder: valid documents, and an error for each invalid one. */
--- a/gossip/src/main/java/calicovale/gossip/wire/Codec.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Codec.java
@@ -27,8 +27,8 @@
     /** Largest number of characters of a member id or an address. */
     private static final int MAX_TEXT_CHARS = 64;
     /**
-     * Largest number of bytes of a proof: key id, signature and, in what a member reports about itself, its
-     * certificate.
+     * Largest number of bytes of a proof: key id, signature and, in what a member reports about itself, the certificate
+     * of its key.
      */
     private static final int MAX_PROOF_BYTES = 400;
     /** Units of a strength of 1 on the wire, where strengths are whole per cents. */
@@ -175,7 +175,8 @@
             return result;
         } catch (IOException | RuntimeException e) {
             // Jackson reports malformed CBOR and exceeded bounds by either kind of exception.
-            throw new MalformedMessageException("a message in CBOR is expected");
+            throw new MalformedMessageException(
+                    "a message in CBOR whose elements are within their size limits is expected");
         }
     }
 
--- a/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Envelopes.java
@@ -9,8 +9,10 @@
 import java.util.Map;
 
 /**
- * Seals and opens the signed envelope around each message. All fields of an envelope are at fixed positions, so that
- * nothing of an unauthenticated sender has to be parsed: a message is decoded only after its envelope was accepted.
+ * Seals and opens the signed envelope around each message. The fields up to the certificate are at fixed positions,
+ * and the position of the rest follows from the certificate's length. Nothing of an unauthenticated sender is parsed
+ * other than these fields and, if its key is unknown, the certificate. A message is decoded only after its envelope was
+ * accepted, that is, authenticated.
  *
  * <pre>
  *  0  'c' 'v'
@@ -35,6 +37,7 @@
     public static final int OVERHEAD_BYTES = CERTIFICATE_OFFSET + Ed25519.SIGNATURE_BYTES;
 
     private static final int VERSION = 1;
+    /** Upper bound of a certificate's length in an envelope, in bytes. */
     private static final int MAX_CERTIFICATE_BYTES = 256;
 
     /** Reason for which a message was dropped. The names are part of metrics. */
@@ -60,8 +63,7 @@
      */
     public record Opened(String sender, long keyId, long epoch, long sequence, int messageOffset) {
         /**
-         * Returns the reference to this message, which takes the place of the receiver's address in the signature of a
-         * reply.
+         * Returns the reference to this message, which is signed in a reply in place of the receiver's address.
          */
         public String reference() {
             return "re:" + Long.toHexString(keyId) + ":" + epoch + ":" + sequence;
--- a/gossip/src/main/java/calicovale/gossip/wire/ReplayGuard.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/ReplayGuard.java
@@ -9,6 +9,7 @@
  * were silent for longer than an old message passes for new.
  */
 final class ReplayGuard {
+    /** Length of the window in sequence numbers; a message that is that far behind the highest is rejected. */
     private static final int WINDOW_MESSAGES = 1024;
 
     private static final class Sender {
--- a/gossip/src/main/java/calicovale/gossip/wire/Roster.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Roster.java
@@ -13,8 +13,8 @@
 
 /**
  * The keys that may sign for each member: those that the operators listed or, if the group has an operators' signing
- * key, those that it certified. Revoked keys are never valid. A member may have several keys, so that one can replace
- * another.
+ * key, those that it certified. Revoked keys are never valid. A member may have several keys, so that a new key can
+ * replace an old one.
  */
 public final class Roster {
 
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Adds a certificate; returns false if it is not signed by the operators, its key is revoked, or there are too
-     * many.
+     * Adds a certificate; returns false if it is not signed by the operators, its key is revoked, or too many keys are
+     * certified already.
      */
     public boolean admit(Certificate certificate) {
         long id = Ed25519.keyId(certificate.key());
--- a/gossip/src/main/java/calicovale/gossip/wire/Signer.java
+++ b/gossip/src/main/java/calicovale/gossip/wire/Signer.java
@@ -64,7 +64,7 @@
                 .array();
     }
 
-    private boolean proved(String reporter, byte[] proof, byte[] signed) {
+    private boolean verifyProof(String reporter, byte[] proof, byte[] signed) {
         if (proof.length < 8 + Ed25519.SIGNATURE_BYTES) {
             return false;
         }
@@ -107,7 +107,7 @@
 
     @Override
     public boolean verify(Update update) {
-        return proved(update.reporter(), update.proof(), signedBytes(update));
+        return verifyProof(update.reporter(), update.proof(), signedBytes(update));
     }
 
     @Override
@@ -117,6 +117,6 @@
 
     @Override
     public boolean verify(Statement statement) {
-        return proved(statement.reporter(), statement.proof(), signedBytes(statement));
+        return verifyProof(statement.reporter(), statement.proof(), signedBytes(statement));
     }
 }
